--- a/src/main/java/mallowstall/Meters.java
+++ b/src/main/java/mallowstall/Meters.java
@@ -4,11 +4,11 @@
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry;
 import java.util.Map;
 import java.util.TreeMap;
-import mallowstall.core.Core;
+import mallowstall.core.Metrics;
 import org.HdrHistogram.Histogram;
 
 /** Counters through Micrometer, latencies in HdrHistograms; few names, so bounded in size. */
-final class Meters implements Core.Metrics {
+final class Meters implements Metrics {
   private static final long MAX_US = 60_000_000;
 
   /** Made with the first counter: it takes a tenth of the processor time from exec to serving. */
--- a/src/main/java/mallowstall/Service.java
+++ b/src/main/java/mallowstall/Service.java
@@ -15,7 +15,6 @@
 import java.util.function.Consumer;
 import mallowstall.cloud.CloudAdapter;
 import mallowstall.config.Settings;
-import mallowstall.core.ClusterVersion;
 import mallowstall.core.Core;
 import mallowstall.core.Effects;
 import mallowstall.core.Model.Command;
@@ -26,6 +25,7 @@
 import mallowstall.core.Model.RentRequest;
 import mallowstall.core.Model.Team;
 import mallowstall.core.Policy;
+import mallowstall.core.ProgramVersion;
 import mallowstall.net.Duty;
 import mallowstall.net.HttpClient;
 import mallowstall.net.HttpServer;
@@ -134,7 +134,7 @@
         facts.cloud().rps(),
         (long) (facts.cloud().listLagS() * 1000),
         late,
-        ClusterVersion.CURRENT);
+        ProgramVersion.CURRENT);
   }
 
   /**
--- a/src/main/java/mallowstall/core/Cancellations.java
+++ b/src/main/java/mallowstall/core/Cancellations.java
@@ -7,6 +7,7 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 import mallowstall.Constants;
+import mallowstall.core.Model.Final;
 import mallowstall.core.Model.JobRec;
 
 /**
@@ -30,6 +31,7 @@
   }
 
   private final Store store;
+  private final Consumer<String> cancelled;
 
   /** What the mirror holds, by the revision at which it came to know. */
   private final TreeSet<Cancelled> recorded = new TreeSet<>();
@@ -40,12 +42,28 @@
   /** What only peers have told; the mirror doesn't say so yet. */
   private final Set<String> told = new HashSet<>();
 
-  Cancellations(Store store) {
+  /** {@code cancelled} is told of each job that becomes known as cancelled, from either source. */
+  Cancellations(Store store, Consumer<String> cancelled) {
     this.store = store;
+    this.cancelled = cancelled;
+  }
+
+  /** A job's entry has changed; {@code before} is null if it is new. */
+  void jobChanged(JobRec before, JobRec after) {
+    if (after.fin() == Final.CANCELLED && (before == null || before.fin() != Final.CANCELLED)) {
+      String id = after.spec().id();
+      recorded(id, store.version(Store.JOBS + id));
+      cancelled.accept(id);
+    }
+  }
+
+  /** Whether nothing of the job may be started and all of it must be stopped. */
+  boolean isOver(String id, JobRec job) {
+    return job != null && job.over() || told(id);
   }
 
   /** The mirror has learnt of it. */
-  void recorded(String job, long version) {
+  private void recorded(String job, long version) {
     told.remove(job);
     recorded.add(new Cancelled(version, job));
     while (recorded.size() > Constants.CANCELLED_KEPT) {
@@ -67,8 +85,8 @@
     return out;
   }
 
-  /** A peer tells of these, {@code news} of those not known; false: too many to remember. */
-  boolean heard(List<String> jobs, Consumer<String> news) {
+  /** A peer tells of these; false: too many to remember. */
+  boolean heard(List<String> jobs) {
     boolean all = true;
     for (String id : jobs) {
       JobRec job = store.job(id);
@@ -83,7 +101,7 @@
       } else {
         all = false;
       }
-      news.accept(id);
+      cancelled.accept(id);
     }
     return all;
   }
--- a/src/main/java/mallowstall/core/CloudListing.java
+++ b/src/main/java/mallowstall/core/CloudListing.java
@@ -9,15 +9,17 @@
 
 /** The cloud's list of machines, read page by page. It lags, and may be older than the last. */
 final class CloudListing {
-  private final Core core;
+  private final EventClock clock;
+  private final Effects effects;
   private final Budget calls;
   private Map<String, Listed> machines = new HashMap<>();
   private long readAt = Long.MIN_VALUE / 2;
   private boolean reading;
   private long next;
 
-  CloudListing(Core core, Budget calls) {
-    this.core = core;
+  CloudListing(EventClock clock, Effects effects, Budget calls) {
+    this.clock = clock;
+    this.effects = effects;
     this.calls = calls;
   }
 
@@ -50,8 +52,8 @@
   }
 
   private void readPage(String after, Map<String, Listed> before) {
-    calls.spend(core.now(), 1);
-    core.effects().listMachines(after, reply -> pageRead(after, before, reply));
+    calls.spend(clock.now(), 1);
+    effects.listMachines(after, reply -> pageRead(after, before, reply));
   }
 
   private void pageRead(String after, Map<String, Listed> before, ListedReply reply) {
@@ -70,6 +72,6 @@
     }
     reading = false;
     machines = before;
-    readAt = core.now();
+    readAt = clock.now();
   }
 }
--- a/src/main/java/mallowstall/core/ClusterVersion.java
+++ b/src/main/java/mallowstall/core/ClusterVersion.java
@@ -1,5 +1,6 @@
 package mallowstall.core;
 
+import mallowstall.core.Model.CoreSettings;
 import mallowstall.core.Model.SessionRec;
 import mallowstall.core.Model.VersionRec;
 
@@ -7,37 +8,28 @@
  * The lowest program version that every configured controller has shown in the state service. What
  * an older version would misread is stored or sent only once this is high enough.
  */
-public final class ClusterVersion {
-  /** A controller that has shown no version: it never ran, or runs a version without services. */
-  public static final int UNKNOWN = 0;
-
-  /** The first version that knows services and bitmaps in small pieces. */
-  public static final int WITH_SERVICES = 1;
-
-  /** The version of this program. */
-  public static final int CURRENT = WITH_SERVICES;
-
-  private final Core core;
+final class ClusterVersion {
+  private final CoreSettings settings;
   private final Store store;
 
-  ClusterVersion(Core core, Store store) {
-    this.core = core;
+  ClusterVersion(CoreSettings settings, Store store) {
+    this.settings = settings;
     this.store = store;
   }
 
   /** Whether every controller knows services. */
   boolean allowsServices() {
-    return lowest() >= WITH_SERVICES;
+    return lowest() >= ProgramVersion.WITH_SERVICES;
   }
 
   /** Whether every controller reads done bits in small pieces. */
   boolean allowsSmallPieces() {
-    return lowest() >= WITH_SERVICES;
+    return lowest() >= ProgramVersion.WITH_SERVICES;
   }
 
   private int lowest() {
-    int lowest = shownBy(core.node());
-    for (String peer : core.settings().peers()) {
+    int lowest = shownBy(settings.node());
+    for (String peer : settings.peers()) {
       lowest = Math.min(lowest, shownBy(peer));
     }
     return lowest;
@@ -51,12 +43,12 @@
   private int shownBy(String node) {
     Store.Held entry = store.held(Store.VERSIONS + node);
     if (entry == null) {
-      return UNKNOWN;
+      return ProgramVersion.UNKNOWN;
     }
     VersionRec shown = (VersionRec) entry.value();
     Store.Held session = store.held(Store.SESSIONS + node);
     boolean present =
         session == null || ((SessionRec) session.value()).incarnation() == shown.incarnation();
-    return present ? shown.version() : UNKNOWN;
+    return present ? shown.version() : ProgramVersion.UNKNOWN;
   }
 }
--- a/src/main/java/mallowstall/core/Core.java
+++ b/src/main/java/mallowstall/core/Core.java
@@ -1,29 +1,15 @@
 package mallowstall.core;
 
-import java.util.ArrayList;
-import java.util.Collection;
-import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
-import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import mallowstall.Constants;
 import mallowstall.core.Model.CoreSettings;
-import mallowstall.core.Model.DigestRec;
-import mallowstall.core.Model.Entry;
-import mallowstall.core.Model.Final;
-import mallowstall.core.Model.JobRec;
 import mallowstall.core.Model.JobSpec;
-import mallowstall.core.Model.MachineRec;
-import mallowstall.core.Model.MachineType;
 import mallowstall.core.Model.PeerMessage;
 import mallowstall.core.Model.Report;
 import mallowstall.core.Model.ReportAnswer;
-import mallowstall.core.Model.Room;
 import mallowstall.core.Model.Roster;
-import mallowstall.core.Model.SessionRec;
 import mallowstall.core.Model.Starts;
 import mallowstall.core.Model.StopOrder;
 import mallowstall.core.Model.Stops;
@@ -32,202 +18,268 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One controller without its sockets: events and time come in, effects go out. Not thread-safe; the
- * caller sets the time before each event and gives events one at a time.
+ * One controller without its sockets: events and time come in, effects go out. It wires the modules
+ * and hands each event to the one that it concerns. Not thread-safe; the caller sets the time
+ * before each event and gives events one at a time.
+ *
+ * <p>Modules get what they use through their constructors, those of a lower layer first. Where a
+ * lower layer calls a higher one, it takes a function that ends in one of the private methods here.
  */
 public final class Core {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.core");
 
-  /** Something to be run later; of like times the first one set comes first. */
-  private record Timer(long at, long order, Runnable run) {}
-
-  /** Where counts of notable events go. */
-  public interface Metrics {
-    /** Counts one more of these. */
-    void count(String what);
-
-    /** A duration in ms. */
-    void time(String what, long ms);
-  }
-
-  private final CoreSettings settings;
-  private final Effects effects;
-  private final Policy.Book policies;
-  private final Metrics metrics;
+  private final EventClock clock = new EventClock();
+  private final OwnLag lag = new OwnLag();
   private final Store store;
   private final View view;
-  private final Owner owner;
+  private final MachineTypeCatalog types;
+  private final PeerMessenger messenger;
+  private final PlacementTrigger placementTrigger;
   private final Holder holder;
+  private final OwnedMachines machines;
+  private final RosterPublisher publisher;
+  private final DirectCommands commands;
+  private final ReclaimedMachines reclaimed;
+  private final HeartbeatRouter heartbeats;
+  private final StopRequestHandler stopRequests;
+  private final PeerStartReceiver startReceiver;
+  private final StatusUpdateReceiver statusUpdates;
+  private final Owner owner;
+  private final GrantLedger quota;
   private final Placement placement;
-  private final MachineDemand demand;
   private final Fleet fleet;
+  private final DigestPublisher digest;
   private final Users users;
-  private final PriorityQueue<Timer> timers =
-      new PriorityQueue<>(
-          (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
-  private final Map<String, MachineType> types = new LinkedHashMap<>();
-  private final Map<String, Double> images = new HashMap<>();
-  private final Map<String, JobRec> open = new LinkedHashMap<>();
-  private long now;
-  private long wall;
-  private long timerOrder;
-  private boolean roundWanted;
-  private long nextRound;
-  private final OwnLag lag = new OwnLag();
-  private long nextTypes;
-  private boolean askingTypes;
-  private long nextDigest;
-  private long startedAt;
-  private long roomNews = 1;
-  private long lastRoomNews;
-  private final Cancellations cancellations;
-  private final ClusterVersion clusterVersion;
-  private final JobEntries jobEntries;
-  private final RetryDelay digestRetry = new RetryDelay();
 
   /** A core that does nothing before its first event. */
   public Core(
       CoreSettings settings, Effects effects, Policy.Book policies, Metrics metrics, long seed) {
-    this.settings = settings;
-    this.effects = effects;
-    this.policies = policies;
-    this.metrics = metrics;
-    this.store = new Store(this, effects, new Changes(), settings);
-    this.cancellations = new Cancellations(store);
-    this.clusterVersion = new ClusterVersion(this, store);
-    this.jobEntries =
+    // state service and cluster
+    store = new Store(clock, settings, effects);
+    view = new View(clock, store);
+    types = new MachineTypeCatalog(clock, effects);
+    ImageSizes imageSizes = new ImageSizes();
+    OpenJobs openJobs = new OpenJobs();
+    Membership membership = new Membership(settings, store);
+    Connectivity connectivity = new Connectivity(clock, settings, store, view);
+    Cancellations cancellations = new Cancellations(store, this::jobCancelled);
+    ClusterVersion clusterVersion = new ClusterVersion(settings, store);
+    JobEntries jobEntries =
         new JobEntries(
             settings, effects::encodedSize, clusterVersion::allowsSmallPieces, store::held);
-    this.view = new View(this);
-    this.owner = new Owner(this, store);
-    this.holder = new Holder(this, store);
-    this.placement = new Placement(this, store, holder, new SplittableRandom(seed));
-    this.demand = new MachineDemand(this);
-    this.fleet = new Fleet(this, store, demand, settings);
-    this.users = new Users(this, store);
+    messenger =
+        new PeerMessenger(settings, effects, store, view, this::receiveStarts, this::receiveStops);
+    placementTrigger = new PlacementTrigger(clock, lag);
+
+    // jobs
+    holder =
+        new Holder(
+            clock,
+            settings,
+            store,
+            jobEntries,
+            view,
+            openJobs,
+            membership,
+            messenger,
+            placementTrigger);
+
+    // machines
+    machines = new OwnedMachines(clock, settings, store, view);
+    MachineRecords records = new MachineRecords(settings, effects, store);
+    publisher =
+        new RosterPublisher(
+            clock,
+            lag,
+            settings,
+            effects,
+            metrics,
+            store,
+            view,
+            cancellations,
+            this::receiveStatusUpdate,
+            machines);
+    Terms terms = new Terms(machines, records, publisher);
+    WorkerReports reports =
+        new WorkerReports(
+            clock,
+            settings,
+            store,
+            jobEntries,
+            imageSizes,
+            cancellations,
+            holder::atFault,
+            machines,
+            publisher,
+            terms);
+    commands =
+        new DirectCommands(
+            clock, effects, store, connectivity, cancellations, reports, machines, terms);
+    StartVetting vetting =
+        new StartVetting(clock, store, jobEntries, connectivity, cancellations, machines);
+    MachineAdoption adoption =
+        new MachineAdoption(
+            clock, settings, store, view, types, membership, machines, records, reports);
+    reclaimed = new ReclaimedMachines(clock, settings, store, types, machines, records, publisher);
+    OrphanTakeover orphans =
+        new OrphanTakeover(
+            clock, settings, effects, store, view, types, membership, machines, records, reports);
+    heartbeats =
+        new HeartbeatRouter(clock, store, types, connectivity, machines, reports, adoption);
+    StartRequestHandler startRequests =
+        new StartRequestHandler(metrics, store, machines, publisher, commands, vetting);
+    stopRequests = new StopRequestHandler(clock, machines, publisher, commands);
+    OwnershipChanges ownership =
+        new OwnershipChanges(settings, store, machines, publisher, adoption, reclaimed);
+    LeaseExpiry leases = new LeaseExpiry(settings, store, machines, terms, publisher);
+    owner = new Owner(clock, machines, records, publisher, commands, adoption, orphans, leases);
+    startReceiver = new PeerStartReceiver(view, startRequests::starts);
+    statusUpdates =
+        new StatusUpdateReceiver(
+            store,
+            view,
+            cancellations,
+            publisher::statementSentAt,
+            holder::roster,
+            placementTrigger);
+
+    // autoscaling
+    MachineDemand demand = new MachineDemand(clock, settings, view, types, openJobs);
+    types.subscribe(demand::typesChanged);
+    double cloudCalls = settings.cloudRps() * Constants.BUDGET_SHARE;
+    Budget calls = new Budget(cloudCalls, settings.cloudRps() * 2 * Constants.BUDGET_SHARE);
+    CloudListing listing = new CloudListing(clock, effects, calls);
+    MachineRentals rentals =
+        new MachineRentals(
+            clock,
+            effects,
+            store,
+            view,
+            types,
+            openJobs,
+            demand,
+            new StrandedJobs(settings, store, view),
+            calls,
+            this::scaleOutAnswered);
+    MachineReturns returns =
+        new MachineReturns(
+            clock,
+            settings,
+            effects,
+            store,
+            calls,
+            machine -> {
+              rentals.coming().remove(machine);
+              listing.forget(machine);
+            });
+    fleet =
+        new Fleet(
+            clock, settings, store, view, types, demand, listing, rentals, returns, messenger);
+
+    // quota and placement
+    JobRanking ranking = new JobRanking(clock, settings, view, types, demand);
+    quota =
+        new GrantLedger(
+            clock, settings, store, jobEntries, openJobs, placementTrigger, holder, ranking::order);
+    Entitlements entitlements = new Entitlements(settings, openJobs);
+    WaitingWork waiting =
+        new WaitingWork(clock, settings, store, view, types, openJobs, demand, ranking);
+    PolicyFacts facts = new PolicyFacts(clock, settings, view, types, demand, waiting);
+    StartSender starts = new StartSender(clock, settings, metrics, store, view, messenger, holder);
+    Preemption preemption = new Preemption(clock, store, view, demand, entitlements, facts);
+    ReplicaRelocation relocation =
+        new ReplicaRelocation(view, messenger, policies, holder, quota, facts, starts);
+    placement =
+        new Placement(
+            clock,
+            metrics,
+            store,
+            view,
+            types,
+            placementTrigger,
+            policies,
+            holder,
+            quota,
+            ranking,
+            entitlements,
+            waiting,
+            facts,
+            starts,
+            preemption,
+            relocation,
+            new SplittableRandom(seed));
+
+    digest =
+        new DigestPublisher(clock, settings, effects, store, machines::rooms, holder::pendingCpus);
+    users =
+        new Users(
+            clock,
+            settings,
+            store,
+            jobEntries,
+            types,
+            connectivity,
+            cancellations,
+            clusterVersion,
+            holder::running);
+    store.subscribe(
+        new StateChangeDispatcher(
+            List.of(
+                imageSizes::jobChanged,
+                openJobs::jobChanged,
+                cancellations::jobChanged,
+                users::jobChanged,
+                ownership::jobChanged,
+                holder::jobChanged),
+            holder::bitsChanged,
+            ownership::machineChanged,
+            List.of(view::gone, holder::machineGone),
+            reclaimed::overtaken,
+            publisher::touch,
+            this::replicaComplete));
   }
 
-  // ---- time ---------------------------------------------------------------------------------
   /** Sets the steady time and the time of day, both in ms, for the event that follows. */
   public void time(long steadyMs, long wallMs) {
-    now = Math.max(now, steadyMs);
-    wall = wallMs;
-  }
-
-  long now() {
-    return now;
-  }
-
-  long wall() {
-    return wall;
-  }
-
-  void after(long ms, Runnable action) {
-    timers.add(new Timer(now + ms, timerOrder++, action));
+    clock.advance(steadyMs, wallMs);
   }
 
   /** Runs what is due; the caller calls again after every event and at least every tick. */
   public void settle() {
-    for (int i = 0; i < 10_000 && !timers.isEmpty() && timers.peek().at <= now; i++) {
-      timers.poll().run.run();
-    }
-    if (roundWanted && now >= nextRound) {
-      roundWanted = false;
-      nextRound = now + lag.stretched(Constants.ROUND_GAP_MS);
+    clock.runDue();
+    if (placementTrigger.takeDue()) {
       placement.round();
     }
-    owner.push();
+    commands.push();
   }
 
   /** When the next timer is due, for callers that sleep; {@code Long.MAX_VALUE}: none. */
   public long nextTimer() {
-    return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().at;
+    return clock.nextTimer();
   }
 
   /** The regular duties; to be called every {@link Constants#TICK_MS}. */
   public void tick() {
-    lag.ticked(now);
+    lag.ticked(clock.now());
     store.tick();
-    if (now >= nextTypes && !askingTypes) {
-      askTypes();
-    }
-    if (startedAt == 0) {
-      startedAt = now;
-    }
-    boolean late = now - startedAt > Constants.RECLAIM_AFTER_MS;
+    types.tick();
+    clock.started();
+    boolean late = clock.now() - clock.startedAt() > Constants.RECLAIM_AFTER_MS;
     if (late && store.synced() && !types.isEmpty() && store.sessionGood()) {
-      owner.reclaim();
+      reclaimed.reclaim();
     }
     owner.tick();
     holder.tick();
+    quota.tick();
     fleet.tick();
-    digest();
-    roundWanted = true;
+    digest.tick();
+    placementTrigger.request();
     settle();
   }
 
-  OwnLag lag() {
-    return lag;
-  }
-
-  void requestRound() {
-    roundWanted = true;
-  }
-
-  private void askTypes() {
-    askingTypes = true;
-    effects.types(
-        list -> {
-          askingTypes = false;
-          nextTypes = now + (list == null || list.isEmpty() ? 1_000 : 60_000);
-          if (list == null) {
-            return;
-          }
-          for (MachineType type : list) {
-            types.put(type.name(), type);
-          }
-          demand.typesChanged();
-        });
-  }
-
-  private void digest() {
-    if (now < nextDigest || !store.synced() || !store.sessionGood()) {
-      return;
-    }
-    nextDigest = now + Constants.DIGEST_EVERY_MS;
-    double pending = 0;
-    for (Holder.Held held : holder.jobs()) {
-      if (!held.over()) {
-        pending += held.pending() * held.spec.cpus();
-      }
-    }
-    store.transact(
-        Store.Urgency.BACKGROUND,
-        new Effects.Txn(
-            List.of(),
-            List.of(new Effects.Put(Store.DIGESTS + node(), digestRec(pending), store.leaseId())),
-            List.of()),
-        reply -> {
-          digestRetry.answered(now, reply.code());
-          nextDigest = Math.max(nextDigest, digestRetry.until());
-        });
-  }
-
-  /** The digest with as many of the roomiest machines as fit one value. */
-  private DigestRec digestRec(double pendingCpus) {
-    long incarnation = store.incarnation();
-    List<Room> rooms =
-        ValueSize.fitting(
-            owner.rooms(),
-            some -> effects.encodedSize(new DigestRec(incarnation, some, pendingCpus)),
-            settings.valueBytes());
-    return new DigestRec(incarnation, rooms, pendingCpus);
-  }
-
-  // ---- events -------------------------------------------------------------------------------
   /** A worker has reported. */
   public void report(Report report, Consumer<ReportAnswer> reply) {
-    owner.report(report, reply);
+    heartbeats.report(report, reply);
     settle();
   }
 
@@ -262,132 +314,73 @@
 
   /** A new connection to a peer stands; numbers only grow within a process. */
   public void connected(String node, long connection) {
-    View.Peer peer = view.peer(node);
-    peer.connection = connection;
-    // perhaps another process, which knows nothing yet
-    peer.takenInSerial = 0;
-    // says which connection counts from now on, so that starts lost with the last one are resolved
-    effects.send(
-        node, new Starts(node(), store.incarnation(), connection, peer.nextSequence++, List.of()));
+    messenger.connected(node, connection);
   }
 
   /** A peer has sent a message. */
   public void message(PeerMessage message) {
     if (message instanceof Roster roster) {
-      rosterFrom(roster);
+      receiveStatusUpdate(roster);
     } else if (message instanceof Starts starts) {
-      startsFrom(starts);
+      receiveStarts(starts);
     } else if (message instanceof Stops stops) {
-      owner.stops(stops);
+      receiveStops(stops);
     }
     settle();
   }
 
-  void rosterFrom(Roster roster) {
-    hearCancellations(roster);
-    if (!view.roster(roster)) {
-      return;
-    }
-    holder.roster(roster);
-    if (roster.machines().isEmpty() && roster.refusals().isEmpty()) {
-      return;
-    }
-    // what only restates is news once in a while: what policies ask may change with time alone
-    boolean news = view.lastRosterChangedMachines() || !roster.refusals().isEmpty();
-    if (news || now - lastRoomNews >= Constants.RESTATED_NEWS_MS) {
-      lastRoomNews = now;
-      roomNews++;
-      roundWanted = true;
-    }
+  private void receiveStatusUpdate(Roster update) {
+    statusUpdates.receive(update);
   }
 
-  /** Cancellations count whether the statement's machines can be taken in or not. */
-  private void hearCancellations(Roster roster) {
-    boolean all = cancellations.heard(roster.cancelled(), owner::cancelled);
-    if (!all || roster.heardIncarnation() != incarnation()) {
-      return;
-    }
-    View.Peer peer = view.peer(roster.node());
-    peer.cancelsKnownAt =
-        Math.max(peer.cancelsKnownAt, owner.statementSentAt(roster.heardSerial()));
+  private void receiveStarts(Starts starts) {
+    startReceiver.receive(starts);
   }
 
-  private void startsFrom(Starts starts) {
-    View.Peer peer = view.peer(starts.node());
-    if (starts.incarnation() < peer.receivedIncarnation) {
-      return;
-    }
-    if (starts.incarnation() > peer.receivedIncarnation) {
-      peer.receivedIncarnation = starts.incarnation();
-      peer.receivedConnection = 0;
-      peer.receivedSequence = 0;
-    }
-    // what an older connection still delivers was already answered as never arrived
-    if (starts.connection() < peer.receivedConnection) {
-      return;
-    }
-    if (starts.connection() == peer.receivedConnection && starts.seq() <= peer.receivedSequence) {
-      return;
-    }
-    peer.receivedConnection = starts.connection();
-    peer.receivedSequence = starts.seq();
-    owner.starts(starts);
+  private void receiveStops(Stops stops) {
+    stopRequests.stops(stops);
   }
 
-  // ---- between the parts --------------------------------------------------------------------
-  void sendStarts(String node, Starts starts) {
-    if (node.equals(node())) {
-      startsFrom(starts);
-    } else {
-      effects.send(node, starts);
-    }
+  private void jobCancelled(String job) {
+    stopRequests.cancelled(job);
   }
 
-  void stop(String node, StopOrder stop) {
-    stops(node, new Stops(node(), store.incarnation(), List.of(stop), List.of()));
+  private void scaleOutAnswered() {
+    fleet.planSoon();
   }
 
-  void drain(String node, List<String> machines) {
-    LOG.info("drain {} through {}", machines, node);
-    stops(node, new Stops(node(), store.incarnation(), List.of(), machines));
+  private void replicaComplete(long revision) {
+    LOG.info("mirror complete at revision {}", revision);
+    placementTrigger.request();
   }
 
-  private void stops(String node, Stops stops) {
-    if (node.equals(node())) {
-      owner.stops(stops);
-    } else {
-      effects.send(node, stops);
-    }
+  /** Whether this controller leads the job and may place its tasks. */
+  boolean mayPlace(String job) {
+    return holder.mayPlace(job);
   }
 
-  CoreSettings settings() {
-    return settings;
+  /** Machines whose published state differs from what is known of them, by name. */
+  List<String> unpublishedChanges() {
+    return publisher.unpublishedChanges();
   }
 
-  /** Whether the record that was written at this revision has been dropped since. */
-  boolean returned(String machine, long version) {
-    return store.machine(machine) == null && version <= store.revision();
+  /** Asks the controller to stop a task on one of its machines. */
+  void stop(String node, StopOrder stop) {
+    messenger.stop(node, stop);
   }
 
-  /** When this process began: whatever answered for it before was dead by then. */
+  /** When this process began its regular work; 0: it hasn't. */
   long startedAt() {
-    return startedAt;
+    return clock.startedAt();
   }
 
+  /** This process's number; 0: it has none yet. */
   long incarnation() {
     return store.incarnation();
   }
 
-  Effects effects() {
-    return effects;
-  }
-
-  Policy.Book policies() {
-    return policies;
-  }
-
-  Metrics metrics() {
-    return metrics;
+  OwnLag lag() {
+    return lag;
   }
 
   Store store() {
@@ -397,213 +390,4 @@
   View view() {
     return view;
   }
-
-  Owner owner() {
-    return owner;
-  }
-
-  Placement placement() {
-    return placement;
-  }
-
-  MachineDemand demand() {
-    return demand;
-  }
-
-  String node() {
-    return settings.node();
-  }
-
-  Map<String, MachineType> types() {
-    return types;
-  }
-
-  Cancellations cancellations() {
-    return cancellations;
-  }
-
-  ClusterVersion clusterVersion() {
-    return clusterVersion;
-  }
-
-  JobEntries jobEntries() {
-    return jobEntries;
-  }
-
-  /** Whether nothing of the job may be started and all of it must be stopped. */
-  boolean isOver(String id, JobRec job) {
-    return job != null && job.over() || cancellations.told(id);
-  }
-
-  long roomNews() {
-    return roomNews;
-  }
-
-  double imageGb(String image) {
-    return images.getOrDefault(image, 1.0);
-  }
-
-  boolean fits(JobSpec spec, MachineType type) {
-    return (spec.types() == null || spec.types().contains(type.name()))
-        && spec.cpus() <= type.cpus() + 1e-9
-        && spec.gpus() <= type.gpus() + 1e-9
-        && spec.memoryGb() <= type.memoryGb() + 1e-9;
-  }
-
-  boolean jobAtFault(String id) {
-    Holder.Held held = holder.job(id);
-    return held != null && held.errorsOn.size() >= Constants.JOB_FAULT_MACHINES;
-  }
-
-  /** Whether the task's done bit stands in the state service. */
-  boolean isRecordedDone(JobRec job, int task) {
-    return jobEntries.recorded(job, task);
-  }
-
-  /** Controllers with a session, sorted; this one is among them once its own stands. */
-  List<String> liveNodes() {
-    List<String> out = new ArrayList<>();
-    for (String k : store.under(Store.SESSIONS).keySet()) {
-      out.add(k.substring(Store.SESSIONS.length()));
-    }
-    return out;
-  }
-
-  /** The controller a new machine should report to: by hash among live ones, its own zone first. */
-  String preferredOwner(String machine, String zone) {
-    List<String> near = new ArrayList<>();
-    List<String> all = liveNodes();
-    for (String n : all) {
-      if (zone.equals(settings.nodeZones().get(n))) {
-        near.add(n);
-      }
-    }
-    List<String> from = near.size() * 2 >= all.size() ? near : all;
-    if (from.isEmpty()) {
-      return node();
-    }
-    String best = node();
-    int top = Integer.MIN_VALUE;
-    for (String n : from) {
-      int h = (machine + "|" + n).hashCode() * 0x9E3779B1;
-      h ^= h >>> 15;
-      h *= 0x85EBCA6B;
-      if (h >= top) {
-        top = h;
-        best = n;
-      }
-    }
-    return best;
-  }
-
-  /**
-   * Whether machines may be kept alive: a controller that can't be sure of having heard of every
-   * cancellation that anybody has confirmed lets their leases run out in time. It has heard of them
-   * up to when its mirror was fresh, or else up to when each of its peers told it of theirs.
-   */
-  boolean mayKeepAlive() {
-    long limit = settings.cancelMs() - settings.leaseMs() - Constants.CANCEL_MARGIN_MS;
-    if (now - store.freshAt() < limit) {
-      return true;
-    }
-    for (String p : settings.peers()) {
-      if (now - view.peer(p).cancelsKnownAt >= limit) {
-        return false;
-      }
-    }
-    return true;
-  }
-
-  /** True if the state service serves a peer but not this controller. */
-  boolean cutOffAlone() {
-    return now - store.contactAt() >= Constants.CUT_OFF_MS && servedPeer() != null;
-  }
-
-  /** A peer that the state service serves; null if none is known. */
-  String servedPeer() {
-    for (String p : settings.peers()) {
-      View.Peer peer = view.peer(p);
-      if (now - peer.rosterAt < Constants.ROSTER_STALE_MS
-          && now - peer.mirrorFreshAt < Constants.CUT_OFF_MS + Constants.WATCH_HOLD_MS) {
-        return p;
-      }
-    }
-    return null;
-  }
-
-  /** Jobs that somebody must still look after, whoever holds them; finished ones cost nothing. */
-  Collection<JobRec> openJobs() {
-    return open.values();
-  }
-
-  /** Whether this controller holds the job and may place its tasks. */
-  boolean mayPlace(String id) {
-    Holder.Held held = holder.job(id);
-    return held != null && held.rebuilt;
-  }
-
-  /** Tasks of the job that rosters show as running. */
-  int running(String id) {
-    Holder.Held held = holder.job(id);
-    return held != null ? held.running() : view.running(id);
-  }
-
-  /** Hands changes of the mirror to the parts that they concern. */
-  private final class Changes implements Store.Listener {
-    @Override
-    public void overtaken(String machine, MachineRec record) {
-      owner.overtaken(machine, record);
-    }
-
-    @Override
-    public void changed(String key, Entry before, Entry after) {
-      if (key == null) {
-        owner.touch();
-        return;
-      }
-      if (key.equals(Store.SESSIONS + node())) {
-        store.ownSession((SessionRec) after);
-      }
-      if (key.startsWith(Store.JOBS)) {
-        JobRec job = (JobRec) after;
-        if (job == null) {
-          return;
-        }
-        images.put(job.spec().image(), job.spec().imageGb());
-        String id = job.spec().id();
-        if (job.open()) {
-          open.put(id, job);
-        } else {
-          open.remove(id);
-        }
-        if (job.fin() == Final.CANCELLED
-            && (before == null || ((JobRec) before).fin() != Final.CANCELLED)) {
-          cancellations.recorded(id, store.version(key));
-          owner.cancelled(id);
-        }
-        users.jobChanged(id, job);
-        if (before == null) {
-          owner.jobKnown(id);
-        }
-        holder.jobChanged(id, job);
-      } else if (key.startsWith(Store.BITS)) {
-        if (after != null) {
-          holder.bitsChanged(JobEntries.jobOf(key));
-        }
-      } else if (key.startsWith(Store.MACHINES)) {
-        String id = key.substring(Store.MACHINES.length());
-        owner.machineChanged(id, (MachineRec) after);
-        if (after == null) {
-          view.gone(id);
-          holder.machineGone(id);
-        }
-      }
-    }
-
-    @Override
-    public void synced() {
-      LOG.info("mirror complete at revision {}", store.revision());
-      roundWanted = true;
-    }
-  }
 }
--- a/src/main/java/mallowstall/core/DirectCommands.java
+++ b/src/main/java/mallowstall/core/DirectCommands.java
@@ -26,7 +26,10 @@
 final class DirectCommands {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.owner");
 
-  private final Core core;
+  private final EventClock clock;
+  private final Effects effects;
+  private final Connectivity connectivity;
+  private final Cancellations cancellations;
   private final Store store;
   private final WorkerReports reports;
   private final OwnedMachines machines;
@@ -36,8 +39,18 @@
   private final Set<OwnedMachine> waiting = new LinkedHashSet<>();
 
   DirectCommands(
-      Core core, Store store, WorkerReports reports, OwnedMachines machines, Terms terms) {
-    this.core = core;
+      EventClock clock,
+      Effects effects,
+      Store store,
+      Connectivity connectivity,
+      Cancellations cancellations,
+      WorkerReports reports,
+      OwnedMachines machines,
+      Terms terms) {
+    this.clock = clock;
+    this.effects = effects;
+    this.connectivity = connectivity;
+    this.cancellations = cancellations;
     this.store = store;
     this.reports = reports;
     this.machines = machines;
@@ -60,7 +73,7 @@
       if (!machines.has(machine) || machine.stops.isEmpty() && machine.reservations.isEmpty()) {
         continue;
       }
-      if (core.now() - machine.commandSentAt < Constants.ORDER_GAP_MS) {
+      if (clock.now() - machine.commandSentAt < Constants.ORDER_GAP_MS) {
         waiting.add(machine);
       } else {
         push(machine);
@@ -94,7 +107,7 @@
         && machine.session != 0
         && machine.confirmed
         && !machines.silent(machine)
-        && core.mayKeepAlive();
+        && connectivity.mayKeepAlive();
   }
 
   private static List<Command> stopsFor(OwnedMachine machine) {
@@ -124,8 +137,8 @@
           !reservation.sent
               && !machine.stops.containsKey(new TaskKey(start.job(), start.task()))
               && job != null
-              && !core.isOver(start.job(), job)
-              && core.wall() <= start.expiryWallMs();
+              && !cancellations.isOver(start.job(), job)
+              && clock.wallClock() <= start.expiryWallMs();
       if (wanted && starts.size() < most) {
         starts.add(reservation);
       }
@@ -135,20 +148,19 @@
 
   private void send(OwnedMachine machine, List<Command> commands) {
     machine.commandOpen = true;
-    machine.commandSentAt = core.now();
+    machine.commandSentAt = clock.now();
     long session = machine.session;
-    core.effects()
-        .order(
-            machine.address,
-            machine.term,
-            session,
-            commands,
-            reply -> {
-              machine.commandOpen = false;
-              if (machines.has(machine) && machine.session == session) {
-                answered(machine, reply);
-              }
-            });
+    effects.order(
+        machine.address,
+        machine.term,
+        session,
+        commands,
+        reply -> {
+          machine.commandOpen = false;
+          if (machines.has(machine) && machine.session == session) {
+            answered(machine, reply);
+          }
+        });
   }
 
   private void answered(OwnedMachine machine, OrderReply reply) {
--- a/src/main/java/mallowstall/core/Entitlements.java
+++ b/src/main/java/mallowstall/core/Entitlements.java
@@ -6,17 +6,20 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
+import mallowstall.core.Model.CoreSettings;
 import mallowstall.core.Model.JobRec;
 import mallowstall.core.Model.JobSpec;
 import mallowstall.core.Model.Team;
 
 /** Jobs that their team's guarantee covers, so that they need not wait for other teams. */
 final class Entitlements {
-  private final Core core;
+  private final CoreSettings settings;
+  private final OpenJobs openJobs;
   private final Set<String> entitled = new HashSet<>();
 
-  Entitlements(Core core) {
-    this.core = core;
+  Entitlements(CoreSettings settings, OpenJobs openJobs) {
+    this.settings = settings;
+    this.openJobs = openJobs;
   }
 
   boolean includes(String job) {
@@ -29,11 +32,11 @@
    */
   void count() {
     entitled.clear();
-    if (core.settings().teams().size() < 2) {
+    if (settings.teams().size() < 2) {
       return; // nobody to borrow from
     }
     List<JobRec> open = new ArrayList<>();
-    for (JobRec job : core.openJobs()) {
+    for (JobRec job : openJobs.all()) {
       if (!job.over()) {
         open.add(job);
       }
@@ -45,7 +48,7 @@
     Object2DoubleOpenHashMap<String> gpus = new Object2DoubleOpenHashMap<>();
     for (JobRec record : open) {
       JobSpec spec = record.spec();
-      Team team = core.settings().teams().get(spec.team());
+      Team team = settings.teams().get(spec.team());
       if (team == null) {
         continue;
       }
--- a/src/main/java/mallowstall/core/Fleet.java
+++ b/src/main/java/mallowstall/core/Fleet.java
@@ -58,7 +58,11 @@
     }
   }
 
-  private final Core core;
+  private final EventClock clock;
+  private final CoreSettings settings;
+  private final View view;
+  private final MachineTypeCatalog types;
+  private final PeerMessenger messenger;
   private final Store store;
   private final MachineDemand demand;
   private final CloudListing listing;
@@ -74,26 +78,32 @@
   private long nextPlan;
   private long nextDemand;
 
-  Fleet(Core core, Store store, MachineDemand demand, CoreSettings settings) {
-    this.core = core;
+  Fleet(
+      EventClock clock,
+      CoreSettings settings,
+      Store store,
+      View view,
+      MachineTypeCatalog types,
+      MachineDemand demand,
+      CloudListing listing,
+      MachineRentals rentals,
+      MachineReturns returns,
+      PeerMessenger messenger) {
+    this.clock = clock;
+    this.settings = settings;
+    this.view = view;
+    this.types = types;
+    this.messenger = messenger;
     this.store = store;
     this.demand = demand;
-    Budget calls =
-        new Budget(
-            settings.cloudRps() * Constants.BUDGET_SHARE,
-            settings.cloudRps() * 2 * Constants.BUDGET_SHARE);
-    this.listing = new CloudListing(core, calls);
-    this.rentals = new MachineRentals(core, store, calls, demand, this::planSoon);
-    this.returns = new MachineReturns(core, store, calls, this::returned);
+    this.listing = listing;
+    this.rentals = rentals;
+    this.returns = returns;
   }
 
-  private void planSoon() {
-    nextPlan = Math.min(nextPlan, core.now() + Constants.PLAN_SOON_MS);
-  }
-
-  private void returned(String machine) {
-    rentals.coming().remove(machine);
-    listing.forget(machine);
+  /** A scale-out request has been answered: what else is missing is asked for soon. */
+  void planSoon() {
+    nextPlan = Math.min(nextPlan, clock.now() + Constants.PLAN_SOON_MS);
   }
 
   boolean onDuty() {
@@ -102,12 +112,12 @@
       return false;
     }
     DutyRec duty = (DutyRec) stored.value();
-    return duty.node().equals(core.node()) && duty.incarnation() == store.incarnation();
+    return duty.node().equals(settings.node()) && duty.incarnation() == store.incarnation();
   }
 
   void tick() {
-    long now = core.now();
-    if (!store.synced() || core.types().isEmpty()) {
+    long now = clock.now();
+    if (!store.synced() || types.isEmpty()) {
       return;
     }
     if (now >= nextDemand) {
@@ -142,12 +152,12 @@
                 List.of(
                     new Put(
                         Store.DUTY,
-                        new DutyRec(core.node(), store.incarnation()),
+                        new DutyRec(settings.node(), store.incarnation()),
                         store.leaseId())),
                 List.of()),
             reply -> {
               claiming = false;
-              claimRetry.answered(core.now(), reply.code());
+              claimRetry.answered(clock.now(), reply.code());
               if (reply.code() == Code.OK) {
                 LOG.info("cloud duty taken");
               }
@@ -183,7 +193,7 @@
     }
     countListed(inventory, now);
     countComing(inventory, now);
-    for (String type : core.types().keySet()) {
+    for (String type : types.names()) {
       planType(type, inventory.have.getOrDefault(type, 0), inventory.up, now);
     }
     List<String> lost = returns.open(inventory.lost);
@@ -201,25 +211,25 @@
   private void countRecorded(String id, MachineRec record, Inventory inventory, long now) {
     inventory.known.add(id);
     rentals.coming().remove(id);
-    View.Seen machine = core.view().machines.get(id);
+    View.Seen machine = view.machines.get(id);
     boolean ownerLive = store.live(record.node(), record.incarnation());
-    if (core.view().accounted(id, record)
+    if (view.accounted(id, record)
         && ownerLive
-        && now - core.view().heardAt(machine) < 2 * Constants.ROSTER_STALE_MS) {
+        && now - view.heardAt(machine) < 2 * Constants.ROSTER_STALE_MS) {
       unaccountedSince.remove(id);
       countAccounted(machine, inventory, now);
       return;
     }
     boolean ownerNotHeard =
         ownerLive
-            && !record.node().equals(core.node())
-            && now - core.view().peer(record.node()).rosterAt > Constants.ROSTER_STALE_MS;
+            && !record.node().equals(settings.node())
+            && now - view.peer(record.node()).rosterAt > Constants.ROSTER_STALE_MS;
     if (ownerNotHeard) {
       inventory.serves(record.type());
       return;
     }
     long unaccounted = now - unaccountedSince.computeIfAbsent(id, k -> now);
-    if (unaccounted > core.settings().leaseMs() + 2 * Constants.SILENT_RETURN_MS) {
+    if (unaccounted > settings.leaseMs() + 2 * Constants.SILENT_RETURN_MS) {
       inventory.lost.add(id);
     } else if (!ownerLive && unaccounted > comesBackMs()) {
       inventory.orphans.add(id);
@@ -232,17 +242,16 @@
   private void countAccounted(View.Seen machine, Inventory inventory, long now) {
     if (machine.state.silent()) {
       long silentMs = machine.idleMs(now);
-      if (taken(machine, now)
-          || silentMs > core.settings().leaseMs() + Constants.SILENT_RETURN_MS) {
+      if (taken(machine, now) || silentMs > settings.leaseMs() + Constants.SILENT_RETURN_MS) {
         inventory.lost.add(machine.id);
         return;
       }
       inventory.silent++;
-      if (silentMs > silentHostMs() && core.view().hostsReplicas(machine)) {
+      if (silentMs > silentHostMs() && view.hostsReplicas(machine)) {
         inventory.silentHosts.add(machine.id);
       }
     } else if (machine.state.replace()) {
-      if (!core.view().hostsReplicas(machine) || replaceLate(machine.id, now)) {
+      if (!view.hostsReplicas(machine) || replaceLate(machine.id, now)) {
         inventory.lost.add(machine.id);
       }
     } else if (machine.state.noticeS() < 0) {
@@ -253,7 +262,7 @@
 
   /** How long a machine whose owner is gone may take to turn to another. */
   private long comesBackMs() {
-    return Constants.COMES_BACK_MS + core.settings().reportMs() * 3 / 2;
+    return Constants.COMES_BACK_MS + settings.reportMs() * 3 / 2;
   }
 
   /** Machines that the cloud lists and that nobody has heard of are coming, or never will. */
@@ -263,7 +272,7 @@
       if (inventory.known.contains(id) || returns.underWay(id) || returns.lately(id, now)) {
         continue;
       }
-      MachineType type = core.types().get(listed.type());
+      MachineType type = types.find(listed.type());
       double age = listed.ageS() + (now - listing.readAt()) / 1000.0;
       if (listed.state().equals("failed") || type != null && age > bootLimitS(type)) {
         inventory.lost.add(id);
@@ -278,11 +287,11 @@
 
   /** Machines that are coming count unless they take too long or the cloud doesn't list them. */
   private void countComing(Inventory inventory, long now) {
-    long lag = core.settings().listLagMs();
+    long lag = settings.listLagMs();
     for (Map.Entry<String, Rented> entry : new ArrayList<>(rentals.coming().entrySet())) {
       String id = entry.getKey();
       Rented rented = entry.getValue();
-      MachineType type = core.types().get(rented.type());
+      MachineType type = types.find(rented.type());
       double limitS = type == null ? Constants.BOOT_UNKNOWN_S : bootLimitS(type);
       boolean vanished =
           now - rented.at() > 4 * lag
@@ -308,7 +317,7 @@
 
   /** Some reports later than where a machine counts as silent. */
   private long silentHostMs() {
-    return Constants.SILENT_HOST_MS + core.settings().reportMs();
+    return Constants.SILENT_HOST_MS + settings.reportMs();
   }
 
   /** Whether a faulty machine's replicas have had their time to be moved. */
@@ -423,6 +432,6 @@
       left--;
       drains.computeIfAbsent(machine.owner, k -> new ArrayList<>()).add(machine.id);
     }
-    drains.forEach(core::drain);
+    drains.forEach(messenger::drain);
   }
 }
--- a/src/main/java/mallowstall/core/GrantLedger.java
+++ b/src/main/java/mallowstall/core/GrantLedger.java
@@ -1,6 +1,7 @@
 package mallowstall.core;
 
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -14,6 +15,7 @@
 import mallowstall.core.Effects.Txn;
 import mallowstall.core.Effects.TxnReply;
 import mallowstall.core.Holder.Held;
+import mallowstall.core.Model.CoreSettings;
 import mallowstall.core.Model.JobRec;
 import mallowstall.core.Model.JobSpec;
 import mallowstall.core.Model.Team;
@@ -24,10 +26,17 @@
  * one transaction raises its job's grant and the team's sum. Mutable.
  */
 final class GrantLedger {
-  private final Core core;
+  private final EventClock clock;
+  private final CoreSettings settings;
+  private final JobEntries jobEntries;
+  private final OpenJobs openJobs;
+  private final PlacementTrigger placementTrigger;
+  private final Comparator<Held> order;
   private final Store store;
   private final Holder holder;
 
+  private long nextYielding;
+
   /** Teams whose change is unanswered. */
   private final Set<String> busy = new HashSet<>();
 
@@ -66,14 +75,39 @@
     }
   }
 
-  GrantLedger(Core core, Store store, Holder holder) {
-    this.core = core;
+  GrantLedger(
+      EventClock clock,
+      CoreSettings settings,
+      Store store,
+      JobEntries jobEntries,
+      OpenJobs openJobs,
+      PlacementTrigger placementTrigger,
+      Holder holder,
+      Comparator<Held> order) {
+    this.clock = clock;
+    this.settings = settings;
+    this.jobEntries = jobEntries;
+    this.openJobs = openJobs;
+    this.placementTrigger = placementTrigger;
+    this.order = order;
     this.store = store;
     this.holder = holder;
   }
 
   /** Changes grants where they should be others; one transaction per team. */
-  void tick(long now) {
+  void tick() {
+    if (!store.synced()) {
+      return;
+    }
+    long now = clock.now();
+    if (now >= nextYielding) {
+      nextYielding = now + Constants.ADOPT_EVERY_MS;
+      findYielding();
+    }
+    changeGrants(now);
+  }
+
+  private void changeGrants(long now) {
     Map<String, List<Held>> byTeam = new LinkedHashMap<>();
     for (Held held : holder.jobs()) {
       if (changeable(held, now) && delta(held, now) != 0) {
@@ -95,13 +129,13 @@
         && !held.uncertain
         && held.grantRetry.due(now)
         // its own next write brings the entry into its present layout first
-        && !core.jobEntries().outOfPlace(held.job);
+        && !jobEntries.outOfPlace(held.job);
   }
 
   /** Lowers grants before it raises others. */
   private void change(String team, List<Held> jobs, long now) {
-    jobs.sort(core.placement().ranking()::order);
-    int most = Math.min(core.settings().txnOps() - 1, Constants.GRANTS_PER_CHANGE);
+    jobs.sort(order);
+    int most = Math.min(settings.txnOps() - 1, Constants.GRANTS_PER_CHANGE);
     Change change = new Change(teamSum(team), most);
     for (Held held : jobs) {
       int tasks = delta(held, now);
@@ -122,7 +156,7 @@
 
   private void add(Change change, Held held, int tasks) {
     // one that may be refused for its size is tried alone, so that it delays no other job
-    boolean alone = !core.jobEntries().fitsNow(held.job);
+    boolean alone = !jobEntries.fitsNow(held.job);
     if (tasks == 0 || change.jobs.size() >= change.room || alone && !change.jobs.isEmpty()) {
       return;
     }
@@ -134,7 +168,7 @@
 
   /** As many more tasks as the team's limit leaves to the job. */
   private int allowed(Change change, Held held, int wanted) {
-    Team team = core.settings().teams().get(held.spec.team());
+    Team team = settings.teams().get(held.spec.team());
     int tasks = wanted;
     if (tasks > 0 && !held.spec.service()) {
       // what isn't asked for by placement must leave the team far from its limit: else it was
@@ -172,7 +206,7 @@
     busy.remove(team);
     RetryDelay retry = retries.computeIfAbsent(team, k -> new RetryDelay());
     if (reply.code() != Code.MALFORMED) {
-      retry.answered(core.now(), reply.code());
+      retry.answered(clock.now(), reply.code());
     }
     for (Held held : change.jobs) {
       answered(held, reply);
@@ -184,15 +218,15 @@
         busy.remove(team);
       }
     } else if (reply.code() != Code.OK) {
-      next.put(team, Math.max(core.now() + Constants.STATE_RETRY_MS, retry.until()));
+      next.put(team, Math.max(clock.now() + Constants.STATE_RETRY_MS, retry.until()));
     }
-    core.requestRound();
+    placementTrigger.request();
   }
 
   private void answered(Held held, TxnReply reply) {
     held.granting = false;
     if (reply.code() != Code.REFUSED) {
-      held.grantRetry.answered(core.now(), reply.code());
+      held.grantRetry.answered(clock.now(), reply.code());
     }
     if (reply.code() == Code.OK) {
       held.wantsGrant = 0;
@@ -205,7 +239,7 @@
 
   /** Whether the job's team has a limit, so that its tasks need grants. */
   boolean limited(JobSpec spec) {
-    Team team = core.settings().teams().get(spec.team());
+    Team team = settings.teams().get(spec.team());
     return team != null && team.limited();
   }
 
@@ -219,11 +253,11 @@
   }
 
   /** Finds the jobs that must give up grants. */
-  void findYielding() {
+  private void findYielding() {
     yielding.clear();
     Map<String, JobRec> most = new HashMap<>();
     Set<String> starved = new HashSet<>();
-    for (JobRec job : core.openJobs()) {
+    for (JobRec job : openJobs.all()) {
       if (job.over() || !limited(job.spec())) {
         continue;
       }
@@ -231,10 +265,9 @@
       boolean service = job.spec().service();
       if (service ? job.grant() < job.spec().tasks() : job.grant() == 0) {
         TeamRec sum = teamSum(team);
-        boolean full =
-            room(core.settings().teams().get(team), job.spec(), sum.cpus(), sum.gpus(), 1) == 0;
+        boolean full = room(settings.teams().get(team), job.spec(), sum.cpus(), sum.gpus(), 1) == 0;
         long patience = service ? Constants.PREEMPT_AFTER_MS : Constants.STARVES_MS;
-        if (full && core.wall() - job.submittedMs() > patience) {
+        if (full && clock.wallClock() - job.submittedMs() > patience) {
           starved.add(team);
         }
       } else if (!service) {
@@ -306,7 +339,7 @@
 
   /** Whether all running grants of the team are at most half of what it may use. */
   private boolean roomy(String team) {
-    Team jobTeam = core.settings().teams().get(team);
+    Team jobTeam = settings.teams().get(team);
     TeamRec sum = teamSum(team);
     return (jobTeam.cpusMax() <= 0 || sum.cpus() <= jobTeam.cpusMax() * Constants.ROOMY)
         && (jobTeam.gpusMax() <= 0 || sum.gpus() <= jobTeam.gpusMax() * Constants.ROOMY);
--- a/src/main/java/mallowstall/core/Holder.java
+++ b/src/main/java/mallowstall/core/Holder.java
@@ -16,6 +16,7 @@
 import mallowstall.Constants;
 import mallowstall.core.Effects.Code;
 import mallowstall.core.Effects.Txn;
+import mallowstall.core.Model.CoreSettings;
 import mallowstall.core.Model.ExitReason;
 import mallowstall.core.Model.Final;
 import mallowstall.core.Model.JobRec;
@@ -185,7 +186,14 @@
     }
   }
 
-  private final Core core;
+  private final EventClock clock;
+  private final CoreSettings settings;
+  private final JobEntries jobEntries;
+  private final View view;
+  private final OpenJobs openJobs;
+  private final Membership membership;
+  private final PeerMessenger messenger;
+  private final PlacementTrigger placementTrigger;
   private final Store store;
   private final Map<String, Held> jobs = new LinkedHashMap<>();
   private final Map<String, Set<Active>> byMachine = new HashMap<>();
@@ -196,19 +204,27 @@
   /** Tasks that were sent to an owner and not yet seen on a machine. */
   private final Set<Active> unseen = new LinkedHashSet<>();
 
-  private long nextYielding;
   private long nextAdopt;
 
-  private final GrantLedger grants;
-
-  Holder(Core core, Store store) {
-    this.core = core;
+  Holder(
+      EventClock clock,
+      CoreSettings settings,
+      Store store,
+      JobEntries jobEntries,
+      View view,
+      OpenJobs openJobs,
+      Membership membership,
+      PeerMessenger messenger,
+      PlacementTrigger placementTrigger) {
+    this.clock = clock;
+    this.settings = settings;
+    this.jobEntries = jobEntries;
+    this.view = view;
+    this.openJobs = openJobs;
+    this.membership = membership;
+    this.messenger = messenger;
+    this.placementTrigger = placementTrigger;
     this.store = store;
-    this.grants = new GrantLedger(core, store, this);
-  }
-
-  GrantLedger grants() {
-    return grants;
   }
 
   Collection<Held> jobs() {
@@ -219,6 +235,35 @@
     return jobs.get(id);
   }
 
+  /** Whether this controller leads the job and may place its tasks. */
+  boolean mayPlace(String id) {
+    Held held = jobs.get(id);
+    return held != null && held.rebuilt;
+  }
+
+  /** Tasks of the job that status updates show as running, whoever leads it. */
+  int running(String id) {
+    Held held = jobs.get(id);
+    return held != null ? held.running() : view.running(id);
+  }
+
+  /** Whether the job's tasks fail on so many machines that the job itself is at fault. */
+  boolean atFault(String id) {
+    Held held = jobs.get(id);
+    return held != null && held.errorsOn.size() >= Constants.JOB_FAULT_MACHINES;
+  }
+
+  /** Processors that the pending tasks of the jobs led here need. */
+  double pendingCpus() {
+    double pending = 0;
+    for (Held held : jobs.values()) {
+      if (!held.over()) {
+        pending += held.pending() * held.spec.cpus();
+      }
+    }
+    return pending;
+  }
+
   boolean anyService() {
     for (Held held : jobs.values()) {
       if (held.spec.service()) {
@@ -229,10 +274,13 @@
   }
 
   // ---- entries ------------------------------------------------------------------------------
-  void jobChanged(String id, JobRec job) {
+  void jobChanged(JobRec before, JobRec job) {
+    String id = job.spec().id();
     Held held = jobs.get(id);
     boolean mine =
-        job.holder().equals(core.node()) && job.incarnation() == store.incarnation() && job.open();
+        job.holder().equals(settings.node())
+            && job.incarnation() == store.incarnation()
+            && job.open();
     if (!mine) {
       if (held != null) {
         drop(held);
@@ -246,9 +294,9 @@
         drop(held);
       }
       held = new Held(id, job.spec());
-      held.heldSince = core.now();
+      held.heldSince = clock.now();
       held.claimRevision = version;
-      held.rostersBefore = core.view().received;
+      held.rostersBefore = view.received;
       // the first epoch of this very process: nobody can have started anything before
       held.rebuilt = job.epoch() == 1;
       load(held, job);
@@ -258,14 +306,14 @@
       held.uncertain = false;
     }
     if (held.job != null && job.grant() > held.job.grant()) {
-      held.grantIdleSince = core.now();
+      held.grantIdleSince = clock.now();
     }
     held.job = job;
     held.version = version;
     if (taken && !held.rebuilt) {
       adoptIfHeld(id);
     }
-    core.requestRound();
+    placementTrigger.request();
   }
 
   /**
@@ -273,7 +321,7 @@
    * has changed, so a task that this passed over would be placed once more.
    */
   private void adoptIfHeld(String id) {
-    for (View.Seen machine : core.view().machines.values()) {
+    for (View.Seen machine : view.machines.values()) {
       if (machine.state == null || machine.owner == null) {
         continue; // its next owner tells it all
       }
@@ -286,7 +334,7 @@
   }
 
   private void load(Held held, JobRec job) {
-    held.done.or(core.jobEntries().done(job));
+    held.done.or(jobEntries.done(job));
     held.doneCount = held.done.cardinality();
   }
 
@@ -319,7 +367,7 @@
 
   void place(Active active) {
     active.job.active.put(active.task, active);
-    active.since = core.now();
+    active.since = clock.now();
     if (!active.seen) {
       unseen.add(active);
     }
@@ -332,12 +380,12 @@
     }
     unlink(active);
     if (active.job.active.isEmpty() || active.job.grantIdleSince == 0) {
-      active.job.grantIdleSince = core.now();
+      active.job.grantIdleSince = clock.now();
     }
     if (retry && !active.job.done.get(active.task)) {
       active.job.putBack(active.task);
     }
-    core.requestRound();
+    placementTrigger.request();
   }
 
   // ---- rosters ------------------------------------------------------------------------------
@@ -347,16 +395,16 @@
       refused(refusal);
     }
     for (RosterMachine state : roster.machines()) {
-      View.Seen seen = core.view().machines.get(state.machine());
+      View.Seen seen = view.machines.get(state.machine());
       if (seen != null && seen.state == state) { // else a larger term is known
         machineTold(roster, state);
       }
     }
     // Of a start that wasn't seen yet, a statement tells by its acknowledgement too, which comes
     // without anything new on the machine if the start never arrived.
-    View.Peer peer = core.view().peer(roster.node());
+    View.Peer peer = view.peer(roster.node());
     for (Active active : new ArrayList<>(unseen)) {
-      View.Seen machine = core.view().machines.get(active.machine);
+      View.Seen machine = view.machines.get(active.machine);
       boolean told =
           machine != null
               && machine.state != null
@@ -406,8 +454,8 @@
     if (!active.owner.equals(roster.node())) {
       // The machine has moved, but the start may still be on its way to the owner it was sent to,
       // which may own the machine again by the time it arrives.
-      peer = core.view().peer(active.owner);
-      if (core.now() - active.since > Constants.START_LIFE_MS + Constants.START_SLACK_MS) {
+      peer = view.peer(active.owner);
+      if (clock.now() - active.since > Constants.START_LIFE_MS + Constants.START_SLACK_MS) {
         return true;
       }
     }
@@ -427,14 +475,14 @@
     if (active == null || active.attempt != refusal.attempt() || active.seen) {
       return;
     }
-    boolean soon = refusal.reason().equals(StartVetting.NOT_KNOWN);
+    boolean soon = refusal.reason().equals(Refusal.JOB_NOT_KNOWN);
     if (soon && held.spec.service()) {
       // tried meanwhile, all replicas went to the one machine whose owner knew of the job
-      held.notBefore = Math.max(held.notBefore, core.now() + Constants.LAG_RETRY_MS);
+      held.notBefore = Math.max(held.notBefore, clock.now() + Constants.LAG_RETRY_MS);
     }
     held.avoid.put(
         refusal.machine(),
-        core.now() + (soon ? Constants.LAG_RETRY_MS : Constants.REFUSED_RETRY_MS));
+        clock.now() + (soon ? Constants.LAG_RETRY_MS : Constants.REFUSED_RETRY_MS));
     free(active, true);
   }
 
@@ -453,7 +501,7 @@
       active.listed = true;
     }
     if (task.state() == TaskState.RUNNING || task.why() == ExitReason.DONE) {
-      held.lastRan = core.now();
+      held.lastRan = clock.now();
     }
     if (task.state() == TaskState.EXITED) {
       exited(held, same ? active : null, state.machine(), task);
@@ -489,7 +537,7 @@
   /** The attempt is where it was sent. */
   private void onMachine(Active active, RosterMachine state, RosterTask task) {
     if (task.state() == TaskState.RUNNING && active.runningSince == 0) {
-      active.runningSince = core.now();
+      active.runningSince = clock.now();
     }
     if (task.state() != null) {
       // from now on only its owner's list says where it is
@@ -525,7 +573,8 @@
           state.machine(),
           active.attempt,
           active.machine);
-      core.stop(owner, new StopOrder(state.machine(), held.id, task.task(), task.attempt(), 0));
+      messenger.stop(
+          owner, new StopOrder(state.machine(), held.id, task.task(), task.attempt(), 0));
     }
   }
 
@@ -548,7 +597,7 @@
     found.listed = true;
     found.session = state.session();
     if (task.state() == TaskState.RUNNING) {
-      found.runningSince = core.now();
+      found.runningSince = clock.now();
     }
     place(found);
     LOG.debug(
@@ -560,7 +609,7 @@
     if (why == ExitReason.ERROR) {
       error(active.job, active.machine);
     } else if (why == ExitReason.NO_ROOM) {
-      active.job.avoid.put(active.machine, core.now() + Constants.NO_ROOM_AVOIDS_MS);
+      active.job.avoid.put(active.machine, clock.now() + Constants.NO_ROOM_AVOIDS_MS);
     }
     LOG.info(
         "task {}/{} attempt {} ended on {}: {}",
@@ -574,7 +623,7 @@
   /** Whatever a replica says of its end, it must run again until its job is cancelled. */
   private void replicaEnded(Active active, String machine, ExitReason why) {
     Held held = active.job;
-    long ranMs = active.runningSince == 0 ? 0 : core.now() - active.runningSince;
+    long ranMs = active.runningSince == 0 ? 0 : clock.now() - active.runningSince;
     // errors of long ago, each on another machine, don't make it the job's own fault
     if (ranMs >= Constants.REPLICA_STABLE_MS) {
       held.errorsOn.clear();
@@ -582,16 +631,16 @@
     failed(active, why);
     // its result is kept there; for longer than it waits, so that it is tried elsewhere
     if (why == ExitReason.DONE) {
-      held.avoid.put(machine, core.now() + Constants.JOB_AVOIDS_MS);
+      held.avoid.put(machine, clock.now() + Constants.JOB_AVOIDS_MS);
     }
     boolean refused =
         why == ExitReason.STOPPED || why == ExitReason.NO_ROOM || why == ExitReason.BUSY;
-    boolean startable = refused || held.restarts.ended(active.task, ranMs, core.now());
+    boolean startable = refused || held.restarts.ended(active.task, ranMs, clock.now());
     free(active, startable);
   }
 
   private void error(Held held, String machine) {
-    long now = core.now();
+    long now = clock.now();
     held.errorsOn.add(machine);
     held.avoid.put(machine, now + Constants.JOB_AVOIDS_MS);
     // replicas wait one by one: the others may be well
@@ -622,11 +671,11 @@
    */
   private void leaveReturnedMachines() {
     for (String id : new ArrayList<>(byMachine.keySet())) {
-      View.Seen seen = core.view().machines.get(id);
-      if (seen == null || seen.state == null || !core.returned(id, seen.state.version())) {
+      View.Seen seen = view.machines.get(id);
+      if (seen == null || seen.state == null || !store.returned(id, seen.state.version())) {
         continue;
       }
-      core.view().gone(id);
+      view.gone(id);
       machineGone(id);
     }
   }
@@ -641,16 +690,11 @@
     adopt();
     for (Held held : new ArrayList<>(jobs.values())) {
       if (held.spec.service()) {
-        held.restarts.release(core.now(), held::putBack);
+        held.restarts.release(clock.now(), held::putBack);
       }
       // a service has no bits, but a change of unknown outcome is resolved by the next write
       write(held);
     }
-    if (core.now() >= nextYielding) {
-      nextYielding = core.now() + Constants.ADOPT_EVERY_MS;
-      grants.findYielding();
-    }
-    grants.tick(core.now());
   }
 
   /**
@@ -672,9 +716,9 @@
     for (Map.Entry<String, Store.Held> entry : store.under(Store.MACHINES).entrySet()) {
       MachineRec record = (MachineRec) entry.getValue().value();
       String id = entry.getKey().substring(Store.MACHINES.length());
-      View.Seen machine = core.view().machines.get(id);
-      View.Peer peer = core.view().peer(record.node());
-      long rev = core.view().accounted(id, record) ? peer.rosterRevision : -1;
+      View.Seen machine = view.machines.get(id);
+      View.Peer peer = view.peer(record.node());
+      long rev = view.accounted(id, record) ? peer.rosterRevision : -1;
       if (rev >= 0) {
         oldest = Math.min(oldest, peer.received);
       }
@@ -696,7 +740,7 @@
             heldJob.id,
             heldJob.job.epoch(),
             heldJob.active.size());
-        core.requestRound();
+        placementTrigger.request();
       } else {
         LOG.debug("job {} waits for machine {}", heldJob.id, worst);
       }
@@ -705,14 +749,14 @@
 
   /** Claims jobs whose holder's session is gone. */
   private void adopt() {
-    long now = core.now();
+    long now = clock.now();
     if (now < nextAdopt || !store.sessionGood()) {
       return;
     }
     nextAdopt = now + Constants.ADOPT_EVERY_MS;
-    List<String> live = core.liveNodes();
+    List<String> live = membership.liveNodes();
     int claims = 0;
-    for (JobRec job : new ArrayList<>(core.openJobs())) {
+    for (JobRec job : new ArrayList<>(openJobs.all())) {
       String id = job.spec().id();
       if (store.live(job.holder(), job.incarnation())) {
         orphanSince.remove(id);
@@ -734,8 +778,8 @@
   private boolean claimable(String id, List<String> live, long now) {
     long since = orphanSince.computeIfAbsent(id, key -> now);
     String first =
-        live.isEmpty() ? core.node() : live.get(Math.floorMod(id.hashCode(), live.size()));
-    if (!first.equals(core.node()) && now - since < Constants.CLAIM_TURN_MS) {
+        live.isEmpty() ? settings.node() : live.get(Math.floorMod(id.hashCode(), live.size()));
+    if (!first.equals(settings.node()) && now - since < Constants.CLAIM_TURN_MS) {
       return false;
     }
     Long asked = claiming.get(id);
@@ -749,15 +793,15 @@
     String id = job.spec().id();
     claiming.put(id, now);
     RetryDelay retry = claimRetries.get(id);
-    JobRec mine = job.withHolder(core.node(), store.incarnation());
-    JobEntries.Write claim = core.jobEntries().keepingBits(mine, store.version(Store.JOBS + id));
+    JobRec mine = job.withHolder(settings.node(), store.incarnation());
+    JobEntries.Write claim = jobEntries.keepingBits(mine, store.version(Store.JOBS + id));
     boolean asked =
         store.transact(
             Store.Urgency.JOB,
             new Txn(claim.when(), claim.puts(), List.of()),
             reply -> {
               claiming.remove(id);
-              retry.answered(core.now(), reply.code());
+              retry.answered(clock.now(), reply.code());
               if (reply.code() == Code.OK) {
                 LOG.info("job {} taken over from {}, epoch {}", id, job.holder(), mine.epoch());
               }
@@ -768,9 +812,9 @@
   }
 
   private void write(Held held) {
-    long now = core.now();
+    long now = clock.now();
     boolean all = !held.spec.service() && held.doneCount == held.spec.tasks() && !held.over();
-    boolean moves = core.jobEntries().outOfPlace(held.job);
+    boolean moves = jobEntries.outOfPlace(held.job);
     if (held.dirtyPieces.isEmpty() && !all && !held.uncertain && !moves) {
       return;
     }
@@ -794,7 +838,7 @@
   /** Records the done bits, and the job's end once all are set. */
   private void record(Held held, long now) {
     JobEntries.Write write =
-        core.jobEntries().recording(held.job, held.version, held.done, held.dirtyPieces);
+        jobEntries.recording(held.job, held.version, held.done, held.dirtyPieces);
     List<Integer> pieces = new ArrayList<>(held.dirtyPieces);
     pieces.retainAll(write.pieces());
     held.writing = true;
@@ -813,7 +857,7 @@
 
   private void recorded(Held held, List<Integer> pieces, Code code) {
     held.writing = false;
-    held.writeRetry.answered(core.now(), code);
+    held.writeRetry.answered(clock.now(), code);
     if (code == Code.OK) {
       return;
     }
@@ -825,7 +869,7 @@
     if (code == Code.CONFLICT) {
       reread(held);
     } else {
-      held.lastWrite = core.now() + Constants.STATE_RETRY_MS;
+      held.lastWrite = clock.now() + Constants.STATE_RETRY_MS;
     }
   }
 
@@ -846,7 +890,7 @@
             Store.JOBS + held.id,
             reply -> {
               held.writing = false;
-              held.lastWrite = core.now();
+              held.lastWrite = clock.now();
             });
     if (!asked) {
       held.writing = false;
--- a/src/main/java/mallowstall/core/JobRanking.java
+++ b/src/main/java/mallowstall/core/JobRanking.java
@@ -3,6 +3,7 @@
 import it.unimi.dsi.fastutil.objects.Object2DoubleOpenHashMap;
 import mallowstall.Constants;
 import mallowstall.core.Holder.Held;
+import mallowstall.core.Model.CoreSettings;
 import mallowstall.core.Model.JobRec;
 import mallowstall.core.Model.JobSpec;
 import mallowstall.core.Model.MachineType;
@@ -10,7 +11,11 @@
 
 /** In which order jobs are served: by starving, priority, hope of their deadline, slack and age. */
 final class JobRanking {
-  private final Core core;
+  private final EventClock clock;
+  private final CoreSettings settings;
+  private final View view;
+  private final MachineTypeCatalog types;
+  private final MachineDemand demand;
 
   /** Processors of usable machines, by machine type. */
   private final Object2DoubleOpenHashMap<String> roomOf = new Object2DoubleOpenHashMap<>();
@@ -18,8 +23,17 @@
   /** The part of them that is free. */
   private final Object2DoubleOpenHashMap<String> freeOf = new Object2DoubleOpenHashMap<>();
 
-  JobRanking(Core core) {
-    this.core = core;
+  JobRanking(
+      EventClock clock,
+      CoreSettings settings,
+      View view,
+      MachineTypeCatalog types,
+      MachineDemand demand) {
+    this.clock = clock;
+    this.settings = settings;
+    this.view = view;
+    this.types = types;
+    this.demand = demand;
   }
 
   /** Free processors of usable machines of this type. */
@@ -35,9 +49,9 @@
   boolean starves(Held held) {
     return held.active.isEmpty()
         && held.pending() > 0
-        && core.wall() - held.job.submittedMs() > Constants.STARVES_MS
+        && clock.wallClock() - held.job.submittedMs() > Constants.STARVES_MS
         // not since the last try: a start that an owner refused once cost the job another wait
-        && (held.lastRan == 0 || core.now() - held.lastRan > Constants.STARVES_MS);
+        && (held.lastRan == 0 || clock.now() - held.lastRan > Constants.STARVES_MS);
   }
 
   /**
@@ -72,24 +86,25 @@
       return 0;
     }
     double end =
-        (core.wall() - job.submittedMs()) / 1000.0 + spec.estimateS() * Constants.HOPE_FACTOR;
+        (clock.wallClock() - job.submittedMs()) / 1000.0 + spec.estimateS() * Constants.HOPE_FACTOR;
     if (end <= spec.deadlineS()) {
       return 0;
     }
-    double times = core.settings().lateTimes().getOrDefault(spec.jobClass(), 1.0);
+    double times = settings.lateTimes().getOrDefault(spec.jobClass(), 1.0);
     return end <= spec.deadlineS() * times ? 1 : 2;
   }
 
   private double urgency(Held held) {
     JobSpec spec = held.spec;
     double slots =
-        Math.max(
-            1, roomOf.getDouble(core.demand().minimalType(spec)) / Math.max(0.01, spec.cpus()));
+        Math.max(1, roomOf.getDouble(demand.minimalType(spec)) / Math.max(0.01, spec.cpus()));
     double work = held.pending() * spec.estimateS() / slots;
     double slack =
         spec.deadlineS() == null
-            ? 600 + (held.job.submittedMs() - core.wall()) / 1000.0
-            : spec.deadlineS() - (core.wall() - held.job.submittedMs()) / 1000.0 - spec.estimateS();
+            ? 600 + (held.job.submittedMs() - clock.wallClock()) / 1000.0
+            : spec.deadlineS()
+                - (clock.wallClock() - held.job.submittedMs()) / 1000.0
+                - spec.estimateS();
     return slack + Constants.WORK_WEIGHT * work;
   }
 
@@ -102,11 +117,11 @@
   void countRoom() {
     roomOf.clear();
     freeOf.clear();
-    for (View.Seen machine : core.view().machines.values()) {
+    for (View.Seen machine : view.machines.values()) {
       if (!machine.takes()) {
         continue;
       }
-      MachineType type = core.types().get(machine.state.type());
+      MachineType type = types.find(machine.state.type());
       if (type == null) {
         continue;
       }
--- a/src/main/java/mallowstall/core/MachineAdoption.java
+++ b/src/main/java/mallowstall/core/MachineAdoption.java
@@ -11,6 +11,7 @@
 import mallowstall.Constants;
 import mallowstall.core.Effects.Code;
 import mallowstall.core.Effects.TxnReply;
+import mallowstall.core.Model.CoreSettings;
 import mallowstall.core.Model.GroupMachine;
 import mallowstall.core.Model.MachineRec;
 import mallowstall.core.Model.MachineType;
@@ -26,7 +27,11 @@
 final class MachineAdoption {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.owner");
 
-  private final Core core;
+  private final EventClock clock;
+  private final CoreSettings settings;
+  private final View view;
+  private final MachineTypeCatalog types;
+  private final Membership membership;
   private final Store store;
   private final WorkerReports reports;
   private final OwnedMachines machines;
@@ -52,12 +57,20 @@
   private long batchSentAt;
 
   MachineAdoption(
-      Core core,
+      EventClock clock,
+      CoreSettings settings,
       Store store,
+      View view,
+      MachineTypeCatalog types,
+      Membership membership,
       OwnedMachines machines,
       MachineRecords records,
       WorkerReports reports) {
-    this.core = core;
+    this.clock = clock;
+    this.settings = settings;
+    this.view = view;
+    this.types = types;
+    this.membership = membership;
     this.store = store;
     this.reports = reports;
     this.machines = machines;
@@ -90,7 +103,7 @@
     if (returned.contains(report.machine())) {
       return true;
     }
-    View.Seen machine = core.view().machines.get(report.machine());
+    View.Seen machine = view.machines.get(report.machine());
     if (machine == null || machine.state == null || report.session() > machine.state.session()) {
       return false;
     }
@@ -106,11 +119,14 @@
    */
   private String liveOwner(Report report, long now) {
     MachineRec old = store.machine(report.machine());
-    View.Seen machine = core.view().machines.get(report.machine());
-    if (old == null || machine == null || machine.state == null || old.node().equals(core.node())) {
+    View.Seen machine = view.machines.get(report.machine());
+    if (old == null
+        || machine == null
+        || machine.state == null
+        || old.node().equals(settings.node())) {
       return null;
     }
-    View.Peer peer = core.view().peer(old.node());
+    View.Peer peer = view.peer(old.node());
     boolean heard =
         store.live(old.node(), old.incarnation())
             && old.node().equals(machine.owner)
@@ -127,8 +143,8 @@
 
   /** Makes this controller the recorded owner, under a larger token, before the first 200. */
   void adopt(Report report, Consumer<ReportAnswer> reply) {
-    long now = core.now();
-    MachineType type = core.types().get(report.type());
+    long now = clock.now();
+    MachineType type = types.find(report.type());
     if (type == null) {
       reply.accept(ReportAnswer.unable());
       return;
@@ -167,10 +183,10 @@
     if (report.token() != 0) {
       return null;
     }
-    String better = core.preferredOwner(report.machine(), report.zone());
+    String better = membership.preferredLeader(report.machine(), report.zone());
     Long before = redirected.get(report.machine());
     boolean told = before != null && now - before <= Constants.REDIRECT_AGAIN_MS;
-    if (better.equals(core.node()) || told) {
+    if (better.equals(settings.node()) || told) {
       return null;
     }
     redirected.put(report.machine(), now);
@@ -185,7 +201,7 @@
       return;
     }
     batchPlanned = true;
-    core.after(Constants.ADOPT_JOIN_MS, this::adoptAll);
+    clock.schedule(Constants.ADOPT_JOIN_MS, this::adoptAll);
   }
 
   /** A machine that has turned here, and who waits for the answer. */
@@ -201,15 +217,15 @@
     // While changes wait for the state service's rate, more machines join the next batch. With one
     // change for every 40 ms the queue outgrew the 4 s for which workers wait: each turned to the
     // next controller, was adopted there as late, and so on for a minute.
-    boolean waits = adoptionsOpen > 0 && core.now() - batchSentAt < Constants.ADOPT_WAIT_MS;
+    boolean waits = adoptionsOpen > 0 && clock.now() - batchSentAt < Constants.ADOPT_WAIT_MS;
     if (waits) {
       planBatch();
       return;
     }
-    batchSentAt = core.now();
+    batchSentAt = clock.now();
     List<Arriving> all = new ArrayList<>(arriving);
     arriving.clear();
-    int most = Math.max(1, core.settings().valueBytes() / Constants.GROUP_BYTES - 2);
+    int most = Math.max(1, settings.valueBytes() / Constants.GROUP_BYTES - 2);
     List<Arriving> part;
     for (int from = 0; from < all.size(); from += part.size()) {
       part = fitting(all.subList(from, Math.min(all.size(), from + most)));
@@ -219,8 +235,7 @@
 
   /** As many of the machines as fit one value, with the names that they really have. */
   private List<Arriving> fitting(List<Arriving> some) {
-    return ValueSize.fitting(
-        some, part -> records.groupSize(members(part)), core.settings().valueBytes());
+    return ValueSize.fitting(some, part -> records.groupSize(members(part)), settings.valueBytes());
   }
 
   private static List<GroupMachine> members(List<Arriving> part) {
--- a/src/main/java/mallowstall/core/MachineDemand.java
+++ b/src/main/java/mallowstall/core/MachineDemand.java
@@ -8,6 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import mallowstall.Constants;
+import mallowstall.core.Model.CoreSettings;
 import mallowstall.core.Model.JobRec;
 import mallowstall.core.Model.JobSpec;
 import mallowstall.core.Model.MachineType;
@@ -19,7 +20,11 @@
  * types are scarce, and which machines are reserved for urgent work. Mutable.
  */
 final class MachineDemand {
-  private final Core core;
+  private final EventClock clock;
+  private final CoreSettings settings;
+  private final View view;
+  private final MachineTypeCatalog types;
+  private final OpenJobs openJobs;
   private final Map<String, TypeDemand> demands = new HashMap<>();
 
   /** The smallest machine type that holds a task, by job. */
@@ -31,8 +36,17 @@
   private final Set<String> reserved = new HashSet<>();
   private long countedAt;
 
-  MachineDemand(Core core) {
-    this.core = core;
+  MachineDemand(
+      EventClock clock,
+      CoreSettings settings,
+      View view,
+      MachineTypeCatalog types,
+      OpenJobs openJobs) {
+    this.clock = clock;
+    this.settings = settings;
+    this.view = view;
+    this.types = types;
+    this.openJobs = openJobs;
   }
 
   /** The demand for this type. */
@@ -69,8 +83,8 @@
 
   private String smallest(JobSpec spec) {
     MachineType best = null;
-    for (MachineType type : core.types().values()) {
-      if (!core.fits(spec, type)) {
+    for (MachineType type : types.all()) {
+      if (!spec.fits(type)) {
         continue;
       }
       if (best == null
@@ -88,7 +102,7 @@
     demands.values().forEach(TypeDemand::restart);
     Map<String, Double> urgent = new HashMap<>();
     Map<String, Double> teamLeft = teamLimits();
-    for (JobRec job : core.openJobs()) {
+    for (JobRec job : openJobs.all()) {
       if (!job.over()) {
         countJob(job, teamLeft, urgent);
       }
@@ -99,7 +113,7 @@
 
   private Map<String, Double> teamLimits() {
     Map<String, Double> limits = new HashMap<>();
-    for (Team team : core.settings().teams().values()) {
+    for (Team team : settings.teams().values()) {
       limits.put(team.name(), team.cpusMax() > 0 ? team.cpusMax() : Double.MAX_VALUE);
     }
     return limits;
@@ -111,7 +125,7 @@
     if (name == null) {
       return;
     }
-    MachineType type = core.types().get(name);
+    MachineType type = types.find(name);
     double tasks = spec.tasks() - job.doneCount();
     double left = teamLeft.getOrDefault(spec.team(), Double.MAX_VALUE);
     if (spec.cpus() > 0) {
@@ -198,7 +212,7 @@
     if (spec.deadlineS() == null || spec.priority().ordinal() >= Priority.HIGH.ordinal()) {
       return 1;
     }
-    double left = spec.deadlineS() - (core.wall() - job.submittedMs()) / 1000.0;
+    double left = spec.deadlineS() - (clock.wallClock() - job.submittedMs()) / 1000.0;
     double ready = type.bootS() + spec.imageGb() / Math.max(1e-3, type.fetchGbPerS());
     double each = Math.max(1, spec.estimateS() * Constants.ESTIMATE_MARGIN);
     return Math.max(1, Math.min(Constants.WAVES_MOST, Math.floor((left - ready) / each)));
@@ -212,7 +226,7 @@
   private void reserve() {
     reserved.clear();
     List<View.Seen> up = new ArrayList<>();
-    for (View.Seen machine : core.view().machines.values()) {
+    for (View.Seen machine : view.machines.values()) {
       if (machine.takes()) {
         up.add(machine);
       }
--- a/src/main/java/mallowstall/core/MachineRecords.java
+++ b/src/main/java/mallowstall/core/MachineRecords.java
@@ -9,6 +9,7 @@
 import mallowstall.core.Effects.Put;
 import mallowstall.core.Effects.Txn;
 import mallowstall.core.Effects.TxnReply;
+import mallowstall.core.Model.CoreSettings;
 import mallowstall.core.Model.GroupMachine;
 import mallowstall.core.Model.GroupRec;
 import mallowstall.core.Model.MachineRec;
@@ -18,7 +19,8 @@
  * applied late, after the process has ended, fails. Mutable.
  */
 final class MachineRecords {
-  private final Core core;
+  private final CoreSettings settings;
+  private final Effects effects;
   private final Store store;
 
   /** Machines whose change is under way, since when. */
@@ -27,8 +29,9 @@
   private int groups;
   private long nextSweep;
 
-  MachineRecords(Core core, Store store) {
-    this.core = core;
+  MachineRecords(CoreSettings settings, Effects effects, Store store) {
+    this.settings = settings;
+    this.effects = effects;
     this.store = store;
   }
 
@@ -53,7 +56,7 @@
   /** Makes this controller the machine's recorded owner; false: refused for the backlog. */
   boolean write(String id, String type, String zone, boolean spot, Consumer<TxnReply> then) {
     String key = Store.MACHINES + id;
-    MachineRec record = new MachineRec(core.node(), store.incarnation(), 0, type, zone, spot);
+    MachineRec record = new MachineRec(settings.node(), store.incarnation(), 0, type, zone, spot);
     return store.transact(
         Store.Urgency.MACHINE,
         new Txn(
@@ -75,16 +78,16 @@
 
   /** The size of the record that names these machines, as it is sent. */
   int groupSize(List<GroupMachine> machines) {
-    return core.effects().encodedSize(group(machines));
+    return effects.encodedSize(group(machines));
   }
 
   private GroupRec group(List<GroupMachine> machines) {
-    return new GroupRec(core.node(), store.incarnation(), machines);
+    return new GroupRec(settings.node(), store.incarnation(), machines);
   }
 
   /** A change applied late, after this process has ended, must not make it an owner again. */
   private Cond session() {
-    String key = Store.SESSIONS + core.node();
+    String key = Store.SESSIONS + settings.node();
     return new Cond(key, store.version(key));
   }
 
@@ -97,7 +100,7 @@
     for (String key : store.spentGroups()) {
       GroupRec group = (GroupRec) store.held(key).value();
       boolean mine =
-          group.node().equals(core.node()) || !store.live(group.node(), group.incarnation());
+          group.node().equals(settings.node()) || !store.live(group.node(), group.incarnation());
       if (!mine) {
         continue;
       }
--- a/src/main/java/mallowstall/core/MachineRentals.java
+++ b/src/main/java/mallowstall/core/MachineRentals.java
@@ -27,7 +27,11 @@
   /** A machine that was rented and isn't up. */
   record Rented(String type, String zone, boolean spot, long at) {}
 
-  private final Core core;
+  private final EventClock clock;
+  private final Effects effects;
+  private final View view;
+  private final MachineTypeCatalog types;
+  private final OpenJobs openJobs;
   private final Store store;
   private final Budget calls;
   private final MachineDemand demand;
@@ -44,12 +48,26 @@
   private boolean asking;
   private int counter;
 
-  MachineRentals(Core core, Store store, Budget calls, MachineDemand demand, Runnable answered) {
-    this.core = core;
+  MachineRentals(
+      EventClock clock,
+      Effects effects,
+      Store store,
+      View view,
+      MachineTypeCatalog types,
+      OpenJobs openJobs,
+      MachineDemand demand,
+      StrandedJobs stranded,
+      Budget calls,
+      Runnable answered) {
+    this.clock = clock;
+    this.effects = effects;
+    this.view = view;
+    this.types = types;
+    this.openJobs = openJobs;
     this.store = store;
     this.calls = calls;
     this.demand = demand;
-    this.stranded = new StrandedJobs(core);
+    this.stranded = stranded;
     this.answered = answered;
   }
 
@@ -126,7 +144,7 @@
     if (missing <= 0) {
       return false;
     }
-    for (String zone : core.types().get(type).zones()) {
+    for (String zone : types.find(type).zones()) {
       if (rentIn(type, zone, false, missing, now)) {
         return true;
       }
@@ -139,16 +157,16 @@
    * replica that the others of its zone left no room for once waited for good, and so did a batch.
    */
   boolean rentForStranded(String type, List<View.Seen> up, long now) {
-    if (core.openJobs().stream().noneMatch(job -> job.spec().service() && !job.over())) {
+    if (openJobs.all().stream().noneMatch(job -> job.spec().service() && !job.over())) {
       return false;
     }
-    stranded.retain(core.openJobs());
-    for (JobRec job : core.openJobs()) {
+    stranded.retain(openJobs.all());
+    for (JobRec job : openJobs.all()) {
       JobSpec spec = job.spec();
       if (job.over() || !type.equals(demand.minimalType(spec))) {
         continue;
       }
-      for (String zone : stranded.zonesMissing(job, core.types().get(type), up, now)) {
+      for (String zone : stranded.zonesMissing(job, types.find(type), up, now)) {
         if (rentOne(type, zone, spec.spot(), now)) {
           LOG.info("job {} has room on no machine in {}", spec.id(), zone);
           return true;
@@ -194,7 +212,7 @@
 
   private List<String> zonesByFewest(String type) {
     Map<String, Integer> perZone = new HashMap<>();
-    for (View.Seen machine : core.view().machines.values()) {
+    for (View.Seen machine : view.machines.values()) {
       if (machine.state != null && machine.state.type().equals(type)) {
         perZone.merge(machine.state.zone(), 1, Integer::sum);
       }
@@ -204,7 +222,7 @@
         perZone.merge(rented.zone, 1, Integer::sum);
       }
     }
-    List<String> zones = new ArrayList<>(core.types().get(type).zones());
+    List<String> zones = new ArrayList<>(types.find(type).zones());
     zones.sort(Comparator.comparingInt(zone -> perZone.getOrDefault(zone, 0)));
     return zones;
   }
@@ -226,7 +244,7 @@
 
   private void send(RentRequest request, String key) {
     asking = true;
-    calls.spend(core.now(), 1);
+    calls.spend(clock.now(), 1);
     LOG.info(
         "rent {} {} in {}{} as {}",
         request.count(),
@@ -234,18 +252,17 @@
         request.zone(),
         request.spot() ? ", spot" : "",
         request.name());
-    core.effects()
-        .rent(
-            request,
-            reply -> {
-              asking = false;
-              take(request, key, reply);
-              answered.run();
-            });
+    effects.rent(
+        request,
+        reply -> {
+          asking = false;
+          take(request, key, reply);
+          answered.run();
+        });
   }
 
   private void take(RentRequest request, String key, RentReply reply) {
-    long now = core.now();
+    long now = clock.now();
     if (reply.status() == OK) {
       for (String id : reply.machines()) {
         coming.put(id, new Rented(request.type(), request.zone(), request.spot(), now));
--- a/src/main/java/mallowstall/core/MachineReturns.java
+++ b/src/main/java/mallowstall/core/MachineReturns.java
@@ -12,6 +12,7 @@
 import mallowstall.core.Effects.Code;
 import mallowstall.core.Effects.Put;
 import mallowstall.core.Effects.Txn;
+import mallowstall.core.Model.CoreSettings;
 import mallowstall.core.Model.MachineRec;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -23,7 +24,9 @@
 final class MachineReturns {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.fleet");
 
-  private final Core core;
+  private final EventClock clock;
+  private final CoreSettings settings;
+  private final Effects effects;
   private final Store store;
   private final Budget calls;
 
@@ -40,8 +43,16 @@
 
   private final RetryDelay dropRetry = new RetryDelay();
 
-  MachineReturns(Core core, Store store, Budget calls, Consumer<String> confirmed) {
-    this.core = core;
+  MachineReturns(
+      EventClock clock,
+      CoreSettings settings,
+      Effects effects,
+      Store store,
+      Budget calls,
+      Consumer<String> confirmed) {
+    this.clock = clock;
+    this.settings = settings;
+    this.effects = effects;
     this.store = store;
     this.calls = calls;
     this.confirmed = confirmed;
@@ -76,15 +87,15 @@
    * named all at once, 200 of them: the cloud refused, again and again, and none went back.
    */
   void returnMachines(List<String> machines, String why) {
-    if (!calls.has(core.now(), 1, 0)) {
+    if (!calls.has(clock.now(), 1, 0)) {
       return;
     }
-    calls.spend(core.now(), 1);
+    calls.spend(clock.now(), 1);
     int most = Math.min(machines.size(), Constants.RETURN_MAX);
     List<String> names = List.copyOf(machines.subList(0, most));
     underWay.addAll(names);
     LOG.info("return {}: {}", names, why);
-    core.effects().returnMachines(names, ok -> answered(names, ok));
+    effects.returnMachines(names, ok -> answered(names, ok));
   }
 
   private void answered(List<String> names, boolean ok) {
@@ -93,7 +104,7 @@
       return;
     }
     for (String id : names) {
-      returnedAt.put(id, core.now());
+      returnedAt.put(id, clock.now());
       confirmed.accept(id);
       if (store.machine(id) != null) {
         toDrop.add(id);
@@ -115,7 +126,7 @@
     if (toDrop.isEmpty()) {
       return;
     }
-    List<String> machines = toDrop.stream().limit(core.settings().txnOps()).toList();
+    List<String> machines = toDrop.stream().limit(settings.txnOps()).toList();
     List<Put> ends = new ArrayList<>();
     List<String> drops = new ArrayList<>();
     for (String id : machines) {
@@ -132,7 +143,7 @@
             Store.Urgency.MACHINE,
             new Txn(List.of(), ends, drops),
             reply -> {
-              dropRetry.answered(core.now(), reply.code());
+              dropRetry.answered(clock.now(), reply.code());
               if (reply.code() != Code.OK) {
                 toDrop.addAll(machines);
               }
--- /dev/null
+++ b/src/main/java/mallowstall/core/Membership.java
@@ -0,0 +1,54 @@
+package mallowstall.core;
+
+import java.util.ArrayList;
+import java.util.List;
+import mallowstall.core.Model.CoreSettings;
+
+/** Which controllers are live, and which of them a new machine should report to. */
+final class Membership {
+  private final CoreSettings settings;
+  private final Store store;
+
+  Membership(CoreSettings settings, Store store) {
+    this.settings = settings;
+    this.store = store;
+  }
+
+  /** Controllers with a session, sorted; this one is among them once its own stands. */
+  List<String> liveNodes() {
+    List<String> live = new ArrayList<>();
+    for (String key : store.under(Store.SESSIONS).keySet()) {
+      live.add(key.substring(Store.SESSIONS.length()));
+    }
+    return live;
+  }
+
+  /** The controller a new machine should report to: by hash among live ones, its own zone first. */
+  String preferredLeader(String machine, String zone) {
+    List<String> all = liveNodes();
+    List<String> near = new ArrayList<>();
+    for (String node : all) {
+      if (zone.equals(settings.nodeZones().get(node))) {
+        near.add(node);
+      }
+    }
+    List<String> candidates = near.size() * 2 >= all.size() ? near : all;
+    String best = settings.node();
+    int top = Integer.MIN_VALUE;
+    for (String node : candidates) {
+      int weight = rendezvousWeight(machine, node);
+      if (weight >= top) {
+        top = weight;
+        best = node;
+      }
+    }
+    return best;
+  }
+
+  /** Rendezvous hashing: a node that comes or goes moves only its own share of the machines. */
+  private static int rendezvousWeight(String machine, String node) {
+    int hash = (machine + "|" + node).hashCode() * 0x9E3779B1;
+    hash ^= hash >>> 15;
+    return hash * 0x85EBCA6B;
+  }
+}
--- a/src/main/java/mallowstall/core/Model.java
+++ b/src/main/java/mallowstall/core/Model.java
@@ -88,6 +88,21 @@
     boolean service() {
       return kind == JobKind.SERVICE;
     }
+
+    /** Whether one task fits on an empty machine of this type, and the job allows the type. */
+    boolean fits(MachineType type) {
+      return (types == null || types.contains(type.name()))
+          && cpus <= type.cpus() + 1e-9
+          && gpus <= type.gpus() + 1e-9
+          && memoryGb <= type.memoryGb() + 1e-9;
+    }
+
+    /** Whether the job may run on a machine of this type, in this zone, spot or not. */
+    boolean allowsMachine(String type, String machineZone, boolean spotMachine) {
+      return (types == null || types.contains(type))
+          && (zone == null || zone.equals(machineZone))
+          && (!spotMachine || spot);
+    }
   }
 
   // ---- entries in the state service ---------------------------------------------------------
@@ -312,7 +327,10 @@
   }
 
   /** The answer "not possible": this start was never passed on and never will be. */
-  public record Refusal(String machine, String job, int task, long attempt, String reason) {}
+  public record Refusal(String machine, String job, int task, long attempt, String reason) {
+    /** The reason of an owner whose mirror lags: worth another try soon. */
+    static final String JOB_NOT_KNOWN = "job not known here yet";
+  }
 
   /**
    * One machine as its owner knows it. {@code version} is that of its record, {@code session} and
--- a/src/main/java/mallowstall/core/OrphanTakeover.java
+++ b/src/main/java/mallowstall/core/OrphanTakeover.java
@@ -9,6 +9,7 @@
 import mallowstall.Constants;
 import mallowstall.core.Effects.Code;
 import mallowstall.core.Effects.TxnReply;
+import mallowstall.core.Model.CoreSettings;
 import mallowstall.core.Model.MachineRec;
 import mallowstall.core.Model.MachineType;
 import mallowstall.core.Model.Report;
@@ -27,7 +28,12 @@
 final class OrphanTakeover {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.owner");
 
-  private final Core core;
+  private final EventClock clock;
+  private final CoreSettings settings;
+  private final Effects effects;
+  private final View view;
+  private final MachineTypeCatalog types;
+  private final Membership membership;
   private final Store store;
   private final WorkerReports reports;
   private final OwnedMachines machines;
@@ -42,12 +48,22 @@
   private long next;
 
   OrphanTakeover(
-      Core core,
+      EventClock clock,
+      CoreSettings settings,
+      Effects effects,
       Store store,
+      View view,
+      MachineTypeCatalog types,
+      Membership membership,
       OwnedMachines machines,
       MachineRecords records,
       WorkerReports reports) {
-    this.core = core;
+    this.clock = clock;
+    this.settings = settings;
+    this.effects = effects;
+    this.view = view;
+    this.types = types;
+    this.membership = membership;
     this.store = store;
     this.reports = reports;
     this.machines = machines;
@@ -81,26 +97,26 @@
 
   /** Whether it is for this controller to ask the machine now. */
   private boolean due(String id, MachineRec record, long now) {
-    View.Seen machine = core.view().machines.get(id);
+    View.Seen machine = view.machines.get(id);
     return now - orphanSince.get(id) >= Constants.ORPHAN_ASKED_AFTER_MS
         && machine != null
         && machine.state != null
         && machine.state.addr() != null
         && !records.underWay(id)
         && now - asked.getOrDefault(id, Long.MIN_VALUE / 2) >= Constants.ORPHAN_ASKED_AGAIN_MS
-        && core.preferredOwner(id, record.zone()).equals(core.node());
+        && membership.preferredLeader(id, record.zone()).equals(settings.node());
   }
 
   private void ask(String id, MachineRec record, long now) {
     asked.put(id, now);
-    String address = core.view().machines.get(id).state.addr();
+    String address = view.machines.get(id).state.addr();
     // no session is 0, so this is refused, with the worker's report
-    core.effects().order(address, 0, 0, List.of(), reply -> takeOver(id, record, reply.report()));
+    effects.order(address, 0, 0, List.of(), reply -> takeOver(id, record, reply.report()));
   }
 
   /** The machine has answered: unless its record has changed since, it is this controller's. */
   private void takeOver(String id, MachineRec old, Report report) {
-    MachineType type = core.types().get(old.type());
+    MachineType type = types.find(old.type());
     MachineRec now = store.machine(id);
     if (report == null || !report.machine().equals(id) || type == null || !old.equals(now)) {
       return;
@@ -108,7 +124,7 @@
     if (records.underWay(id) || machines.contains(id)) {
       return;
     }
-    records.begin(id, core.now());
+    records.begin(id, clock.now());
     Consumer<TxnReply> then =
         reply -> {
           records.end(id);
@@ -124,7 +140,7 @@
   private void taken(String id, MachineType type, MachineRec old, Report report, long revision) {
     OwnedMachine machine = machines.add(id, type, old.zone(), old.spot(), revision);
     // until it shows the new term, its former owner may renew its lease
-    machine.answeredAt = core.now();
+    machine.answeredAt = clock.now();
     reports.take(machine, report, false);
     LOG.info("machine {} taken from {}, which is gone, term {}", id, old.node(), machine.term);
     showTerm(machine);
@@ -132,21 +148,20 @@
 
   /** Shows the worker the term without any command. */
   private void showTerm(OwnedMachine machine) {
-    core.effects()
-        .order(
-            machine.address,
-            machine.term,
-            machine.session,
-            List.of(),
-            reply -> {
-              Report report = reply.report();
-              if (!machines.has(machine) || reply.code() != Code.OK || report == null) {
-                return;
-              }
-              machine.answeredAt = core.now();
-              if (report.session() > machine.session || report.seq() > machine.newestReport) {
-                reports.take(machine, report, false);
-              }
-            });
+    effects.order(
+        machine.address,
+        machine.term,
+        machine.session,
+        List.of(),
+        reply -> {
+          Report report = reply.report();
+          if (!machines.has(machine) || reply.code() != Code.OK || report == null) {
+            return;
+          }
+          machine.answeredAt = clock.now();
+          if (report.session() > machine.session || report.seq() > machine.newestReport) {
+            reports.take(machine, report, false);
+          }
+        });
   }
 }
--- a/src/main/java/mallowstall/core/OwnedMachines.java
+++ b/src/main/java/mallowstall/core/OwnedMachines.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import mallowstall.Constants;
+import mallowstall.core.Model.CoreSettings;
 import mallowstall.core.Model.ExitReason;
 import mallowstall.core.Model.JobRec;
 import mallowstall.core.Model.JobSpec;
@@ -18,12 +19,16 @@
 
 /** The machines that this controller owns, and what follows from what they report. Mutable. */
 final class OwnedMachines {
-  private final Core core;
+  private final EventClock clock;
+  private final CoreSettings settings;
+  private final View view;
   private final Store store;
   private final Map<String, OwnedMachine> machines = new LinkedHashMap<>();
 
-  OwnedMachines(Core core, Store store) {
-    this.core = core;
+  OwnedMachines(EventClock clock, CoreSettings settings, Store store, View view) {
+    this.clock = clock;
+    this.settings = settings;
+    this.view = view;
     this.store = store;
   }
 
@@ -48,10 +53,10 @@
   /** This controller's from the change of that revision on, which is its term too. */
   OwnedMachine add(String id, MachineType type, String zone, boolean spot, long revision) {
     OwnedMachine machine = new OwnedMachine(id, type, zone, spot, revision, revision);
-    machine.idleSince = core.now();
+    machine.idleSince = clock.now();
     // reports don't name images: without what its last owner told of them, tasks were sent to
     // machines that had to fetch theirs, each time that machines changed owner
-    View.Seen seen = core.view().machines.get(id);
+    View.Seen seen = view.machines.get(id);
     if (seen != null && seen.state != null) {
       machine.images.addAll(seen.state.images());
     }
@@ -73,16 +78,9 @@
     return job != null && job.spec().service();
   }
 
-  /** Whether the job may run on such a machine. */
-  static boolean allowed(JobSpec spec, String type, String zone, boolean spot) {
-    return (spec.types() == null || spec.types().contains(type))
-        && (spec.zone() == null || spec.zone().equals(zone))
-        && (!spot || spec.spot());
-  }
-
   /** A machine whose reports come to nobody answers commands, but loses its tasks each lease. */
   boolean usable(OwnedMachine machine) {
-    long now = core.now();
+    long now = clock.now();
     return !machine.lost
         && !machine.faulty
         && machine.noticeUntil == Long.MAX_VALUE
@@ -92,12 +90,12 @@
   }
 
   private long silenceMs() {
-    return Math.max(Constants.SILENT_MS, core.settings().reportMs() * 2);
+    return Math.max(Constants.SILENT_MS, settings.reportMs() * 2);
   }
 
   /** Whether the machine hasn't been heard for so long that it gets no tasks. */
   boolean silent(OwnedMachine machine) {
-    return core.now() - machine.heardAt > silenceMs();
+    return clock.now() - machine.heardAt > silenceMs();
   }
 
   /** Processors, GPUs and memory that nothing on the machine and no accepted start takes. */
@@ -139,7 +137,7 @@
       out.add(new Room(machine.id, free[0], free[1], free[2]));
     }
     // two hundred machines once made a value that the state service refused
-    int most = Math.max(1, core.settings().valueBytes() / Constants.ROOM_BYTES - 2);
+    int most = Math.max(1, settings.valueBytes() / Constants.ROOM_BYTES - 2);
     if (out.size() <= most) {
       return out;
     }
--- a/src/main/java/mallowstall/core/Placement.java
+++ b/src/main/java/mallowstall/core/Placement.java
@@ -20,11 +20,17 @@
 final class Placement {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.placement");
 
-  private final Core core;
+  private final EventClock clock;
+  private final Metrics metrics;
+  private final View view;
+  private final MachineTypeCatalog types;
+  private final PlacementTrigger placementTrigger;
+  private final Policy.Book policies;
   private final Store store;
   private final Holder holder;
   private final SplittableRandom random;
   private final Map<String, BackOff> backOffs = new HashMap<>();
+  private final GrantLedger quota;
   private final JobRanking ranking;
   private final Entitlements entitlements;
   private final WaitingWork waiting;
@@ -33,31 +39,49 @@
   private final Preemption preemption;
   private final ReplicaRelocation relocation;
 
-  Placement(Core core, Store store, Holder holder, SplittableRandom random) {
-    this.core = core;
+  Placement(
+      EventClock clock,
+      Metrics metrics,
+      Store store,
+      View view,
+      MachineTypeCatalog types,
+      PlacementTrigger placementTrigger,
+      Policy.Book policies,
+      Holder holder,
+      GrantLedger quota,
+      JobRanking ranking,
+      Entitlements entitlements,
+      WaitingWork waiting,
+      PolicyFacts facts,
+      StartSender starts,
+      Preemption preemption,
+      ReplicaRelocation relocation,
+      SplittableRandom random) {
+    this.clock = clock;
+    this.metrics = metrics;
+    this.view = view;
+    this.types = types;
+    this.placementTrigger = placementTrigger;
+    this.policies = policies;
     this.store = store;
     this.holder = holder;
     this.random = random;
-    ranking = new JobRanking(core);
-    entitlements = new Entitlements(core);
-    waiting = new WaitingWork(core, store, ranking);
-    facts = new PolicyFacts(core, waiting);
-    starts = new StartSender(core, store, holder);
-    preemption = new Preemption(core, store, entitlements, facts);
-    relocation = new ReplicaRelocation(core, holder, facts, starts);
-  }
-
-  /** In which order jobs are served. */
-  JobRanking ranking() {
-    return ranking;
+    this.quota = quota;
+    this.ranking = ranking;
+    this.entitlements = entitlements;
+    this.waiting = waiting;
+    this.facts = facts;
+    this.starts = starts;
+    this.preemption = preemption;
+    this.relocation = relocation;
   }
 
   /** Places what waits, as far as there is room. */
   void round() {
-    if (!store.sessionGood() || !store.synced() || core.types().isEmpty()) {
+    if (!store.sessionGood() || !store.synced() || types.isEmpty()) {
       return;
     }
-    long now = core.now();
+    long now = clock.now();
     List<Held> wait = new ArrayList<>();
     boolean anyDue = false;
     for (Held held : holder.jobs()) {
@@ -66,7 +90,7 @@
       }
       if (held.rebuilt && !held.over() && held.pending() > 0 && now >= held.notBefore) {
         wait.add(held);
-        anyDue |= !backOff(held).waits(now, core.roomNews());
+        anyDue |= !backOff(held).waits(now, placementTrigger.capacityVersion());
       }
     }
     boolean anyService = holder.anyService();
@@ -77,8 +101,8 @@
     entitlements.count();
     wait.sort(ranking::order);
     List<View.Seen> machines = new ArrayList<>();
-    for (View.Seen machine : core.view().machines.values()) {
-      if (machine.takes() && core.view().heardLately(machine) && machine.freeCpus() > 0.01) {
+    for (View.Seen machine : view.machines.values()) {
+      if (machine.takes() && view.heardLately(machine) && machine.freeCpus() > 0.01) {
         machines.add(machine);
       }
     }
@@ -101,7 +125,7 @@
     if (held.spec.service()) {
       return held.backOff;
     }
-    String policy = core.policies().forClass(held.spec.jobClass()).name();
+    String policy = policies.forClass(held.spec.jobClass()).name();
     return backOffs.computeIfAbsent(policy, key -> new BackOff());
   }
 
@@ -130,7 +154,7 @@
     for (Held held : alike) {
       Try attempt = new Try(held, machines);
       boolean mayBeHeldBack = !ranking.starves(held) && !held.spec.service();
-      if (attempt.backOff.waits(now, core.roomNews())
+      if (attempt.backOff.waits(now, placementTrigger.capacityVersion())
           || mayBeHeldBack && waiting.outranked(held, now)) {
         continue;
       }
@@ -181,18 +205,18 @@
     Try(Held held, List<View.Seen> machines) {
       this.held = held;
       JobSpec spec = held.spec;
-      policy = core.policies().forClass(spec.jobClass());
+      policy = policies.forClass(spec.jobClass());
       backOff = backOff(held);
       want = held.pending();
       if (ranking.starves(held) && !spec.service()) {
         want = Math.min(want, Math.max(1, spec.tasks() / 10));
       }
-      limited = holder.grants().limited(spec);
+      limited = quota.limited(spec);
       // a change of the grant that is under way or in doubt: what it will be isn't known
       spare =
           !limited
               ? Integer.MAX_VALUE
-              : held.granting || held.uncertain || holder.grants().yields(held)
+              : held.granting || held.uncertain || quota.yields(held)
                   ? 0
                   : held.job.grant() - held.active.size();
       for (Active active : held.active.values()) {
@@ -334,8 +358,8 @@
             want,
             held.active.size(),
             refused);
-        core.metrics().count("backoffs");
-        backOff.failed(now, core.roomNews());
+        metrics.count("backoffs");
+        backOff.failed(now, placementTrigger.capacityVersion());
         preempt(now);
       }
     }
@@ -392,12 +416,12 @@
   }
 
   private void countSent() {
-    for (View.Seen machine : core.view().machines.values()) {
+    for (View.Seen machine : view.machines.values()) {
       machine.clearBooked();
     }
     for (Held held : holder.jobs()) {
       for (Map.Entry<String, Integer> entry : held.moves.targets().entrySet()) {
-        View.Seen seen = core.view().machines.get(entry.getKey());
+        View.Seen seen = view.machines.get(entry.getKey());
         if (seen != null) {
           seen.book(held.spec, entry.getValue());
         }
@@ -406,7 +430,7 @@
         if (active.seen || active.listed) {
           continue;
         }
-        View.Seen candidate = core.view().machines.get(active.machine);
+        View.Seen candidate = view.machines.get(active.machine);
         if (candidate != null) {
           candidate.book(held.spec, 1);
         }
--- a/src/main/java/mallowstall/core/PolicyFacts.java
+++ b/src/main/java/mallowstall/core/PolicyFacts.java
@@ -1,29 +1,44 @@
 package mallowstall.core;
 
 import mallowstall.core.Holder.Held;
+import mallowstall.core.Model.CoreSettings;
 import mallowstall.core.Model.JobSpec;
 import mallowstall.core.Model.MachineType;
 
 /** Gathers what policies may ask about a machine and a job. Mutable. */
 final class PolicyFacts {
-  private final Core core;
+  private final EventClock clock;
+  private final CoreSettings settings;
+  private final View view;
+  private final MachineTypeCatalog types;
+  private final MachineDemand demand;
   private final WaitingWork waiting;
   private final Policy.Facts facts = new Policy.Facts();
 
-  PolicyFacts(Core core, WaitingWork waiting) {
-    this.core = core;
+  PolicyFacts(
+      EventClock clock,
+      CoreSettings settings,
+      View view,
+      MachineTypeCatalog types,
+      MachineDemand demand,
+      WaitingWork waiting) {
+    this.clock = clock;
+    this.settings = settings;
+    this.view = view;
+    this.types = types;
+    this.demand = demand;
     this.waiting = waiting;
   }
 
   /** The facts on this pair; they stand until the next call. */
   Policy.Facts of(View.Seen machine, Held held, long now) {
     JobSpec spec = held.spec;
-    MachineType type = core.types().get(machine.state.type());
+    MachineType type = types.find(machine.state.type());
     facts.zone = machine.state.zone();
     facts.type = machine.state.type();
     facts.image = spec.image();
     facts.spot = machine.state.spot();
-    facts.own = core.node().equals(machine.owner);
+    facts.own = settings.node().equals(machine.owner);
     facts.freeCpus = machine.freeCpus();
     facts.freeGpus = machine.freeGpus();
     facts.freeMemory = machine.freeMemory();
@@ -31,7 +46,7 @@
     facts.imagePresent = machine.state.images().contains(spec.image());
     int fetching = 0;
     boolean same = false;
-    core.view().derive(machine);
+    view.derive(machine);
     for (String other : machine.fetching) {
       if (other.equals(spec.image())) {
         same = true;
@@ -44,8 +59,8 @@
     facts.fetchS = facts.imagePresent ? 0 : spec.imageGb() / rate * (same ? 0.6 : 1 + fetching);
     facts.drainS = waiting.drainS(spec.image());
     facts.otherDrainS = waiting.otherDrainS(spec.image(), machine.state.images());
-    facts.reserved = core.demand().reserved(machine.id);
-    facts.scarce = core.demand().scarce(spec, machine.state.type());
+    facts.reserved = demand.reserved(machine.id);
+    facts.scarce = demand.scarce(spec, machine.state.type());
     facts.taskCpus = spec.cpus();
     facts.taskGpus = spec.gpus();
     facts.taskMemory = spec.memoryGb();
@@ -53,7 +68,9 @@
     facts.slackS =
         spec.deadlineS() == null
             ? Policy.Facts.NEVER_S
-            : spec.deadlineS() - spec.estimateS() - (core.wall() - held.job.submittedMs()) / 1000.0;
+            : spec.deadlineS()
+                - spec.estimateS()
+                - (clock.wallClock() - held.job.submittedMs()) / 1000.0;
     facts.estimateS = spec.estimateS();
     facts.priority = spec.priority().ordinal();
     facts.pending = held.pending();
@@ -67,7 +84,7 @@
    * however slowly, doesn't starve.
    */
   private double waitedS(Held held, long now) {
-    double age = (core.wall() - held.job.submittedMs()) / 1000.0;
+    double age = (clock.wallClock() - held.job.submittedMs()) / 1000.0;
     return held.lastStart == 0 ? age : Math.min(age, (now - held.lastStart) / 1000.0);
   }
 
--- a/src/main/java/mallowstall/core/Preemption.java
+++ b/src/main/java/mallowstall/core/Preemption.java
@@ -24,13 +24,23 @@
     }
   }
 
-  private final Core core;
+  private final EventClock clock;
+  private final View view;
+  private final MachineDemand demand;
   private final Store store;
   private final Entitlements entitlements;
   private final PolicyFacts facts;
 
-  Preemption(Core core, Store store, Entitlements entitlements, PolicyFacts facts) {
-    this.core = core;
+  Preemption(
+      EventClock clock,
+      Store store,
+      View view,
+      MachineDemand demand,
+      Entitlements entitlements,
+      PolicyFacts facts) {
+    this.clock = clock;
+    this.view = view;
+    this.demand = demand;
     this.store = store;
     this.entitlements = entitlements;
     this.facts = facts;
@@ -58,14 +68,14 @@
   List<Exchange> exchanges(Held held, Policy policy, String oneZone, long now) {
     JobSpec spec = held.spec;
     List<Exchange> exchanges = new ArrayList<>();
-    for (View.Seen machine : core.view().machines.values()) {
-      if (!machine.takes() || !core.view().heardLately(machine) || !machine.allows(spec)) {
+    for (View.Seen machine : view.machines.values()) {
+      if (!machine.takes() || !view.heardLately(machine) || !machine.allows(spec)) {
         continue;
       }
       if (spec.oneZone() && oneZone != null && !machine.state.zone().equals(oneZone)) {
         continue;
       }
-      if (core.demand().scarce(spec, machine.state.type())
+      if (demand.scarce(spec, machine.state.type())
           || held.avoid.getOrDefault(machine.id, 0L) > now) {
         continue;
       }
@@ -132,8 +142,8 @@
 
   /** What has just begun after starving keeps its few tasks, or it would starve on. */
   private boolean spared(JobRec job) {
-    return core.wall() - job.submittedMs() > Constants.STARVES_MS
-        && core.view().placed(job.spec().id()) <= Math.max(1, job.spec().tasks() / 10);
+    return clock.wallClock() - job.submittedMs() > Constants.STARVES_MS
+        && view.placed(job.spec().id()) <= Math.max(1, job.spec().tasks() / 10);
   }
 
   private static TaskRef ref(RosterTask task) {
--- a/src/main/java/mallowstall/core/ReclaimedMachines.java
+++ b/src/main/java/mallowstall/core/ReclaimedMachines.java
@@ -9,6 +9,7 @@
 import mallowstall.Constants;
 import mallowstall.core.Effects.Code;
 import mallowstall.core.Effects.TxnReply;
+import mallowstall.core.Model.CoreSettings;
 import mallowstall.core.Model.MachineRec;
 import mallowstall.core.Model.MachineType;
 import org.slf4j.Logger;
@@ -21,7 +22,9 @@
 final class ReclaimedMachines {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.owner");
 
-  private final Core core;
+  private final EventClock clock;
+  private final CoreSettings settings;
+  private final MachineTypeCatalog types;
   private final Store store;
   private final OwnedMachines machines;
   private final MachineRecords records;
@@ -34,12 +37,16 @@
   private ArrayDeque<String> waiting;
 
   ReclaimedMachines(
-      Core core,
+      EventClock clock,
+      CoreSettings settings,
       Store store,
+      MachineTypeCatalog types,
       OwnedMachines machines,
       MachineRecords records,
       RosterPublisher publisher) {
-    this.core = core;
+    this.clock = clock;
+    this.settings = settings;
+    this.types = types;
     this.store = store;
     this.machines = machines;
     this.records = records;
@@ -54,14 +61,14 @@
   void overtaken(String id, MachineRec record) {
     ownedBetween(id, record);
     OwnedMachine machine = machines.get(id);
-    if (machine != null && machine.reclaimed && !record.node().equals(core.node())) {
+    if (machine != null && machine.reclaimed && !record.node().equals(settings.node())) {
       machine.disputed = true;
     }
   }
 
   /** The same, told while the record is still being asked for. */
   void ownedBetween(String id, MachineRec record) {
-    if (!record.node().equals(core.node())) {
+    if (!record.node().equals(settings.node())) {
       reclaiming.computeIfPresent(id, (k, v) -> true);
     }
   }
@@ -78,7 +85,7 @@
     while (!waiting.isEmpty() && reclaiming.size() < Constants.RECLAIMED_AT_ONCE) {
       String id = waiting.poll();
       MachineRec record = store.machine(id);
-      MachineType type = isFormer(record) ? core.types().get(record.type()) : null;
+      MachineType type = isFormer(record) ? types.find(record.type()) : null;
       if (type != null && !machines.contains(id) && !records.underWay(id)) {
         reclaim(id, type, record);
       }
@@ -102,12 +109,12 @@
    */
   private boolean isFormer(MachineRec record) {
     return record != null
-        && record.node().equals(core.node())
+        && record.node().equals(settings.node())
         && record.incarnation() != store.incarnation();
   }
 
   private void reclaim(String id, MachineType type, MachineRec record) {
-    records.begin(id, core.now());
+    records.begin(id, clock.now());
     reclaiming.put(id, false);
     Consumer<TxnReply> then =
         reply -> {
@@ -129,8 +136,8 @@
     machine.reclaimed = true;
     machine.disputed = disputed;
     // the former process may have answered until just before this one began
-    machine.answeredAt = core.startedAt();
-    machine.heardAt = core.now() - Constants.SILENT_MS;
+    machine.answeredAt = clock.startedAt();
+    machine.heardAt = clock.now() - Constants.SILENT_MS;
     LOG.info("machine {} kept from the former process, term {}", id, machine.term);
     publisher.touch();
   }
--- a/src/main/java/mallowstall/core/ReplicaRelocation.java
+++ b/src/main/java/mallowstall/core/ReplicaRelocation.java
@@ -18,14 +18,27 @@
 final class ReplicaRelocation {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.placement");
 
-  private final Core core;
+  private final View view;
+  private final PeerMessenger messenger;
+  private final Policy.Book policies;
   private final Holder holder;
+  private final GrantLedger quota;
   private final PolicyFacts facts;
   private final StartSender starts;
 
-  ReplicaRelocation(Core core, Holder holder, PolicyFacts facts, StartSender starts) {
-    this.core = core;
+  ReplicaRelocation(
+      View view,
+      PeerMessenger messenger,
+      Policy.Book policies,
+      Holder holder,
+      GrantLedger quota,
+      PolicyFacts facts,
+      StartSender starts) {
+    this.view = view;
+    this.messenger = messenger;
+    this.policies = policies;
     this.holder = holder;
+    this.quota = quota;
     this.facts = facts;
     this.starts = starts;
   }
@@ -49,7 +62,7 @@
         if (!active.seen || held.moves.underWay(active.task)) {
           continue;
         }
-        View.Seen from = core.view().machines.get(active.machine);
+        View.Seen from = view.machines.get(active.machine);
         if (from == null || !from.leaves()) {
           continue;
         }
@@ -61,7 +74,7 @@
             "replica {}/{} moves from {} to {}", held.id, active.task, active.machine, machine.id);
         held.moves.begin(active.task, machine.id, now);
         machine.book(held.spec, 1);
-        core.stop(
+        messenger.stop(
             from.owner,
             new StopOrder(
                 active.machine, held.id, active.task, active.attempt, held.spec.saveS() + 1));
@@ -74,14 +87,14 @@
     if (held.active.containsKey(replica) || held.granting || held.uncertain) {
       return;
     }
-    View.Seen machine = core.view().machines.get(held.moves.target(replica));
+    View.Seen machine = view.machines.get(held.moves.target(replica));
     held.moves.end(replica);
     if (machine == null) {
       return;
     }
     machine.book(held.spec, -1);
-    boolean granted = !holder.grants().limited(held.spec) || held.job.grant() > held.active.size();
-    boolean heard = machine.takes() && core.view().heardLately(machine);
+    boolean granted = !quota.limited(held.spec) || held.job.grant() > held.active.size();
+    boolean heard = machine.takes() && view.heardLately(machine);
     if (granted && heard && allowsMove(held, replica, machine)) {
       starts.start(held, replica, machine, List.of());
     }
@@ -92,7 +105,7 @@
     for (Active active : held.active.values()) {
       perMachine.merge(active.machine, 1, Integer::sum);
     }
-    Policy policy = core.policies().forClass(held.spec.jobClass());
+    Policy policy = policies.forClass(held.spec.jobClass());
     View.Seen best = null;
     double bestCost = Double.MAX_VALUE;
     for (View.Seen machine : machines) {
--- a/src/main/java/mallowstall/core/RosterPublisher.java
+++ b/src/main/java/mallowstall/core/RosterPublisher.java
@@ -5,7 +5,9 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.function.Consumer;
 import mallowstall.Constants;
+import mallowstall.core.Model.CoreSettings;
 import mallowstall.core.Model.Refusal;
 import mallowstall.core.Model.Roster;
 import mallowstall.core.Model.RosterMachine;
@@ -24,7 +26,14 @@
 final class RosterPublisher {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.owner");
 
-  private final Core core;
+  private final EventClock clock;
+  private final OwnLag lag;
+  private final CoreSettings settings;
+  private final Effects effects;
+  private final Metrics metrics;
+  private final View view;
+  private final Cancellations cancellations;
+  private final Consumer<Roster> localDelivery;
   private final Store store;
   private final OwnedMachines machines;
 
@@ -46,8 +55,25 @@
   /** Statements up to this one can't be built upon: what went since then is forgotten. */
   private long forgotten;
 
-  RosterPublisher(Core core, Store store, OwnedMachines machines) {
-    this.core = core;
+  RosterPublisher(
+      EventClock clock,
+      OwnLag lag,
+      CoreSettings settings,
+      Effects effects,
+      Metrics metrics,
+      Store store,
+      View view,
+      Cancellations cancellations,
+      Consumer<Roster> localDelivery,
+      OwnedMachines machines) {
+    this.clock = clock;
+    this.lag = lag;
+    this.settings = settings;
+    this.effects = effects;
+    this.metrics = metrics;
+    this.view = view;
+    this.cancellations = cancellations;
+    this.localDelivery = localDelivery;
     this.store = store;
     this.machines = machines;
   }
@@ -66,7 +92,7 @@
         start.attempt(),
         start.machine(),
         why);
-    core.metrics().count("refusals");
+    metrics.count("refusals");
     refusals.add(new Refusal(start.machine(), start.job(), start.task(), start.attempt(), why));
     dirty = true;
   }
@@ -74,7 +100,7 @@
   /** Publishes when something has changed, and at least once in a while. */
   void tick(long now) {
     long since = now - lastRoster;
-    long gap = core.lag().stretched(Constants.ROSTER_GAP_MS);
+    long gap = lag.stretched(Constants.ROSTER_GAP_MS);
     if ((dirty && since >= gap) || since >= Constants.ROSTER_EVERY_MS) {
       publish();
     }
@@ -85,7 +111,7 @@
       return;
     }
     dirty = false;
-    long now = core.now();
+    long now = clock.now();
     lastRoster = now;
     serial++;
     madeAt.put(serial, now);
@@ -95,18 +121,18 @@
     List<OwnedMachine> changed = collectChanges(now);
     List<Refusal> no = new ArrayList<>(refusals);
     refusals.clear();
-    for (String p : core.settings().peers()) {
-      View.Peer peer = core.view().peer(p);
-      core.effects().send(p, roster(peer, now - store.freshAt(), no));
+    for (String p : settings.peers()) {
+      View.Peer peer = view.peer(p);
+      effects.send(p, roster(peer, now - store.freshAt(), no));
     }
-    View.Peer sender = core.view().peer(core.node());
+    View.Peer sender = view.peer(settings.node());
     List<RosterMachine> mine = new ArrayList<>();
     for (OwnedMachine machine : changed) {
       mine.add(machine.published);
     }
-    core.rosterFrom(
+    localDelivery.accept(
         new Roster(
-            core.node(),
+            settings.node(),
             store.incarnation(),
             serial,
             sender.serial,
@@ -133,9 +159,9 @@
       }
     }
     // to acknowledge what it said would vouch for all cancellations newer than its mirror
-    boolean vouches = peer.rosterRevision > 0 && core.cancellations().keeps(peer.rosterRevision);
+    boolean vouches = peer.rosterRevision > 0 && cancellations.keeps(peer.rosterRevision);
     return new Roster(
-        core.node(),
+        settings.node(),
         store.incarnation(),
         serial,
         since,
@@ -146,7 +172,7 @@
         peer.receivedConnection,
         peer.receivedSequence,
         sinceMirror,
-        vouches ? core.cancellations().since(peer.rosterRevision) : List.of(),
+        vouches ? cancellations.since(peer.rosterRevision) : List.of(),
         ms,
         since == 0 ? List.of() : goneSince(since),
         no);
@@ -222,7 +248,7 @@
    */
   List<String> unpublishedChanges() {
     List<String> out = new ArrayList<>();
-    long now = core.now();
+    long now = clock.now();
     for (OwnedMachine machine : machines.all()) {
       if (machine.published == null || machine.changed || changedByTime(machine, now)) {
         continue;
--- a/src/main/java/mallowstall/core/StartSender.java
+++ b/src/main/java/mallowstall/core/StartSender.java
@@ -7,6 +7,7 @@
 import mallowstall.Constants;
 import mallowstall.core.Holder.Active;
 import mallowstall.core.Holder.Held;
+import mallowstall.core.Model.CoreSettings;
 import mallowstall.core.Model.StartOrder;
 import mallowstall.core.Model.Starts;
 import mallowstall.core.Model.TaskRef;
@@ -17,27 +18,42 @@
 final class StartSender {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.placement");
 
-  private final Core core;
+  private final EventClock clock;
+  private final CoreSettings settings;
+  private final Metrics metrics;
+  private final View view;
+  private final PeerMessenger messenger;
   private final Store store;
   private final Holder holder;
 
   /** Starts that have gathered, by owner. */
   private final Map<String, List<StartOrder>> out = new LinkedHashMap<>();
 
-  StartSender(Core core, Store store, Holder holder) {
-    this.core = core;
+  StartSender(
+      EventClock clock,
+      CoreSettings settings,
+      Metrics metrics,
+      Store store,
+      View view,
+      PeerMessenger messenger,
+      Holder holder) {
+    this.clock = clock;
+    this.settings = settings;
+    this.metrics = metrics;
+    this.view = view;
+    this.messenger = messenger;
     this.store = store;
     this.holder = holder;
   }
 
   /** Starts a task on the machine, in the place of these others. */
   void start(Held held, int task, View.Seen machine, List<TaskRef> instead) {
-    View.Peer peer = core.view().peer(machine.owner);
+    View.Peer peer = view.peer(machine.owner);
     long attempt = (held.job.epoch() << Constants.ATTEMPT_BITS) + ++held.counter;
     long life = Math.min(Constants.START_LIFE_MS, store.sessionLeft());
-    long expiry = core.wall() + life - 2 * core.settings().skewMs();
+    long expiry = clock.wallClock() + life - 2 * settings.skewMs();
     if (held.active.isEmpty() && held.doneCount == 0) {
-      core.metrics().time("job_wait", core.wall() - held.job.submittedMs());
+      metrics.time("job_wait", clock.wallClock() - held.job.submittedMs());
     }
     holder.place(
         new Active(
@@ -51,7 +67,7 @@
             machine.ownerIncarnation,
             peer.connection,
             peer.nextSequence));
-    held.lastStart = core.now();
+    held.lastStart = clock.now();
     machine.book(held.spec, 1);
     out.computeIfAbsent(machine.owner, k -> new ArrayList<>())
         .add(new StartOrder(machine.id, held.id, task, attempt, held.job.epoch(), expiry, instead));
@@ -68,11 +84,11 @@
   /** Sends the starts that have gathered, through the owners of their machines. */
   void send() {
     for (Map.Entry<String, List<StartOrder>> entry : out.entrySet()) {
-      View.Peer peer = core.view().peer(entry.getKey());
-      core.sendStarts(
+      View.Peer peer = view.peer(entry.getKey());
+      messenger.sendStarts(
           entry.getKey(),
           new Starts(
-              core.node(),
+              settings.node(),
               store.incarnation(),
               peer.connection,
               peer.nextSequence++,
--- a/src/main/java/mallowstall/core/StartVetting.java
+++ b/src/main/java/mallowstall/core/StartVetting.java
@@ -3,6 +3,7 @@
 import mallowstall.Constants;
 import mallowstall.core.Model.JobRec;
 import mallowstall.core.Model.JobSpec;
+import mallowstall.core.Model.Refusal;
 import mallowstall.core.Model.StartOrder;
 import mallowstall.core.Model.Starts;
 import mallowstall.core.Model.TaskRef;
@@ -14,15 +15,24 @@
  * job (the design's vetting by the owner).
  */
 final class StartVetting {
-  /** The owner's mirror lags: worth another try soon. */
-  static final String NOT_KNOWN = "job not known here yet";
-
-  private final Core core;
+  private final EventClock clock;
+  private final JobEntries jobEntries;
+  private final Connectivity connectivity;
+  private final Cancellations cancellations;
   private final Store store;
   private final OwnedMachines machines;
 
-  StartVetting(Core core, Store store, OwnedMachines machines) {
-    this.core = core;
+  StartVetting(
+      EventClock clock,
+      Store store,
+      JobEntries jobEntries,
+      Connectivity connectivity,
+      Cancellations cancellations,
+      OwnedMachines machines) {
+    this.clock = clock;
+    this.jobEntries = jobEntries;
+    this.connectivity = connectivity;
+    this.cancellations = cancellations;
     this.store = store;
     this.machines = machines;
   }
@@ -33,14 +43,14 @@
     if (machine == null || machine.version > store.revision()) {
       return "not the owner";
     }
-    if (!core.mayKeepAlive()) {
+    if (!connectivity.mayKeepAlive()) {
       return "cut off";
     }
     JobRec job = store.job(start.job());
     if (job == null) {
-      return NOT_KNOWN;
+      return Refusal.JOB_NOT_KNOWN;
     }
-    if (core.isOver(start.job(), job)) {
+    if (cancellations.isOver(start.job(), job)) {
       return "job is over";
     }
     if (start.epoch() < job.epoch()) {
@@ -49,20 +59,20 @@
     if (!store.live(starts.node(), starts.incarnation())) {
       return "holder's session is gone";
     }
-    if (core.wall() > start.expiryWallMs()) {
+    if (clock.wallClock() > start.expiryWallMs()) {
       return "expired";
     }
     JobSpec spec = job.spec();
-    if (core.isRecordedDone(job, start.task())) {
+    if (jobEntries.recorded(job, start.task())) {
       return "done already";
     }
-    if (!OwnedMachines.allowed(spec, machine.type.name(), machine.zone, machine.spot)) {
+    if (!spec.allowsMachine(machine.type.name(), machine.zone, machine.spot)) {
       return "machine not allowed";
     }
     if (!machine.confirmed) {
       return "machine doesn't show that it hears";
     }
-    if (!machines.usable(machine) || machine.drainUntil > core.now()) {
+    if (!machines.usable(machine) || machine.drainUntil > clock.now()) {
       return "machine set aside";
     }
     TaskKey key = new TaskKey(start.job(), start.task());
--- a/src/main/java/mallowstall/core/Store.java
+++ b/src/main/java/mallowstall/core/Store.java
@@ -67,19 +67,29 @@
     /** A machine had this record for a while, before the one that the mirror holds already. */
     void overtaken(String machine, MachineRec record);
 
-    /** A key changed; {@code now} null when deleted. */
+    /** A key changed; {@code before} is null when it is new, {@code now} when it is deleted. */
     void changed(String key, Entry before, Entry now);
 
-    /** The mirror is complete again after a listing. */
-    void synced();
+    /** The watch has been answered: the mirror is fresh up to a later time. */
+    void advanced();
+
+    /** The mirror is complete again after a listing, at this revision. */
+    void synced(long revision);
   }
 
   /** A request that waits for the rate, and what it costs of it. */
   private record Waiting(double reads, double writes, Runnable go) {}
 
-  private final Core core;
+  private final EventClock clock;
+  private final CoreSettings settings;
   private final Effects effects;
-  private final Listener listener;
+
+  /** The key of this controller's own session. */
+  private final String ownSessionKey;
+
+  /** Told of changes; set once, before the first event. */
+  private Listener listener;
+
   private final TreeMap<String, Held> mirror = new TreeMap<>();
 
   /**
@@ -121,10 +131,11 @@
   private long nextSessionTry;
   private long lastRenew;
 
-  Store(Core core, Effects effects, Listener listener, CoreSettings settings) {
-    this.core = core;
+  Store(EventClock clock, CoreSettings settings, Effects effects) {
+    this.clock = clock;
+    this.settings = settings;
     this.effects = effects;
-    this.listener = listener;
+    this.ownSessionKey = SESSIONS + settings.node();
     this.nodes = settings.peers().size() + 1;
     this.requestRate = settings.stateRps() * Constants.BUDGET_SHARE;
     this.writeRate = settings.stateWriteRps() * Constants.BUDGET_SHARE;
@@ -135,7 +146,11 @@
     }
   }
 
-  // ---- reading the mirror -------------------------------------------------------------------
+  /** Sets who is told of changes; called once, before the first event. */
+  void subscribe(Listener subscriber) {
+    listener = subscriber;
+  }
+
   long revision() {
     return synced ? revision : 0;
   }
@@ -165,6 +180,11 @@
     return machines.get(id);
   }
 
+  /** Whether the machine's record that was written at this revision has been dropped since. */
+  boolean returned(String machine, long version) {
+    return machine(machine) == null && version <= revision();
+  }
+
   /** The version to compare with when the key is written. */
   long version(String key) {
     if (key.startsWith(MACHINES)) {
@@ -229,7 +249,7 @@
    * process asked for may be carried out late, in place of this one's entry, and go with its own
    * lease: this process then renewed a lease that held nothing, and everybody took it for dead.
    */
-  void ownSession(SessionRec now) {
+  private void ownSession(SessionRec now) {
     if (!sessionPut || (now != null && now.incarnation() == incarnation)) {
       return;
     }
@@ -239,7 +259,7 @@
 
   /** Milliseconds for which this controller's session surely lasts; not positive: none. */
   long sessionLeft() {
-    return sessionPut ? leaseGoodUntil - core.now() : -1;
+    return sessionPut ? leaseGoodUntil - clock.now() : -1;
   }
 
   boolean sessionGood() {
@@ -271,7 +291,7 @@
   }
 
   void pump() {
-    long now = core.now();
+    long now = clock.now();
     for (Urgency urgency : Urgency.values()) {
       ArrayDeque<Waiting> queue = queues.get(urgency.ordinal());
       double reserve = urgency == Urgency.SESSION ? -100 : urgency == Urgency.BACKGROUND ? 4 : 0;
@@ -304,7 +324,7 @@
         1,
         n,
         () -> {
-          long sent = core.now();
+          long sent = clock.now();
           effects.transact(
               txn,
               reply -> {
@@ -332,7 +352,7 @@
             effects.get(
                 key,
                 r -> {
-                  contact(r.code(), core.now());
+                  contact(r.code(), clock.now());
                   if (r.code() == Code.OK && r.item().value() != null) {
                     apply(r.item());
                   }
@@ -402,7 +422,7 @@
         } else if (key.startsWith(MACHINES)) {
           machines.remove(key.substring(MACHINES.length()));
         }
-        listener.changed(key, old.value(), null);
+        notifyChange(key, old.value(), null);
       }
       return;
     }
@@ -412,7 +432,14 @@
     } else if (value instanceof MachineRec machineRecord) {
       machines.put(key.substring(MACHINES.length()), machineRecord);
     }
-    listener.changed(key, old == null ? null : old.value(), value);
+    notifyChange(key, old == null ? null : old.value(), value);
+  }
+
+  private void notifyChange(String key, Entry before, Entry after) {
+    if (key.equals(ownSessionKey)) {
+      ownSession((SessionRec) after);
+    }
+    listener.changed(key, before, after);
   }
 
   private void sync() {
@@ -420,18 +447,19 @@
       return;
     }
     syncing = true;
-    listFrom(null, 0, new java.util.HashSet<>(), core.now());
+    listFrom(null, 0, new java.util.HashSet<>(), clock.now());
   }
 
   private void listFrom(
       String after, long firstRevision, java.util.HashSet<String> seen, long began) {
-    requests.spend(core.now(), 1);
+    requests.spend(clock.now(), 1);
     effects.list(
         after,
         r -> {
-          contact(r.code(), core.now());
+          contact(r.code(), clock.now());
           if (r.code() != Code.OK) {
-            core.after(Constants.STATE_RETRY_MS, () -> listFrom(after, firstRevision, seen, began));
+            clock.schedule(
+                Constants.STATE_RETRY_MS, () -> listFrom(after, firstRevision, seen, began));
             return;
           }
           long first = after == null ? r.revision() : firstRevision;
@@ -460,26 +488,26 @@
           freshAt = began;
           syncing = false;
           synced = true;
-          listener.synced();
+          listener.synced(revision);
           watchOn();
         });
   }
 
   private void watchOn() {
-    long sent = core.now();
+    long sent = clock.now();
     requests.spend(sent, 1);
     effects.watch(
         revision,
         Constants.WATCH_HOLD_MS,
         r -> {
-          contact(r.code(), core.now());
+          contact(r.code(), clock.now());
           if (r.code() == Code.GONE) {
             synced = false;
             sync();
             return;
           }
           if (r.code() != Code.OK) {
-            core.after(Constants.STATE_RETRY_MS, this::watchOn);
+            clock.schedule(Constants.STATE_RETRY_MS, this::watchOn);
             return;
           }
           for (Item item : r.events()) {
@@ -487,16 +515,16 @@
           }
           revision = Math.max(revision, r.revision());
           freshAt = Math.max(freshAt, sent);
-          listener.changed(null, null, null);
-          core.after(Constants.WATCH_PAUSE_MS, this::watchOn);
+          listener.advanced();
+          clock.schedule(Constants.WATCH_PAUSE_MS, this::watchOn);
         });
   }
 
   // ---- session ------------------------------------------------------------------------------
   void tick() {
-    long now = core.now();
+    long now = clock.now();
     // those that live share the limits: the machines of a dead controller come all at once
-    int live = synced ? Math.max(1, Math.min(nodes, core.liveNodes().size())) : nodes;
+    int live = synced ? Math.max(1, Math.min(nodes, under(SESSIONS).size())) : nodes;
     requests.rate(now, requestRate / live);
     writes.rate(now, writeRate / live);
     if (incarnation == 0) {
@@ -519,7 +547,7 @@
 
   private void failed() {
     renewing = false;
-    nextSessionTry = core.now() + Constants.STATE_RETRY_MS;
+    nextSessionTry = clock.now() + Constants.STATE_RETRY_MS;
   }
 
   /** Incarnations come from a counter that is never set back, so no process shares one. */
@@ -557,7 +585,7 @@
 
   private void obtainLease() {
     renewing = true;
-    long sent = core.now();
+    long sent = clock.now();
     requests.spend(sent, 1);
     effects.grantLease(
         Constants.SESSION_TTL_MS,
@@ -590,7 +618,7 @@
     renewing = true;
     read(
         Urgency.SESSION,
-        SESSIONS + core.node(),
+        SESSIONS + settings.node(),
         reply -> {
           if (reply.code() == Code.OK) {
             putSession(reply.item().version());
@@ -602,15 +630,16 @@
 
   private void putSession(long version) {
     List<Put> puts = new ArrayList<>();
-    puts.add(new Put(SESSIONS + core.node(), new SessionRec(core.node(), incarnation), lease));
-    int programVersion = core.settings().programVersion();
-    if (programVersion > ClusterVersion.UNKNOWN) {
-      VersionRec shown = new VersionRec(core.node(), incarnation, programVersion);
-      puts.add(new Put(VERSIONS + core.node(), shown, 0));
+    puts.add(
+        new Put(SESSIONS + settings.node(), new SessionRec(settings.node(), incarnation), lease));
+    int programVersion = settings.programVersion();
+    if (programVersion > ProgramVersion.UNKNOWN) {
+      VersionRec shown = new VersionRec(settings.node(), incarnation, programVersion);
+      puts.add(new Put(VERSIONS + settings.node(), shown, 0));
     }
     transact(
         Urgency.SESSION,
-        new Txn(List.of(new Cond(SESSIONS + core.node(), version)), puts, List.of()),
+        new Txn(List.of(new Cond(SESSIONS + settings.node(), version)), puts, List.of()),
         reply -> {
           if (reply.code() == Code.NO_LEASE) {
             lease = 0;
@@ -632,7 +661,7 @@
 
   private void renew() {
     renewing = true;
-    long sent = core.now();
+    long sent = clock.now();
     requests.spend(sent, 1);
     effects.renewLease(
         lease,
--- a/src/main/java/mallowstall/core/StrandedJobs.java
+++ b/src/main/java/mallowstall/core/StrandedJobs.java
@@ -6,6 +6,7 @@
 import java.util.Map;
 import java.util.Set;
 import mallowstall.Constants;
+import mallowstall.core.Model.CoreSettings;
 import mallowstall.core.Model.JobRec;
 import mallowstall.core.Model.JobSpec;
 import mallowstall.core.Model.MachineType;
@@ -20,11 +21,15 @@
  * that the job doesn't allow. Mutable.
  */
 final class StrandedJobs {
-  private final Core core;
+  private final CoreSettings settings;
+  private final Store store;
+  private final View view;
   private final Map<String, Long> since = new HashMap<>();
 
-  StrandedJobs(Core core) {
-    this.core = core;
+  StrandedJobs(CoreSettings settings, Store store, View view) {
+    this.settings = settings;
+    this.store = store;
+    this.view = view;
   }
 
   /** Drops what is remembered of jobs that are over. */
@@ -57,14 +62,14 @@
   /** A replica runs nowhere, or no task of a batch does, and not for its team's limit. */
   private boolean waits(JobRec jobRecord) {
     JobSpec job = jobRecord.spec();
-    int placed = core.view().placed(job.id());
+    int placed = view.placed(job.id());
     boolean missing = job.service() ? placed < job.tasks() : placed == 0;
     return missing && (jobRecord.grant() > placed || !teamAtLimit(job));
   }
 
   private boolean teamAtLimit(JobSpec job) {
-    Team team = core.settings().teams().get(job.team());
-    Store.Held held = core.store().held(Store.TEAMS + job.team());
+    Team team = settings.teams().get(job.team());
+    Store.Held held = store.held(Store.TEAMS + job.team());
     if (team == null || held == null) {
       return false;
     }
@@ -112,8 +117,7 @@
 
   private static boolean roomIn(JobSpec job, List<String> zones, List<View.Seen> up) {
     for (View.Seen machine : up) {
-      if (!OwnedMachines.allowed(
-          job, machine.state.type(), machine.state.zone(), machine.state.spot())) {
+      if (!job.allowsMachine(machine.state.type(), machine.state.zone(), machine.state.spot())) {
         continue;
       }
       boolean fits =
--- a/src/main/java/mallowstall/core/Users.java
+++ b/src/main/java/mallowstall/core/Users.java
@@ -6,12 +6,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
+import java.util.function.ToIntFunction;
 import mallowstall.Constants;
 import mallowstall.core.Effects.Code;
 import mallowstall.core.Effects.Cond;
 import mallowstall.core.Effects.GetReply;
 import mallowstall.core.Effects.Put;
 import mallowstall.core.Effects.Txn;
+import mallowstall.core.Model.CoreSettings;
 import mallowstall.core.Model.Final;
 import mallowstall.core.Model.JobRec;
 import mallowstall.core.Model.JobSpec;
@@ -21,7 +23,14 @@
 
 /** What users ask for: accepted, cancelled and done are recorded before they are told. */
 final class Users {
-  private final Core core;
+  private final EventClock clock;
+  private final CoreSettings settings;
+  private final JobEntries jobEntries;
+  private final MachineTypeCatalog types;
+  private final Connectivity connectivity;
+  private final Cancellations cancellations;
+  private final ClusterVersion clusterVersion;
+  private final ToIntFunction<String> runningTasks;
   private final Store store;
   private final Map<String, List<Consumer<GetReply>>> reads = new HashMap<>();
   private final Map<String, JobRec> finals =
@@ -32,22 +41,38 @@
         }
       };
 
-  Users(Core core, Store store) {
-    this.core = core;
+  Users(
+      EventClock clock,
+      CoreSettings settings,
+      Store store,
+      JobEntries jobEntries,
+      MachineTypeCatalog types,
+      Connectivity connectivity,
+      Cancellations cancellations,
+      ClusterVersion clusterVersion,
+      ToIntFunction<String> runningTasks) {
+    this.clock = clock;
+    this.settings = settings;
+    this.jobEntries = jobEntries;
+    this.types = types;
+    this.connectivity = connectivity;
+    this.cancellations = cancellations;
+    this.clusterVersion = clusterVersion;
+    this.runningTasks = runningTasks;
     this.store = store;
   }
 
-  void jobChanged(String id, JobRec job) {
+  void jobChanged(JobRec before, JobRec job) {
     if (job.over()) {
-      finals.put(id, job);
+      finals.put(job.spec().id(), job);
     }
   }
 
   boolean ready() {
     return store.synced()
         && store.incarnation() != 0
-        && !core.types().isEmpty()
-        && !core.cutOffAlone();
+        && !types.isEmpty()
+        && !connectivity.isolatedFromStateService();
   }
 
   private UserAnswer later(String why) {
@@ -60,12 +85,12 @@
       query(spec.id(), reply);
       return;
     }
-    JobRec job = JobRec.accepted(spec, core.wall(), core.node(), store.incarnation());
-    if (!core.jobEntries().fits(job)) {
+    JobRec job = JobRec.accepted(spec, clock.wallClock(), settings.node(), store.incarnation());
+    if (!jobEntries.fits(job)) {
       refuse(spec.id(), 400, "the description is too large", reply);
       return;
     }
-    if (core.types().isEmpty()) {
+    if (types.isEmpty()) {
       reply.accept(later("the machine types are not known yet"));
       return;
     }
@@ -78,13 +103,13 @@
       reply.accept(later("no contact with the state service"));
       return;
     }
-    if (spec.service() && !core.clusterVersion().allowsServices()) {
+    if (spec.service() && !clusterVersion.allowsServices()) {
       UserAnswer notYet = later("a controller runs a version without services");
       unlessAccepted(spec.id(), notYet, reply);
       return;
     }
     String key = Store.JOBS + spec.id();
-    long since = core.now();
+    long since = clock.now();
     boolean asked =
         store.transact(
             Store.Urgency.USER,
@@ -100,7 +125,7 @@
       query(id, reply);
     } else if (code != Code.OK) {
       reply.accept(later("the job could not be recorded"));
-    } else if (core.now() - since > Constants.READ_LIFE_MS) {
+    } else if (clock.now() - since > Constants.READ_LIFE_MS) {
       // A controller that stood still meanwhile called a job pending that was over. The user asks
       // again and is told what it is then: read now, it was overtaken once more (seed 4932 of the
       // histories).
@@ -124,7 +149,7 @@
 
   /** Gives this answer unless the state service knows the job; then its state is told. */
   private void unlessAccepted(String id, UserAnswer otherwise, Consumer<UserAnswer> reply) {
-    if (!store.synced() || core.now() - store.contactAt() > Constants.READ_LIFE_MS) {
+    if (!store.synced() || clock.now() - store.contactAt() > Constants.READ_LIFE_MS) {
       reply.accept(otherwise);
       return;
     }
@@ -140,13 +165,13 @@
   }
 
   private String neverRuns(JobSpec spec) {
-    Team team = core.settings().teams().get(spec.team());
+    Team team = settings.teams().get(spec.team());
     if (team == null) {
       return "unknown team " + spec.team();
     }
     boolean any = false;
-    for (MachineType m : core.types().values()) {
-      any |= core.fits(spec, m) && (spec.zone() == null || m.zones().contains(spec.zone()));
+    for (MachineType m : types.all()) {
+      any |= spec.fits(m) && (spec.zone() == null || m.zones().contains(spec.zone()));
     }
     if (!any) {
       return "a task fits no allowed machine type";
@@ -195,8 +220,8 @@
     List<Consumer<GetReply>> all = new ArrayList<>();
     all.add(then);
     reads.put(id, all);
-    long since = core.now();
-    core.after(
+    long since = clock.now();
+    clock.schedule(
         0,
         () -> {
           reads.remove(id);
@@ -207,7 +232,7 @@
                   reply -> {
                     // A controller that stood still would tell what it read before: a job that
                     // others had called done meanwhile was called running again.
-                    boolean old = core.now() - since > Constants.READ_LIFE_MS;
+                    boolean old = clock.now() - since > Constants.READ_LIFE_MS;
                     GetReply said = old ? new GetReply(Code.REFUSED, null) : reply;
                     all.forEach(callback -> callback.accept(said));
                   });
@@ -225,7 +250,7 @@
     String id = read.spec().id();
     JobRec known = store.job(id);
     JobRec job = known != null && known.over() ? known : read;
-    if (!job.over() && core.cancellations().told(id)) {
+    if (!job.over() && cancellations.told(id)) {
       job = job.withFinal(Final.CANCELLED);
     }
     if (job.fin() == Final.DONE) {
@@ -234,7 +259,7 @@
     if (job.fin() == Final.CANCELLED) {
       return UserAnswer.state(200, id, "cancelled", job.doneCount(), 0);
     }
-    int running = core.running(id);
+    int running = runningTasks.applyAsInt(id);
     return UserAnswer.state(200, id, running > 0 ? "running" : "pending", job.doneCount(), running);
   }
 
@@ -265,7 +290,7 @@
             return;
           }
           JobRec cancelled = job.withFinal(Final.CANCELLED);
-          JobEntries.Write write = core.jobEntries().keepingBits(cancelled, read.item().version());
+          JobEntries.Write write = jobEntries.keepingBits(cancelled, read.item().version());
           boolean asked =
               store.transact(
                   Store.Urgency.USER,
--- a/src/main/java/mallowstall/core/View.java
+++ b/src/main/java/mallowstall/core/View.java
@@ -80,7 +80,7 @@
 
     /** Whether the job may run on such a machine. */
     boolean allows(JobSpec spec) {
-      return OwnedMachines.allowed(spec, state.type(), state.zone(), state.spot());
+      return spec.allowsMachine(state.type(), state.zone(), state.spot());
     }
 
     /** How many tasks of the job have room. */
@@ -200,10 +200,12 @@
   /** Whether the last roster said something new of a machine, and didn't only restate. */
   private boolean lastRosterChangedMachines;
 
-  private final Core core;
+  private final EventClock clock;
+  private final Store store;
 
-  View(Core core) {
-    this.core = core;
+  View(EventClock clock, Store store) {
+    this.clock = clock;
+    this.store = store;
   }
 
   Peer peer(String node) {
@@ -227,7 +229,7 @@
       return false;
     }
     sender.received = ++received;
-    sender.hear(roster, core.incarnation(), core.now());
+    sender.hear(roster, store.incarnation(), clock.now());
     Set<String> told = takeMachines(roster, sender);
     boolean tellsAll = roster.since() == 0;
     if (tellsAll) {
@@ -259,7 +261,7 @@
     lastRosterChangedMachines = false;
     for (RosterMachine state : roster.machines()) {
       // returned: its record is dropped, only its owner hasn't heard of it yet
-      if (core.returned(state.machine(), state.version())) {
+      if (store.returned(state.machine(), state.version())) {
         continue;
       }
       Seen machine = machines.computeIfAbsent(state.machine(), Seen::new);
@@ -274,7 +276,7 @@
       lastRosterChangedMachines |= moved || machine.state == null || !state.sameAs(machine.state);
       machine.owner = sender.node;
       machine.ownerIncarnation = roster.incarnation();
-      machine.updatedAt = core.now();
+      machine.updatedAt = clock.now();
       count(machine.state, -1);
       machine.state = state;
       count(state, 1);
@@ -321,7 +323,7 @@
     Set<String> images = new LinkedHashSet<>(machine.state.images());
     machine.fetching = new ArrayList<>();
     for (RosterTask task : machine.state.tasks()) {
-      JobRec job = task.state() == TaskState.EXITED ? null : core.store().job(task.job());
+      JobRec job = task.state() == TaskState.EXITED ? null : store.job(task.job());
       if (job == null) {
         continue;
       }
@@ -336,7 +338,7 @@
   /** Whether replicas of services are on the machine, as its owner last told. */
   boolean hostsReplicas(Seen machine) {
     for (RosterTask task : machine.state.tasks()) {
-      JobRec job = task.state() == TaskState.EXITED ? null : core.store().job(task.job());
+      JobRec job = task.state() == TaskState.EXITED ? null : store.job(task.job());
       if (job != null && job.spec().service() && !job.over()) {
         return true;
       }
@@ -358,7 +360,7 @@
 
   /** Whether the machine's owner was heard so lately that a start has a chance there. */
   boolean heardLately(Seen machine) {
-    return core.now() - heardAt(machine) < Constants.ROSTER_STALE_MS;
+    return clock.now() - heardAt(machine) < Constants.ROSTER_STALE_MS;
   }
 
   void gone(String machine) {
--- a/src/main/java/mallowstall/core/WaitingWork.java
+++ b/src/main/java/mallowstall/core/WaitingWork.java
@@ -8,6 +8,7 @@
 import java.util.Map;
 import mallowstall.Constants;
 import mallowstall.core.Holder.Held;
+import mallowstall.core.Model.CoreSettings;
 import mallowstall.core.Model.JobRec;
 import mallowstall.core.Model.JobSpec;
 import mallowstall.core.Model.MachineType;
@@ -20,7 +21,12 @@
   /** Waiting work of one job, as far as it matters to others. */
   private record Ahead(String job, int rank, String type, String holder, double cpus) {}
 
-  private final Core core;
+  private final EventClock clock;
+  private final CoreSettings settings;
+  private final View view;
+  private final MachineTypeCatalog types;
+  private final OpenJobs openJobs;
+  private final MachineDemand demand;
   private final Store store;
   private final JobRanking ranking;
 
@@ -35,8 +41,21 @@
   /** Tasks that machines with the image can run at a time, by image. */
   private final Object2DoubleOpenHashMap<String> warm = new Object2DoubleOpenHashMap<>();
 
-  WaitingWork(Core core, Store store, JobRanking ranking) {
-    this.core = core;
+  WaitingWork(
+      EventClock clock,
+      CoreSettings settings,
+      Store store,
+      View view,
+      MachineTypeCatalog types,
+      OpenJobs openJobs,
+      MachineDemand demand,
+      JobRanking ranking) {
+    this.clock = clock;
+    this.settings = settings;
+    this.view = view;
+    this.types = types;
+    this.openJobs = openJobs;
+    this.demand = demand;
     this.store = store;
     this.ranking = ranking;
   }
@@ -69,7 +88,7 @@
    * holds a job back only for a while, since those may have reasons of their own to wait.
    */
   boolean outranked(Held held, long now) {
-    String type = core.demand().minimalType(held.spec);
+    String type = demand.minimalType(held.spec);
     if (type == null) {
       return false;
     }
@@ -82,7 +101,7 @@
       if (waitingWork.rank == 0
           && turn
           && type.equals(waitingWork.type)
-          && !core.node().equals(waitingWork.holder)) {
+          && !settings.node().equals(waitingWork.holder)) {
         starving += waitingWork.cpus;
       }
     }
@@ -91,7 +110,7 @@
     }
     double ahead = 0;
     for (Ahead a : aheads) {
-      if (a.rank < mine && type.equals(a.type) && !core.node().equals(a.holder)) {
+      if (a.rank < mine && type.equals(a.type) && !settings.node().equals(a.holder)) {
         ahead += a.cpus;
       }
     }
@@ -114,13 +133,13 @@
     warm.clear();
     starvingSince.keySet().removeIf(id -> store.job(id) == null || store.job(id).over());
     Map<String, JobSpec> sample = new HashMap<>();
-    for (JobRec job : core.openJobs()) {
+    for (JobRec job : openJobs.all()) {
       if (!job.over()) {
         sample.put(job.spec().image(), job.spec());
         countWaiting(job);
       }
     }
-    for (View.Seen machine : core.view().machines.values()) {
+    for (View.Seen machine : view.machines.values()) {
       if (machine.takes()) {
         countWarm(machine, sample);
       }
@@ -129,7 +148,7 @@
 
   private void countWaiting(JobRec job) {
     JobSpec spec = job.spec();
-    int placed = core.view().placed(spec.id());
+    int placed = view.placed(spec.id());
     int tasks = Math.max(0, spec.tasks() - job.doneCount() - placed);
     if (tasks == 0) {
       return;
@@ -140,20 +159,20 @@
     if (!store.live(job.holder(), job.incarnation())) {
       return;
     }
-    boolean starves = placed == 0 && core.wall() - job.submittedMs() > Constants.STARVES_MS;
+    boolean starves = placed == 0 && clock.wallClock() - job.submittedMs() > Constants.STARVES_MS;
     if (starves) {
-      starvingSince.putIfAbsent(spec.id(), core.now());
+      starvingSince.putIfAbsent(spec.id(), clock.now());
     } else {
       starvingSince.remove(spec.id());
     }
     int rank = starves ? 0 : ranking.rank(job, spec);
     double cpus = (starves ? Math.max(1, spec.tasks() / 10) : tasks) * spec.cpus();
-    aheads.add(new Ahead(spec.id(), rank, core.demand().minimalType(spec), job.holder(), cpus));
+    aheads.add(new Ahead(spec.id(), rank, demand.minimalType(spec), job.holder(), cpus));
   }
 
   /** A machine with several images that are waited for serves each of them only in part. */
   private void countWarm(View.Seen machine, Map<String, JobSpec> sample) {
-    core.view().derive(machine);
+    view.derive(machine);
     int wanted = 0;
     for (String image : machine.images) {
       if (waiting.containsKey(image)) {
@@ -173,7 +192,7 @@
 
   /** How many tasks like this one an empty machine would hold. */
   private double slots(View.Seen machine, JobSpec spec) {
-    MachineType type = core.types().get(machine.state.type());
+    MachineType type = types.find(machine.state.type());
     if (type == null) {
       return 0;
     }
--- a/src/main/java/mallowstall/core/WorkerReports.java
+++ b/src/main/java/mallowstall/core/WorkerReports.java
@@ -7,9 +7,11 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.OptionalDouble;
+import java.util.function.Predicate;
 import mallowstall.Constants;
 import mallowstall.core.Model.Command;
 import mallowstall.core.Model.CommandKind;
+import mallowstall.core.Model.CoreSettings;
 import mallowstall.core.Model.ExitReason;
 import mallowstall.core.Model.JobRec;
 import mallowstall.core.Model.JobSpec;
@@ -27,15 +29,34 @@
 final class WorkerReports {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.owner");
 
-  private final Core core;
+  private final EventClock clock;
+  private final CoreSettings settings;
+  private final JobEntries jobEntries;
+  private final ImageSizes imageSizes;
+  private final Cancellations cancellations;
+  private final Predicate<String> jobAtFault;
   private final Store store;
   private final OwnedMachines machines;
   private final RosterPublisher publisher;
   private final Terms terms;
 
   WorkerReports(
-      Core core, Store store, OwnedMachines machines, RosterPublisher publisher, Terms terms) {
-    this.core = core;
+      EventClock clock,
+      CoreSettings settings,
+      Store store,
+      JobEntries jobEntries,
+      ImageSizes imageSizes,
+      Cancellations cancellations,
+      Predicate<String> jobAtFault,
+      OwnedMachines machines,
+      RosterPublisher publisher,
+      Terms terms) {
+    this.clock = clock;
+    this.settings = settings;
+    this.jobEntries = jobEntries;
+    this.imageSizes = imageSizes;
+    this.cancellations = cancellations;
+    this.jobAtFault = jobAtFault;
     this.store = store;
     this.machines = machines;
     this.publisher = publisher;
@@ -53,7 +74,7 @@
    * responses to its reports are dead.
    */
   void take(OwnedMachine machine, Report report, boolean byReport) {
-    long now = core.now();
+    long now = clock.now();
     boolean news = saysMoreThanTasks(machine, report);
     if (report.session() > machine.session) {
       beginSession(machine, now);
@@ -109,7 +130,7 @@
     machine.handledReport = 0;
     if (machine.session != 0
         && machine.confirmed
-        && now - machine.answeredAt < core.settings().leaseMs() / 2) {
+        && now - machine.answeredAt < settings.leaseMs() / 2) {
       // Its lease ran out although it was answered: it doesn't hear. It gets no task before it
       // has shown a new term; once a deaf machine drew start after start.
       LOG.info("machine {} lost its lease although it was answered", machine.id);
@@ -139,7 +160,7 @@
       }
       JobRec job = store.job(task.job());
       if (job != null && (task.state() == TaskState.RUNNING || task.why() == ExitReason.DONE)) {
-        machine.cacheImage(job.spec().image(), core::imageGb);
+        machine.cacheImage(job.spec().image(), imageSizes::gigabytes);
       }
       if (task.state() == TaskState.EXITED) {
         ended(machine, task);
@@ -177,7 +198,7 @@
         it.remove();
       } else if (!byReport || machine.openStarts.containsKey(key)) {
         continue; // may still arrive at the worker
-      } else if (core.wall() > start.expiryWallMs()) {
+      } else if (clock.wallClock() > start.expiryWallMs()) {
         // sent or not: a response is never executed once a later report was sent, and this is one
         it.remove();
       }
@@ -188,7 +209,7 @@
   private void ended(OwnedMachine machine, TaskReport task) {
     if (task.why() == ExitReason.DONE) {
       machine.errorsInRow = 0;
-    } else if (task.why() == ExitReason.ERROR && !core.jobAtFault(task.job())) {
+    } else if (task.why() == ExitReason.ERROR && !jobAtFault.test(task.job())) {
       machine.errorsInRow++;
       LOG.info(
           "task {}/{} failed on {}, {} in a row",
@@ -197,7 +218,7 @@
           machine.id,
           machine.errorsInRow);
       if (machine.errorsInRow >= Constants.FAULTY_ERRORS) {
-        machine.quarantineUntil = core.now() + Constants.QUARANTINE_MS;
+        machine.quarantineUntil = clock.now() + Constants.QUARANTINE_MS;
         if (machine.errorsInRow >= Constants.BROKEN_ERRORS) {
           machine.faulty = true;
         }
@@ -223,7 +244,7 @@
     machine.stops.keySet().removeIf(key -> !machine.holds(key));
     commands.addAll(stops);
     addStarts(machine, commands);
-    machine.answeredAt = core.now();
+    machine.answeredAt = clock.now();
     return ReportAnswer.ok(machine.term, commands);
   }
 
@@ -238,15 +259,16 @@
     if (job == null || machine.openStarts.containsKey(key)) {
       return false;
     }
-    return core.isOver(task.job(), job)
-        || core.isRecordedDone(job, task.task())
+    return cancellations.isOver(task.job(), job)
+        || jobEntries.recorded(job, task.task())
         || machines.runsAgain(task) && machine.announcedEnds.getLong(key) == task.attempt();
   }
 
   /** Seconds that the task gets to save before it is stopped; none: it goes on. */
   private OptionalDouble stopGrace(OwnedMachine machine, TaskReport task) {
     JobRec job = store.job(task.job());
-    if (core.isOver(task.job(), job) || job != null && core.isRecordedDone(job, task.task())) {
+    if (cancellations.isOver(task.job(), job)
+        || job != null && jobEntries.recorded(job, task.task())) {
       return OptionalDouble.of(0);
     }
     StopOrder stop = machine.stops.get(TaskAttempt.of(task).key());
@@ -265,7 +287,7 @@
     return machine.noticeUntil != Long.MAX_VALUE
         && task.state() == TaskState.RUNNING
         && spec.checkpointS() > 0
-        && machine.noticeUntil - core.now() < (spec.saveS() + Constants.NOTICE_SAVE_S) * 1000;
+        && machine.noticeUntil - clock.now() < (spec.saveS() + Constants.NOTICE_SAVE_S) * 1000;
   }
 
   /** Adds accepted starts as far as the answer has room; refuses those that came too late. */
@@ -280,8 +302,9 @@
       }
       JobRec job = store.job(start.job());
       boolean unwanted =
-          core.isOver(start.job(), job) || job != null && core.isRecordedDone(job, start.task());
-      if (unwanted || machine.stops.containsKey(key) || core.wall() > start.expiryWallMs()) {
+          cancellations.isOver(start.job(), job)
+              || job != null && jobEntries.recorded(job, start.task());
+      if (unwanted || machine.stops.containsKey(key) || clock.wallClock() > start.expiryWallMs()) {
         // every earlier response is dead by now (this answers a later report), so it never runs
         reservations.remove();
         machine.changed = true;
--- a/src/test/java/mallowstall/core/InvariantChecker.java
+++ b/src/test/java/mallowstall/core/InvariantChecker.java
@@ -99,7 +99,7 @@
         broken.add(now + " ran_twice: " + m + " while on " + task.machine);
       }
     }
-    if (!OwnedMachines.allowed(spec, m.type, m.zone, m.spot)) {
+    if (!spec.allowsMachine(m.type, m.zone, m.spot)) {
       broken.add(now + " wrong_place: " + m);
     }
     int zone = 1;
@@ -275,7 +275,7 @@
       return false;
     }
     for (Machine machine : up.values()) {
-      if (!OwnedMachines.allowed(spec, machine.type, machine.zone, machine.spot)
+      if (!spec.allowsMachine(machine.type, machine.zone, machine.spot)
           || !zoneAllowed(spec, machine.zone)) {
         continue;
       }
--- a/src/test/java/mallowstall/core/JobEntriesTest.java
+++ b/src/test/java/mallowstall/core/JobEntriesTest.java
@@ -50,7 +50,7 @@
             5,
             2_000,
             Map.of(),
-            ClusterVersion.CURRENT);
+            ProgramVersion.CURRENT);
     return new JobEntries(settings, Simulation::size, () -> allReadPieces, stored::get);
   }
 
--- a/src/test/java/mallowstall/core/RandomizedUpgradeTest.java
+++ b/src/test/java/mallowstall/core/RandomizedUpgradeTest.java
@@ -99,7 +99,7 @@
   }
 
   private static Simulation history(long seed) {
-    Simulation sim = new Simulation(seed, ClusterVersion.UNKNOWN);
+    Simulation sim = new Simulation(seed, ProgramVersion.UNKNOWN);
     sim.loss = seed % 4 == 0 ? 0.02 : 0;
     sim.rosterChaos = seed % 2 == 0 ? 0.2 : 0;
     sim.lateCopies = seed % 3 == 0 ? 0.2 : 0;
@@ -192,7 +192,7 @@
 
   /** Whoever waits for a claim that doesn't come has its turn all the same. */
   private static void upgradeAtLast(Simulation sim, SimulatedController node) {
-    if (node.installed == ClusterVersion.CURRENT) {
+    if (node.installed == ProgramVersion.CURRENT) {
       return;
     }
     node.atNextClaim = null;
@@ -207,7 +207,7 @@
     if (!node.up) {
       return;
     }
-    if (node.installed != ClusterVersion.CURRENT) {
+    if (node.installed != ProgramVersion.CURRENT) {
       sim.strike("came back old");
     }
     node.crash(sim.rnd.nextBoolean() ? 50 + sim.rnd.nextInt(900) : 1_000 + sim.rnd.nextInt(8_000));
--- a/src/test/java/mallowstall/core/SimulatedController.java
+++ b/src/test/java/mallowstall/core/SimulatedController.java
@@ -128,7 +128,7 @@
                 running),
             this,
             c -> new Simulation.TestPolicy(c, () -> sim.evaluations++),
-            new Core.Metrics() {
+            new Metrics() {
               @Override
               public void count(String what) {}
 
@@ -155,7 +155,7 @@
   }
 
   boolean knowsServices() {
-    return running >= ClusterVersion.WITH_SERVICES;
+    return running >= ProgramVersion.WITH_SERVICES;
   }
 
   /**
--- a/src/test/java/mallowstall/core/Simulation.java
+++ b/src/test/java/mallowstall/core/Simulation.java
@@ -114,7 +114,7 @@
   final StateLimits kept;
 
   Simulation(long seed) {
-    this(seed, ClusterVersion.CURRENT);
+    this(seed, ProgramVersion.CURRENT);
   }
 
   /** All controllers begin with this program version. */
@@ -123,7 +123,7 @@
   }
 
   Simulation(long seed, StateLimits kept) {
-    this(seed, ClusterVersion.CURRENT, kept);
+    this(seed, ProgramVersion.CURRENT, kept);
   }
 
   private Simulation(long seed, int programVersion, StateLimits kept) {
@@ -178,7 +178,7 @@
    * that is not told although it changed would let a start pass for one that never arrived.
    */
   private void compare(Core c) {
-    for (String id : c.owner().unpublishedChanges()) {
+    for (String id : c.unpublishedChanges()) {
       rules.broken.add(now + " untold: " + id);
     }
     Map<String, Integer> placed = new HashMap<>();
@@ -231,7 +231,7 @@
 
   /** Its turn in the upgrade has come: it is killed, and every later process is of the present. */
   void upgrade(SimulatedController node, long downMs) {
-    node.installed = ClusterVersion.CURRENT;
+    node.installed = ProgramVersion.CURRENT;
     strike(node.up ? "upgrade" : "upgrade, while down");
     if (node.up) {
       node.crash(downMs);
@@ -241,7 +241,7 @@
   /** Whether every controller is up with the present version. */
   boolean allUpgraded() {
     return nodes.values().stream()
-        .allMatch(node -> node.up && node.running == ClusterVersion.CURRENT);
+        .allMatch(node -> node.up && node.running == ProgramVersion.CURRENT);
   }
 
   // ---- workers ------------------------------------------------------------------------------
--- a/src/test/java/mallowstall/core/UpgradeTest.java
+++ b/src/test/java/mallowstall/core/UpgradeTest.java
@@ -65,7 +65,7 @@
 
   /** A cluster of which these controllers are of the present version, and the others old. */
   private static Simulation mixed(long seed, String... upgraded) {
-    Simulation sim = new Simulation(seed, ClusterVersion.UNKNOWN);
+    Simulation sim = new Simulation(seed, ProgramVersion.UNKNOWN);
     sim.run(8_000);
     upgrade(sim, upgraded);
     return sim;
@@ -130,7 +130,7 @@
       Simulation sim = withService(304);
       sim.submit(batch(sim, 6));
       SimulatedController old = sim.nodes.get(name);
-      old.installed = ClusterVersion.UNKNOWN;
+      old.installed = ProgramVersion.UNKNOWN;
       old.crash(500);
       sim.run(sim.now + RUNS_AGAIN_MS);
       assertEquals(503, queryAt(sim, old, SERVICE).status());
@@ -154,7 +154,7 @@
   void anOldControllerLeftAloneDoesNotEndAService() {
     Simulation sim = withService(305);
     SimulatedController old = sim.nodes.get("n1");
-    old.installed = ClusterVersion.UNKNOWN;
+    old.installed = ProgramVersion.UNKNOWN;
     for (SimulatedController node : sim.nodes.values()) {
       node.crash(node == old ? 500 : 60_000);
     }
@@ -212,7 +212,7 @@
 
   /** The controller ends and comes back at once with the version that knows no services. */
   private static void comesBackOld(Simulation sim, SimulatedController node) {
-    node.installed = ClusterVersion.UNKNOWN;
+    node.installed = ProgramVersion.UNKNOWN;
     node.crash(500);
     sim.run(sim.now + 10_000);
   }
