--- a/src/main/java/mallowstall/core/Core.java
+++ b/src/main/java/mallowstall/core/Core.java
@@ -28,126 +28,179 @@
 public final class Core {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.core");
 
+  private final CoreSettings settings;
+  private final Effects effects;
+  private final Metrics metrics;
   private final EventClock clock = new EventClock();
   private final OwnLag lag = new OwnLag();
   private final Store store;
   private final View view;
   private final MachineTypeCatalog types;
+  private final ImageSizes imageSizes;
+  private final OpenJobs openJobs;
+  private final Membership membership;
+  private final Connectivity connectivity;
+  private final Cancellations cancellations;
+  private final ClusterVersion clusterVersion;
+  private final JobEntries jobEntries;
   private final PeerMessenger messenger;
   private final PlacementTrigger placementTrigger;
   private final Holder holder;
   private final OwnedMachines machines;
+  private final MachineRecords records;
   private final RosterPublisher publisher;
+  private final Terms terms;
+  private final WorkerReports reports;
   private final DirectCommands commands;
+  private final MachineAdoption adoption;
   private final ReclaimedMachines reclaimed;
   private final HeartbeatRouter heartbeats;
   private final StopRequestHandler stopRequests;
+  private final OwnershipChanges ownership;
+  private final Owner owner;
   private final PeerStartReceiver startReceiver;
   private final StatusUpdateReceiver statusUpdates;
-  private final Owner owner;
+  private final MachineDemand demand;
+  private final JobRanking ranking;
   private final GrantLedger quota;
-  private final Placement placement;
   private final Fleet fleet;
+  private final Placement placement;
   private final DigestPublisher digest;
   private final Users users;
 
   /** A core that does nothing before its first event. */
   public Core(
       CoreSettings settings, Effects effects, Policy.Book policies, Metrics metrics, long seed) {
-    // state service and cluster
+    this.settings = settings;
+    this.effects = effects;
+    this.metrics = metrics;
     store = new Store(clock, settings, effects);
     view = new View(clock, store);
     types = new MachineTypeCatalog(clock, effects);
-    ImageSizes imageSizes = new ImageSizes();
-    OpenJobs openJobs = new OpenJobs();
-    Membership membership = new Membership(settings, store);
-    Connectivity connectivity = new Connectivity(clock, settings, store, view);
-    Cancellations cancellations = new Cancellations(store, this::jobCancelled);
-    ClusterVersion clusterVersion = new ClusterVersion(settings, store);
-    JobEntries jobEntries =
-        new JobEntries(
-            settings, effects::encodedSize, clusterVersion::allowsSmallPieces, store::held);
+    imageSizes = new ImageSizes();
+    openJobs = new OpenJobs();
+    membership = new Membership(settings, store);
+    connectivity = new Connectivity(clock, settings, store, view);
+    cancellations = new Cancellations(store, this::jobCancelled);
+    clusterVersion = new ClusterVersion(settings, store);
+    jobEntries = newJobEntries();
     messenger =
         new PeerMessenger(settings, effects, store, view, this::receiveStarts, this::receiveStops);
     placementTrigger = new PlacementTrigger(clock, lag);
-
-    // jobs
-    holder =
-        new Holder(
-            clock,
-            settings,
-            store,
-            jobEntries,
-            view,
-            openJobs,
-            membership,
-            messenger,
-            placementTrigger);
-
-    // machines
+    holder = newHolder();
     machines = new OwnedMachines(clock, settings, store, view);
-    MachineRecords records = new MachineRecords(settings, effects, store);
-    publisher =
-        new RosterPublisher(
-            clock,
-            lag,
-            settings,
-            effects,
-            metrics,
-            store,
-            view,
-            cancellations,
-            this::receiveStatusUpdate,
-            machines);
-    Terms terms = new Terms(machines, records, publisher);
-    WorkerReports reports =
-        new WorkerReports(
-            clock,
-            settings,
-            store,
-            jobEntries,
-            imageSizes,
-            cancellations,
-            holder::atFault,
-            machines,
-            publisher,
-            terms);
+    records = new MachineRecords(settings, effects, store);
+    publisher = newPublisher();
+    terms = new Terms(machines, records, publisher);
+    reports = newReports();
     commands =
         new DirectCommands(
             clock, effects, store, connectivity, cancellations, reports, machines, terms);
-    StartVetting vetting =
-        new StartVetting(clock, store, jobEntries, connectivity, cancellations, machines);
-    MachineAdoption adoption =
-        new MachineAdoption(
-            clock, settings, store, view, types, membership, machines, records, reports);
+    adoption = newAdoption();
     reclaimed = new ReclaimedMachines(clock, settings, store, types, machines, records, publisher);
+    heartbeats = newHeartbeats();
+    stopRequests = new StopRequestHandler(clock, machines, publisher, commands);
+    ownership = new OwnershipChanges(settings, store, machines, publisher, adoption, reclaimed);
+    owner = newOwner();
+    startReceiver = newStartReceiver();
+    statusUpdates = newStatusUpdates();
+    demand = new MachineDemand(clock, settings, view, types, openJobs);
+    types.subscribe(demand::typesChanged);
+    ranking = new JobRanking(clock, settings, view, types, demand);
+    quota = newQuota();
+    fleet = newFleet();
+    placement = newPlacement(policies, seed);
+    digest = newDigest();
+    users = newUsers();
+    store.subscribe(newDispatcher());
+  }
+
+  private JobEntries newJobEntries() {
+    return new JobEntries(
+        settings, effects::encodedSize, clusterVersion::allowsSmallPieces, store::held);
+  }
+
+  private Holder newHolder() {
+    return new Holder(
+        clock,
+        settings,
+        store,
+        jobEntries,
+        view,
+        openJobs,
+        membership,
+        messenger,
+        placementTrigger);
+  }
+
+  private RosterPublisher newPublisher() {
+    return new RosterPublisher(
+        clock,
+        lag,
+        settings,
+        effects,
+        metrics,
+        store,
+        view,
+        cancellations,
+        this::receiveStatusUpdate,
+        machines);
+  }
+
+  private WorkerReports newReports() {
+    return new WorkerReports(
+        clock,
+        settings,
+        store,
+        jobEntries,
+        imageSizes,
+        cancellations,
+        holder::atFault,
+        machines,
+        publisher,
+        terms);
+  }
+
+  private MachineAdoption newAdoption() {
+    return new MachineAdoption(
+        clock, settings, store, view, types, membership, machines, records, reports);
+  }
+
+  private HeartbeatRouter newHeartbeats() {
+    return new HeartbeatRouter(clock, store, types, connectivity, machines, reports, adoption);
+  }
+
+  private Owner newOwner() {
     OrphanTakeover orphans =
         new OrphanTakeover(
             clock, settings, effects, store, view, types, membership, machines, records, reports);
-    heartbeats =
-        new HeartbeatRouter(clock, store, types, connectivity, machines, reports, adoption);
+    LeaseExpiry leases = new LeaseExpiry(settings, store, machines, terms, publisher);
+    return new Owner(clock, machines, records, publisher, commands, adoption, orphans, leases);
+  }
+
+  private PeerStartReceiver newStartReceiver() {
+    StartVetting vetting =
+        new StartVetting(clock, store, jobEntries, connectivity, cancellations, machines);
     StartRequestHandler startRequests =
         new StartRequestHandler(metrics, store, machines, publisher, commands, vetting);
-    stopRequests = new StopRequestHandler(clock, machines, publisher, commands);
-    OwnershipChanges ownership =
-        new OwnershipChanges(settings, store, machines, publisher, adoption, reclaimed);
-    LeaseExpiry leases = new LeaseExpiry(settings, store, machines, terms, publisher);
-    owner = new Owner(clock, machines, records, publisher, commands, adoption, orphans, leases);
-    startReceiver = new PeerStartReceiver(view, startRequests::starts);
-    statusUpdates =
-        new StatusUpdateReceiver(
-            store,
-            view,
-            cancellations,
-            publisher::statementSentAt,
-            holder::roster,
-            placementTrigger);
+    return new PeerStartReceiver(view, startRequests::starts);
+  }
 
-    // autoscaling
-    MachineDemand demand = new MachineDemand(clock, settings, view, types, openJobs);
-    types.subscribe(demand::typesChanged);
-    double cloudCalls = settings.cloudRps() * Constants.BUDGET_SHARE;
-    Budget calls = new Budget(cloudCalls, settings.cloudRps() * 2 * Constants.BUDGET_SHARE);
+  private StatusUpdateReceiver newStatusUpdates() {
+    return new StatusUpdateReceiver(
+        store, view, cancellations, publisher::statementSentAt, holder::roster, placementTrigger);
+  }
+
+  private GrantLedger newQuota() {
+    return new GrantLedger(
+        clock, settings, store, jobEntries, openJobs, placementTrigger, holder, ranking::order);
+  }
+
+  private Fleet newFleet() {
+    double callsPerSecond = settings.cloudRps();
+    Budget calls =
+        new Budget(
+            callsPerSecond * Constants.BUDGET_SHARE, callsPerSecond * 2 * Constants.BUDGET_SHARE);
     CloudListing listing = new CloudListing(clock, effects, calls);
     MachineRentals rentals =
         new MachineRentals(
@@ -172,15 +225,11 @@
               rentals.coming().remove(machine);
               listing.forget(machine);
             });
-    fleet =
-        new Fleet(
-            clock, settings, store, view, types, demand, listing, rentals, returns, messenger);
-
-    // quota and placement
-    JobRanking ranking = new JobRanking(clock, settings, view, types, demand);
-    quota =
-        new GrantLedger(
-            clock, settings, store, jobEntries, openJobs, placementTrigger, holder, ranking::order);
+    return new Fleet(
+        clock, settings, store, view, types, demand, listing, rentals, returns, messenger);
+  }
+
+  private Placement newPlacement(Policy.Book policies, long seed) {
     Entitlements entitlements = new Entitlements(settings, openJobs);
     WaitingWork waiting =
         new WaitingWork(clock, settings, store, view, types, openJobs, demand, ranking);
@@ -189,54 +238,59 @@
     Preemption preemption = new Preemption(clock, store, view, demand, entitlements, facts);
     ReplicaRelocation relocation =
         new ReplicaRelocation(view, messenger, policies, holder, quota, facts, starts);
-    placement =
-        new Placement(
-            clock,
-            metrics,
-            store,
-            view,
-            types,
-            placementTrigger,
-            policies,
-            holder,
-            quota,
-            ranking,
-            entitlements,
-            waiting,
-            facts,
-            starts,
-            preemption,
-            relocation,
-            new SplittableRandom(seed));
-
-    digest =
-        new DigestPublisher(clock, settings, effects, store, machines::rooms, holder::pendingCpus);
-    users =
-        new Users(
-            clock,
-            settings,
-            store,
-            jobEntries,
-            types,
-            connectivity,
-            cancellations,
-            clusterVersion,
-            holder::running);
-    store.subscribe(
-        new StateChangeDispatcher(
-            List.of(
-                imageSizes::jobChanged,
-                openJobs::jobChanged,
-                cancellations::jobChanged,
-                users::jobChanged,
-                ownership::jobChanged,
-                holder::jobChanged),
-            holder::bitsChanged,
-            ownership::machineChanged,
-            List.of(view::gone, holder::machineGone),
-            reclaimed::overtaken,
-            publisher::touch,
-            this::replicaComplete));
+    return new Placement(
+        clock,
+        metrics,
+        store,
+        view,
+        types,
+        placementTrigger,
+        policies,
+        holder,
+        quota,
+        ranking,
+        entitlements,
+        waiting,
+        facts,
+        starts,
+        preemption,
+        relocation,
+        new SplittableRandom(seed));
+  }
+
+  private DigestPublisher newDigest() {
+    return new DigestPublisher(
+        clock, settings, effects, store, machines::rooms, holder::pendingCpus);
+  }
+
+  private Users newUsers() {
+    return new Users(
+        clock,
+        settings,
+        store,
+        jobEntries,
+        types,
+        connectivity,
+        cancellations,
+        clusterVersion,
+        holder::running);
+  }
+
+  private StateChangeDispatcher newDispatcher() {
+    return new StateChangeDispatcher(
+        List.of(
+            imageSizes::jobChanged,
+            openJobs::jobChanged,
+            cancellations::jobChanged,
+            users::jobChanged,
+            ownership::jobChanged,
+            holder::jobChanged),
+        holder::bitsChanged,
+        ownership::machineChanged,
+        List.of(view::gone, holder::machineGone),
+        reclaimed::overtaken,
+        publisher::touch,
+        this::replicaComplete);
   }
 
   /** Sets the steady time and the time of day, both in ms, for the event that follows. */
