--- /dev/null
+++ b/src/test/java/mallowstall/core/HistoryDigest.java
@@ -0,0 +1,269 @@
+package mallowstall.core;
+
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.io.Writer;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.function.Consumer;
+import mallowstall.core.Model.Command;
+import mallowstall.core.Model.Entry;
+import mallowstall.core.Model.MachineType;
+import mallowstall.core.Model.PeerMessage;
+import mallowstall.core.Model.RentRequest;
+import mallowstall.core.Model.Report;
+import mallowstall.core.Model.ReportAnswer;
+import mallowstall.core.Model.UserAnswer;
+import mallowstall.peers.PeerCodec;
+import mallowstall.state.StoredEntries;
+
+/**
+ * The SHA-256 digest of everything that leaves the cores in a simulated history, in order of
+ * simulated time: all that they ask of the state service, workers, the cloud and each other, and
+ * all answers to users and to workers' reports. Two programs with the same digests have done
+ * exactly the same in these histories.
+ *
+ * <p>Each call or answer is one line: the simulated time in ms, the controller, a fixed label, and
+ * the fields, separated by tabs. Values of the state service are the bytes that it gets, messages
+ * between controllers the bytes of {@link PeerCodec} in hexadecimal; all else is written field by
+ * field, constants by their ordinals. No name of a Java type, field or constant is in it, so that
+ * renaming or moving these changes no digest.
+ *
+ * <p>One instance records one history. The lines are digested as they come, and kept nowhere unless
+ * a file is given.
+ */
+final class HistoryDigest implements Recorder, AutoCloseable {
+  private static final String ABSENT = "(none)";
+
+  private final MessageDigest sha256;
+  private final Writer dump;
+  private final StringBuilder line = new StringBuilder();
+  private long lines;
+
+  /** The lines are written to the file too; null: to none. */
+  private HistoryDigest(Path file) throws IOException {
+    try {
+      sha256 = MessageDigest.getInstance("SHA-256");
+    } catch (NoSuchAlgorithmException impossible) {
+      throw new IllegalStateException(impossible);
+    }
+    dump = file == null ? null : Files.newBufferedWriter(file);
+  }
+
+  /**
+   * Plays a history and returns its digest.
+   *
+   * @param history its kind and seed, such as {@code plain 20000} or {@code upgrade 20100}
+   * @param dumpTo the directory of the file that the recorded lines are written to; null: none
+   */
+  static String of(String history, Path dumpTo) throws IOException {
+    String[] parts = history.split(" ");
+    long seed = Long.parseLong(parts[1]);
+    Path file = dumpTo == null ? null : dumpTo.resolve(parts[0] + "-" + seed + ".txt");
+    try (HistoryDigest digest = new HistoryDigest(file)) {
+      switch (parts[0]) {
+        case "plain" -> RandomizedSimulationTest.meetings(seed, digest);
+        case "upgrade" -> RandomizedUpgradeTest.history(seed, digest);
+        default -> throw new IllegalArgumentException("unknown kind of history: " + history);
+      }
+      if (digest.lines == 0) {
+        throw new IllegalStateException("nothing was recorded of " + history);
+      }
+      return HexFormat.of().formatHex(digest.sha256.digest());
+    }
+  }
+
+  @Override
+  public void close() throws IOException {
+    if (dump != null) {
+      dump.close();
+    }
+  }
+
+  @Override
+  public Effects effects(SimulatedController node, Effects world) {
+    return new RecordedEffects(node, world);
+  }
+
+  @Override
+  public Consumer<UserAnswer> toUser(
+      SimulatedController node, String job, Consumer<UserAnswer> user) {
+    return answer -> {
+      begin(node, "user").field(job).field(answer.status()).field(answer.id());
+      field(answer.state()).field(answer.done()).field(answer.running());
+      field(answer.message()).field(answer.retryAfterS()).end();
+      user.accept(answer);
+    };
+  }
+
+  @Override
+  public Consumer<ReportAnswer> toWorker(
+      SimulatedController node, Report report, Consumer<ReportAnswer> worker) {
+    return answer -> {
+      begin(node, "worker").field(report.machine()).field(report.session()).field(report.seq());
+      field(answer.status()).field(answer.token()).field(answer.reportTo());
+      commands(answer.commands()).end();
+      worker.accept(answer);
+    };
+  }
+
+  private HistoryDigest begin(SimulatedController node, String label) {
+    line.setLength(0);
+    line.append(node.now());
+    return field(node.name).field(label);
+  }
+
+  private HistoryDigest field(String text) {
+    line.append('\t').append(text == null ? ABSENT : text);
+    return this;
+  }
+
+  private HistoryDigest field(long number) {
+    line.append('\t').append(number);
+    return this;
+  }
+
+  private HistoryDigest field(double number) {
+    line.append('\t').append(number);
+    return this;
+  }
+
+  private HistoryDigest field(boolean flag) {
+    return field(flag ? 1 : 0);
+  }
+
+  private HistoryDigest commands(List<Command> commands) {
+    field(commands.size());
+    for (Command command : commands) {
+      field(command.kind().ordinal()).field(command.job()).field(command.task());
+      field(command.attempt()).field(command.graceS());
+    }
+    return this;
+  }
+
+  private void end() {
+    line.append('\n');
+    String text = line.toString();
+    sha256.update(text.getBytes(StandardCharsets.UTF_8));
+    lines++;
+    if (dump == null) {
+      return;
+    }
+    try {
+      dump.write(text);
+    } catch (IOException failure) {
+      throw new UncheckedIOException(failure);
+    }
+  }
+
+  /** Passes on what a core asks of the world, and records it. */
+  private final class RecordedEffects implements Effects {
+    private final SimulatedController node;
+    private final Effects world;
+
+    RecordedEffects(SimulatedController node, Effects world) {
+      this.node = node;
+      this.world = world;
+    }
+
+    @Override
+    public void transact(Txn txn, Consumer<TxnReply> then) {
+      begin(node, "transaction").field(txn.when().size());
+      for (Cond condition : txn.when()) {
+        field(condition.key()).field(condition.version());
+      }
+      field(txn.puts().size());
+      for (Put put : txn.puts()) {
+        byte[] value = StoredEntries.encode(put.value());
+        field(put.key()).field(put.lease()).field(new String(value, StandardCharsets.UTF_8));
+      }
+      field(txn.drops().size());
+      txn.drops().forEach(HistoryDigest.this::field);
+      end();
+      world.transact(txn, then);
+    }
+
+    /** Leaves nothing: a core only measures with it. */
+    @Override
+    public int encodedSize(Entry value) {
+      return world.encodedSize(value);
+    }
+
+    @Override
+    public void get(String key, Consumer<GetReply> then) {
+      begin(node, "read").field(key).end();
+      world.get(key, then);
+    }
+
+    @Override
+    public void list(String after, Consumer<ListReply> then) {
+      begin(node, "list").field(after).end();
+      world.list(after, then);
+    }
+
+    @Override
+    public void watch(long after, long holdMs, Consumer<WatchReply> then) {
+      begin(node, "watch").field(after).field(holdMs).end();
+      world.watch(after, holdMs, then);
+    }
+
+    @Override
+    public void grantLease(long ttlMs, Consumer<LeaseReply> then) {
+      begin(node, "lease").field(ttlMs).end();
+      world.grantLease(ttlMs, then);
+    }
+
+    @Override
+    public void renewLease(long lease, Consumer<LeaseReply> then) {
+      begin(node, "renewal").field(lease).end();
+      world.renewLease(lease, then);
+    }
+
+    @Override
+    public void send(String peer, PeerMessage message) {
+      begin(node, "message").field(peer);
+      field(HexFormat.of().formatHex(PeerCodec.encode(message))).end();
+      world.send(peer, message);
+    }
+
+    @Override
+    public void order(
+        String addr, long token, long session, List<Command> commands, Consumer<OrderReply> then) {
+      begin(node, "order").field(addr).field(token).field(session);
+      commands(commands).end();
+      world.order(addr, token, session, commands, then);
+    }
+
+    @Override
+    public void types(Consumer<List<MachineType>> then) {
+      begin(node, "types").end();
+      world.types(then);
+    }
+
+    @Override
+    public void rent(RentRequest request, Consumer<RentReply> then) {
+      begin(node, "rental").field(request.name()).field(request.type()).field(request.zone());
+      field(request.spot()).field(request.count()).end();
+      world.rent(request, then);
+    }
+
+    @Override
+    public void returnMachines(List<String> machines, Consumer<Boolean> then) {
+      begin(node, "return").field(machines.size());
+      machines.forEach(HistoryDigest.this::field);
+      end();
+      world.returnMachines(machines, then);
+    }
+
+    @Override
+    public void listMachines(String after, Consumer<ListedReply> then) {
+      begin(node, "machines").field(after).end();
+      world.listMachines(after, then);
+    }
+  }
+}
--- a/src/test/java/mallowstall/core/RandomizedSimulationTest.java
+++ b/src/test/java/mallowstall/core/RandomizedSimulationTest.java
@@ -144,7 +144,12 @@
   }
 
   private static Simulation meetings(long seed) {
-    Simulation sim = new Simulation(seed);
+    return meetings(seed, Recorder.OFF);
+  }
+
+  /** Plays the history of the seed; what leaves the cores goes to the recorder. */
+  static Simulation meetings(long seed, Recorder recorder) {
+    Simulation sim = new Simulation(seed, ClusterVersion.CURRENT, recorder);
     sim.loss = seed % 4 == 0 ? 0.02 : 0;
     sim.rosterChaos = seed % 2 == 0 ? 0.2 : 0;
     sim.lateCopies = seed % 3 == 0 ? 0.2 : 0;
--- a/src/test/java/mallowstall/core/RandomizedUpgradeTest.java
+++ b/src/test/java/mallowstall/core/RandomizedUpgradeTest.java
@@ -99,7 +99,12 @@
   }
 
   private static Simulation history(long seed) {
-    Simulation sim = new Simulation(seed, ClusterVersion.UNKNOWN);
+    return history(seed, Recorder.OFF);
+  }
+
+  /** Plays the history of the seed; what leaves the cores goes to the recorder. */
+  static Simulation history(long seed, Recorder recorder) {
+    Simulation sim = new Simulation(seed, ClusterVersion.UNKNOWN, recorder);
     sim.loss = seed % 4 == 0 ? 0.02 : 0;
     sim.rosterChaos = seed % 2 == 0 ? 0.2 : 0;
     sim.lateCopies = seed % 3 == 0 ? 0.2 : 0;
--- a/src/test/java/mallowstall/core/SimulatedController.java
+++ b/src/test/java/mallowstall/core/SimulatedController.java
@@ -126,7 +126,7 @@
                 2_000,
                 Map.of(),
                 running),
-            this,
+            sim.recorder.effects(this, this),
             c -> new Simulation.TestPolicy(c, () -> sim.evaluations++),
             new Core.Metrics() {
               @Override
@@ -143,6 +143,11 @@
     sim.at(5, () -> tick(l));
   }
 
+  /** The simulated time. */
+  long now() {
+    return sim.now;
+  }
+
   String zone() {
     return Simulation.ZONES.get(name);
   }
--- a/src/test/java/mallowstall/core/SimulatedWorker.java
+++ b/src/test/java/mallowstall/core/SimulatedWorker.java
@@ -252,7 +252,10 @@
         ms,
         () -> {
           if (controller.up) {
-            controller.event(() -> controller.core.report(report, answer -> {}));
+            controller.event(
+                () ->
+                    controller.core.report(
+                        report, sim.recorder.toWorker(controller, report, answer -> {})));
           }
         });
   }
@@ -271,12 +274,16 @@
               () ->
                   controller.core.report(
                       report,
-                      answer ->
-                          sim.at(
-                              sim.delay() + controller.lateBy,
-                              () ->
-                                  whenAwake(
-                                      () -> answered(controller, report, answer, sent, mine)))));
+                      sim.recorder.toWorker(
+                          controller,
+                          report,
+                          answer ->
+                              sim.at(
+                                  sim.delay() + controller.lateBy,
+                                  () ->
+                                      whenAwake(
+                                          () ->
+                                              answered(controller, report, answer, sent, mine))))));
         });
   }
 
--- a/src/test/java/mallowstall/core/Simulation.java
+++ b/src/test/java/mallowstall/core/Simulation.java
@@ -32,6 +32,11 @@
 final class Simulation {
   static final List<String> NODES = List.of("n0", "n1", "n2");
   static final Map<String, String> ZONES = Map.of("n0", "a", "n1", "b", "n2", "a");
+
+  /** The class of a job of each priority; spelt out, so as to depend on no name in the program. */
+  private static final List<String> CLASSES =
+      List.of("c-LOW", "c-NORMAL", "c-HIGH", "c-PRODUCTION");
+
   static final long REPORT = 1_000;
   static final long LEASE = 10_000;
   static final long CANCEL = 35_000;
@@ -113,21 +118,29 @@
   /** What the controllers keep to. */
   final StateLimits kept;
 
+  final Recorder recorder;
+
   Simulation(long seed) {
     this(seed, ClusterVersion.CURRENT);
   }
 
   /** All controllers begin with this program version. */
   Simulation(long seed, int programVersion) {
-    this(seed, programVersion, new StateLimits(8_192, 24, 120));
+    this(seed, programVersion, Recorder.OFF);
   }
 
   Simulation(long seed, StateLimits kept) {
-    this(seed, ClusterVersion.CURRENT, kept);
+    this(seed, ClusterVersion.CURRENT, kept, Recorder.OFF);
+  }
+
+  /** What leaves the controllers' cores goes to the recorder. */
+  Simulation(long seed, int programVersion, Recorder recorder) {
+    this(seed, programVersion, new StateLimits(8_192, 24, 120), recorder);
   }
 
-  private Simulation(long seed, int programVersion, StateLimits kept) {
+  private Simulation(long seed, int programVersion, StateLimits kept, Recorder recorder) {
     this.kept = kept;
+    this.recorder = recorder;
     rnd = new SplittableRandom(seed);
     for (String n : NODES) {
       nodes.put(n, new SimulatedController(this, n, programVersion));
@@ -393,7 +406,7 @@
       String zone) {
     return new JobSpec(
         id,
-        "c-" + priority,
+        CLASSES.get(priority.ordinal()),
         team,
         priority,
         tasks,
@@ -456,9 +469,12 @@
   /** Asks this controller, whose adapter refuses the kinds of jobs that its version lacks. */
   void submitAt(SimulatedController node, JobSpec spec, Consumer<UserAnswer> reply) {
     if (spec.service() && !node.knowsServices()) {
-      node.event(() -> node.core.refuse(spec.id(), "oficio must be batch", reply));
+      node.event(
+          () ->
+              node.core.refuse(
+                  spec.id(), "oficio must be batch", recorder.toUser(node, spec.id(), reply)));
     } else {
-      node.event(() -> node.core.submit(spec, reply));
+      node.event(() -> node.core.submit(spec, recorder.toUser(node, spec.id(), reply)));
     }
   }
 
@@ -516,7 +532,11 @@
       node.event(
           () ->
               node.core.query(
-                  id, answer -> rules.told(now, asked, id, answer.status(), answer.state())));
+                  id,
+                  recorder.toUser(
+                      node,
+                      id,
+                      answer -> rules.told(now, asked, id, answer.status(), answer.state()))));
     }
     at(2_000 + rnd.nextInt(3_000), () -> poll(id));
   }
@@ -533,12 +553,15 @@
         () ->
             node.core.cancel(
                 id,
-                answer -> {
-                  rules.told(now, asked, id, answer.status(), answer.state());
-                  if (answer.state() == null && answer.status() != 404) {
-                    at(1_000, () -> cancel(id));
-                  }
-                }));
+                recorder.toUser(
+                    node,
+                    id,
+                    answer -> {
+                      rules.told(now, asked, id, answer.status(), answer.state());
+                      if (answer.state() == null && answer.status() != 404) {
+                        at(1_000, () -> cancel(id));
+                      }
+                    })));
   }
 
   void cancelAtItsEnd(String job) {
@@ -668,10 +691,13 @@
         () ->
             node.core.submit(
                 spec,
-                answer -> {
-                  rules.toldImpossible(now, id, answer.status());
-                  at(500, () -> askFor(id));
-                }));
+                recorder.toUser(
+                    node,
+                    id,
+                    answer -> {
+                      rules.toldImpossible(now, id, answer.status());
+                      at(500, () -> askFor(id));
+                    })));
   }
 
   /** Ends whoever owns most machines and whoever holds most jobs, for 100 to 900 ms. */
@@ -741,7 +767,10 @@
     if (node.up) {
       node.event(
           () ->
-              node.core.query(id, answer -> rules.told(now, id, answer.status(), answer.state())));
+              node.core.query(
+                  id,
+                  recorder.toUser(
+                      node, id, answer -> rules.told(now, id, answer.status(), answer.state()))));
     }
   }
 
