--- a/src/test/java/mallowstall/ServiceTest.java
+++ b/src/test/java/mallowstall/ServiceTest.java
@@ -134,6 +134,41 @@
     assertTrue(m.body().contains("mallowstall_submit_seconds_count"), m.body());
   }
 
+  /** One request on its own connection, and all that comes back until that is closed. */
+  private static String exchange(String request) throws Exception {
+    try (Socket s = new Socket("127.0.0.1", service.address().join().getPort())) {
+      s.setSoTimeout(3_000);
+      s.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
+      String answer = new String(s.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+      return (request + answer).replace("\r", "\\r") + "\n\n";
+    }
+  }
+
+  @Test
+  void answersAreTheSameBytesAsEver() throws Exception {
+    StringBuilder written = new StringBuilder();
+    String[] firstLines = {
+      "GET /nothing",
+      "GET /submissions/wk-000001/more",
+      "GET /submissions/other",
+      "POST /submissions/other/cancel",
+      "DELETE /submissions",
+      "POST /submissions/wk-000001",
+      "GET /submissions/wk-000001/cancel",
+      "GET /hello",
+      "POST /hello",
+      "POST /submissions",
+      "POST /ready",
+      "GET /ready",
+      "POST /metrics",
+    };
+    for (String line : firstLines) {
+      written.append(exchange(line + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"));
+    }
+    written.append(exchange("no request\r\n\r\n"));
+    Fixtures.assertSame("service-answers.txt", written.toString().stripTrailing());
+  }
+
   @Test
   void aConnectionStaysOpenForTheNextRequest() throws Exception {
     try (Socket s = new Socket("127.0.0.1", service.address().join().getPort())) {
--- /dev/null
+++ b/src/test/java/mallowstall/cloud/GoldenCloudTest.java
@@ -0,0 +1,80 @@
+package mallowstall.cloud;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+
+import java.util.List;
+import mallowstall.Fixtures;
+import mallowstall.LoopbackServer;
+import mallowstall.core.Effects.ListedReply;
+import mallowstall.core.Effects.RentReply;
+import mallowstall.core.Model.Listed;
+import mallowstall.core.Model.MachineType;
+import mallowstall.core.Model.RentRequest;
+import org.junit.jupiter.api.Test;
+
+/** The exact requests to the cloud, and what its answers mean. */
+class GoldenCloudTest {
+  private static final RentRequest RENTAL = new RentRequest("n1-7-3", "g8", "a", true, 12);
+  private static final ListedReply NOT_LISTED = new ListedReply(false, List.of(), false);
+
+  @Test
+  void requestsAreSentAsEverAndAnswersUnderstood() throws Exception {
+    try (LoopbackServer server = new LoopbackServer()) {
+      CloudAdapter cloud = new CloudAdapter(server.client(), Runnable::run);
+
+      List<MachineType> types = server.answer(200, Fixtures.text("cloud-types.json"), cloud::types);
+      List<MachineType> noTypes = server.answer(503, "{}", cloud::types);
+      ListedReply page =
+          server.answer(
+              200, Fixtures.text("cloud-page.json"), then -> cloud.listMachines(null, then));
+      ListedReply last =
+          server.answer(200, "{\"sierras\":[]}", then -> cloud.listMachines("m-000002", then));
+      ListedReply failed = server.answer(500, "{}", then -> cloud.listMachines("m-000002", then));
+      ListedReply cut = server.answer(200, "{\"sie", then -> cloud.listMachines(null, then));
+
+      assertEquals(
+          List.of(
+              new MachineType("g8", 32, 8, 256, 400, 1.5, 12.25, 4.5, 90, List.of("a", "b")),
+              new MachineType("t16", 16, 0, 64, 100, 0.5, 1, 0, 30, List.of())),
+          types);
+      assertNull(noTypes);
+      assertEquals(
+          new ListedReply(
+              true,
+              List.of(
+                  new Listed("m-000001", "g8", "a", true, "up", 12.5),
+                  new Listed("m-000002", "t16", "b", false, "", 0)),
+              true),
+          page);
+      assertEquals(new ListedReply(true, List.of(), false), last);
+      assertEquals(NOT_LISTED, failed);
+      assertEquals(NOT_LISTED, cut);
+      Fixtures.assertSame("cloud-reading.txt", server.requests());
+    }
+  }
+
+  @Test
+  void rentalsAndReturnsAreSentAsEver() throws Exception {
+    try (LoopbackServer server = new LoopbackServer()) {
+      CloudAdapter cloud = new CloudAdapter(server.client(), Runnable::run);
+
+      RentReply rented =
+          server.answer(200, "{\"sierras\":[\"m-1\",\"m-2\"]}", then -> cloud.rent(RENTAL, then));
+      RentReply unread = server.answer(200, "no JSON", then -> cloud.rent(RENTAL, then));
+      RentReply refused = server.answer(429, "{\"error\":\"x\"}", then -> cloud.rent(RENTAL, then));
+      List<String> machines = List.of("m-1", "m-2");
+      boolean returned =
+          server.<Boolean>answer(200, "{}", then -> cloud.returnMachines(machines, then));
+      boolean kept =
+          server.<Boolean>answer(503, "{}", then -> cloud.returnMachines(List.of("m-3"), then));
+
+      assertEquals(new RentReply(200, machines), rented);
+      assertEquals(new RentReply(0, List.of()), unread);
+      assertEquals(new RentReply(429, List.of()), refused);
+      assertEquals(true, returned);
+      assertEquals(false, kept);
+      Fixtures.assertSame("cloud-rentals.txt", server.requests());
+    }
+  }
+}
--- /dev/null
+++ b/src/test/java/mallowstall/peers/GoldenMessagesTest.java
@@ -0,0 +1,181 @@
+package mallowstall.peers;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.io.IOException;
+import java.util.Arrays;
+import java.util.HexFormat;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.stream.Collectors;
+import mallowstall.Fixtures;
+import mallowstall.core.Model.ExitReason;
+import mallowstall.core.Model.PeerMessage;
+import mallowstall.core.Model.Refusal;
+import mallowstall.core.Model.Roster;
+import mallowstall.core.Model.RosterMachine;
+import mallowstall.core.Model.RosterTask;
+import mallowstall.core.Model.StartOrder;
+import mallowstall.core.Model.Starts;
+import mallowstall.core.Model.StopOrder;
+import mallowstall.core.Model.Stops;
+import mallowstall.core.Model.TaskRef;
+import mallowstall.core.Model.TaskState;
+import org.junit.jupiter.api.Test;
+
+/** Every message between controllers is written to the same bytes as ever, and read from them. */
+class GoldenMessagesTest {
+  /** A machine whose seven flags are the bits of a number, in the order of the record. */
+  private static RosterMachine machine(String id, String addr, int flags) {
+    return new RosterMachine(
+        id,
+        addr,
+        31,
+        32,
+        33,
+        34,
+        (flags & 1) != 0,
+        (flags & 2) != 0,
+        (flags & 4) != 0,
+        (flags & 8) != 0,
+        (flags & 16) != 0,
+        (flags & 32) != 0,
+        "g8",
+        "b",
+        (flags & 64) != 0,
+        29.5,
+        1.25,
+        2,
+        3e9,
+        40,
+        List.of("img-1", "img-2"),
+        List.of(
+            new RosterTask("wk-1", 0, 51, null, null),
+            new RosterTask("wk-2", 99_999, 1L << 40, TaskState.FETCHING, null),
+            new RosterTask("wk-3", 1, 52, TaskState.EXITED, ExitReason.BUSY)));
+  }
+
+  private static Roster roster(long since, List<RosterMachine> machines) {
+    return new Roster(
+        "n3",
+        12,
+        21,
+        since,
+        13,
+        22,
+        1L << 40,
+        14,
+        2,
+        23,
+        700,
+        List.of("wk-8", "wk-9"),
+        machines,
+        since == 0 ? List.of() : List.of("m-8", "m-9"),
+        List.of(new Refusal("m-1", "wk-4", 7, 53, "no room \u00e9")));
+  }
+
+  private static Map<String, PeerMessage> messages() {
+    Map<String, PeerMessage> all = new LinkedHashMap<>();
+    List<RosterMachine> full = new java.util.ArrayList<>();
+    full.add(machine("m-none", null, 0));
+    for (int bit = 1; bit < 128; bit *= 2) {
+      full.add(machine("m-" + bit, "10.0.0.1:9000", bit));
+    }
+    all.put("roster-full", roster(0, full));
+    all.put("roster-incremental", roster(20, List.of(machine("m-1", "10.0.0.1:9000", 3))));
+    all.put(
+        "roster-empty",
+        new Roster(
+            "n3", 12, 1, 0, 0, 0, 0, 0, 0, 0, 0, List.of(), List.of(), List.of(), List.of()));
+    all.put(
+        "starts",
+        new Starts(
+            "n3",
+            12,
+            2,
+            23,
+            List.of(
+                new StartOrder("m-1", "wk-1", 3, 54, 6, 1_700_000_000_123L, List.of()),
+                new StartOrder(
+                    "m-2",
+                    "wk-2",
+                    4,
+                    55,
+                    7,
+                    0,
+                    List.of(new TaskRef("wk-5", 1, 56), new TaskRef("wk-6", 2, 57))))));
+    all.put("starts-empty", new Starts("n3", 12, 2, 24, List.of()));
+    all.put(
+        "stops",
+        new Stops(
+            "n3",
+            12,
+            List.of(
+                new StopOrder("m-1", "wk-1", 3, 54, 4.5), new StopOrder("m-2", "wk-2", 4, 55, 0)),
+            List.of("m-3", "m-4")));
+    all.put("stops-empty", new Stops("n3", 12, List.of(), List.of()));
+    return all;
+  }
+
+  @Test
+  void messagesAreWrittenAsEver() throws IOException {
+    for (Map.Entry<String, PeerMessage> each : messages().entrySet()) {
+      Fixtures.assertSame(
+          "messages/" + each.getKey() + ".hex",
+          HexFormat.of().formatHex(PeerCodec.encode(each.getValue())));
+    }
+  }
+
+  @Test
+  void messagesAreReadAsEver() throws IOException {
+    for (Map.Entry<String, PeerMessage> each : messages().entrySet()) {
+      byte[] sent = HexFormat.of().parseHex(Fixtures.text("messages/" + each.getKey() + ".hex"));
+      assertEquals(each.getValue(), PeerCodec.decode(sent), each.getKey());
+    }
+  }
+
+  @Test
+  void statesAndReasonsKeepTheirNumbers() throws IOException {
+    StringBuilder written = new StringBuilder();
+    for (TaskState state : TaskState.values()) {
+      for (ExitReason why : ExitReason.values()) {
+        RosterMachine machine =
+            new RosterMachine(
+                "m",
+                null,
+                0,
+                0,
+                0,
+                0,
+                false,
+                false,
+                false,
+                false,
+                false,
+                false,
+                "",
+                "",
+                false,
+                0,
+                0,
+                0,
+                0,
+                0,
+                List.of(),
+                List.of(new RosterTask("j", 0, 0, state, why)));
+        byte[] bytes = PeerCodec.encode(roster(0, List.of(machine)));
+        written.append(HexFormat.of().formatHex(bytes)).append('\n');
+      }
+    }
+    Fixtures.assertSame("messages/states-and-reasons.hex", written.toString().stripTrailing());
+  }
+
+  @Test
+  void everyKindOfMessageIsAmongThem() {
+    Set<Class<?>> fixed =
+        messages().values().stream().map(PeerMessage::getClass).collect(Collectors.toSet());
+    assertEquals(Set.copyOf(Arrays.asList(PeerMessage.class.getPermittedSubclasses())), fixed);
+  }
+}
--- /dev/null
+++ b/src/test/java/mallowstall/state/GoldenEntriesTest.java
@@ -0,0 +1,138 @@
+package mallowstall.state;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.stream.Collectors;
+import mallowstall.Fixtures;
+import mallowstall.core.Model.BitsRec;
+import mallowstall.core.Model.CounterRec;
+import mallowstall.core.Model.DigestRec;
+import mallowstall.core.Model.DutyRec;
+import mallowstall.core.Model.Entry;
+import mallowstall.core.Model.Final;
+import mallowstall.core.Model.GroupMachine;
+import mallowstall.core.Model.GroupRec;
+import mallowstall.core.Model.JobKind;
+import mallowstall.core.Model.JobRec;
+import mallowstall.core.Model.JobSpec;
+import mallowstall.core.Model.MachineRec;
+import mallowstall.core.Model.Priority;
+import mallowstall.core.Model.Room;
+import mallowstall.core.Model.SessionRec;
+import mallowstall.core.Model.TeamRec;
+import mallowstall.core.Model.VersionRec;
+import mallowstall.json.JsonReader;
+import org.junit.jupiter.api.Test;
+
+/** Every kind of stored entry is written to the same bytes as ever, and read back from them. */
+class GoldenEntriesTest {
+  /** An entry and a key that it would stand under. */
+  private record Stored(String key, Entry entry) {}
+
+  private static JobRec job(Priority priority, JobKind kind, byte[] done, Final fin) {
+    JobSpec spec =
+        new JobSpec(
+            "wk-000999",
+            "serve \"x\" \u00e9",
+            "vision",
+            priority,
+            100_000,
+            0.1,
+            1e-7,
+            1e9,
+            "img-09",
+            12.25,
+            List.of("g8", "t16"),
+            "b",
+            false,
+            true,
+            true,
+            1.0 / 3,
+            0,
+            4.5,
+            kind == JobKind.BATCH ? 3600.5 : null,
+            kind);
+    return new JobRec(spec, 1_700_000_000_123L, "n3", 12, 7, done, 2, 5, fin);
+  }
+
+  private static Map<String, Stored> entries() {
+    Map<String, Stored> all = new LinkedHashMap<>();
+    byte[] bits = {3, -1, 0, 127, -128};
+    String job = "c/j/wk-000999";
+    all.put("session", new Stored("c/n/n3", new SessionRec("n3", Long.MAX_VALUE)));
+    all.put("version", new Stored("c/v/n3", new VersionRec("n3", 12, 4)));
+    all.put("batch", new Stored(job, job(Priority.PRODUCTION, JobKind.BATCH, bits, Final.NONE)));
+    all.put(
+        "service", new Stored(job, job(Priority.LOW, JobKind.SERVICE, new byte[0], Final.SERVING)));
+    all.put(
+        "service-cancelled",
+        new Stored(job, job(Priority.HIGH, JobKind.SERVICE, new byte[0], Final.CANCELLED)));
+    all.put("batch-done", new Stored(job, job(Priority.NORMAL, JobKind.BATCH, bits, Final.DONE)));
+    all.put("piece", new Stored("c/b/wk-000999/2", new BitsRec(bits)));
+    all.put("piece-empty", new Stored("c/b/wk-000999/3", new BitsRec(new byte[0])));
+    all.put("machine", new Stored("c/m/m-1", new MachineRec("n3", 12, 98, "g8", "b", false)));
+    all.put(
+        "group",
+        new Stored(
+            "c/g/12-1",
+            new GroupRec(
+                "n3",
+                12,
+                List.of(
+                    new GroupMachine("m-1", "g8", "b", false),
+                    new GroupMachine("m-2", "t16", "c", true)))));
+    all.put("group-empty", new Stored("c/g/12-2", new GroupRec("n3", 12, List.of())));
+    all.put("team", new Stored("c/t/vision", new TeamRec(0.30000000000000004, 0)));
+    all.put(
+        "digest",
+        new Stored(
+            "c/d/n3",
+            new DigestRec(12, List.of(new Room("m-1", 1, 2, 3), new Room("m-2", 0, 0.5, 1e8)), 0)));
+    all.put("digest-empty", new Stored("c/d/n3", new DigestRec(12, List.of(), 1e-3)));
+    all.put("duty", new Stored("c/cloud", new DutyRec("n3", 12)));
+    all.put("counter", new Stored("c/incarnations", new CounterRec(13)));
+    return all;
+  }
+
+  private static String encoded(Entry entry) {
+    return new String(StoredEntries.encode(entry), StandardCharsets.UTF_8);
+  }
+
+  @Test
+  void entriesAreWrittenAsEver() throws IOException {
+    for (Map.Entry<String, Stored> each : entries().entrySet()) {
+      Fixtures.assertSame("entries/" + each.getKey() + ".json", encoded(each.getValue().entry()));
+    }
+  }
+
+  @Test
+  void entriesAreReadBackAndWrittenTheSame() throws IOException {
+    for (Map.Entry<String, Stored> each : entries().entrySet()) {
+      String written = Fixtures.text("entries/" + each.getKey() + ".json");
+      Stored stored = each.getValue();
+
+      Entry read =
+          JsonReader.read(
+              written.getBytes(StandardCharsets.UTF_8), in -> StoredEntries.read(stored.key(), in));
+
+      assertEquals(stored.entry().getClass(), read.getClass(), each.getKey());
+      assertEquals(written, encoded(read), each.getKey());
+    }
+  }
+
+  @Test
+  void everyKindOfEntryIsAmongThem() {
+    Set<Class<?>> fixed =
+        entries().values().stream()
+            .map(stored -> stored.entry().getClass())
+            .collect(Collectors.toSet());
+    assertEquals(Set.copyOf(Arrays.asList(Entry.class.getPermittedSubclasses())), fixed);
+  }
+}
--- /dev/null
+++ b/src/test/java/mallowstall/workers/GoldenOrdersTest.java
@@ -0,0 +1,81 @@
+package mallowstall.workers;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.List;
+import mallowstall.Fixtures;
+import mallowstall.LoopbackServer;
+import mallowstall.core.Effects.Code;
+import mallowstall.core.Effects.OrderReply;
+import mallowstall.core.Model.Command;
+import mallowstall.core.Model.CommandKind;
+import mallowstall.core.Model.ExitReason;
+import mallowstall.core.Model.Report;
+import mallowstall.core.Model.TaskReport;
+import mallowstall.core.Model.TaskState;
+import org.junit.jupiter.api.Test;
+
+/** The exact orders to workers, and the reports that answer them. */
+class GoldenOrdersTest {
+  private static final List<Command> COMMANDS =
+      List.of(
+          new Command(CommandKind.START, "wk-1", 0, 33_554_437, 0),
+          new Command(CommandKind.STOP, "wk-2", 99_999, 6, 4.5),
+          new Command(CommandKind.STOP, "wk-2", 3, 7, 0),
+          new Command(CommandKind.FORGET, "wk-3", 1, 8, 9));
+
+  private static TaskReport task(int number, TaskState state, ExitReason why, boolean saved) {
+    return new TaskReport("wk-1", number, 10 + number, state, why, saved);
+  }
+
+  private static Report report() {
+    return new Report(
+        "m-000001",
+        "10.1.0.7:9000",
+        "g8",
+        "a",
+        true,
+        3,
+        44,
+        17,
+        29.5,
+        List.of(
+            task(0, TaskState.FETCHING, null, false),
+            task(1, TaskState.RUNNING, null, true),
+            task(2, TaskState.SAVING, null, false),
+            task(3, TaskState.EXITED, ExitReason.DONE, false),
+            task(4, TaskState.EXITED, ExitReason.STOPPED, true),
+            task(5, TaskState.EXITED, ExitReason.NO_ROOM, false),
+            task(6, TaskState.EXITED, ExitReason.BUSY, false),
+            task(7, TaskState.EXITED, ExitReason.UNKNOWN, false),
+            task(8, TaskState.EXITED, ExitReason.ERROR, false),
+            task(9, TaskState.EXITED, ExitReason.ERROR, false)));
+  }
+
+  @Test
+  void ordersAreSentAsEverAndTheirAnswersUnderstood() throws Exception {
+    try (LoopbackServer server = new LoopbackServer()) {
+      WorkersAdapter workers = new WorkersAdapter(null, server.group().next(), Runnable::run, 10);
+      String to = server.address();
+      String report = Fixtures.text("worker-report.json");
+
+      OrderReply done =
+          server.answer(200, report, then -> workers.order(to, 17, 3, COMMANDS, then));
+      OrderReply not =
+          server.answer(409, report, then -> workers.order(to, 17, 3, List.of(), then));
+      OrderReply wrong =
+          server.answer(400, "{}", then -> workers.order(to, 17, 3, List.of(), then));
+      OrderReply unknown =
+          server.answer(500, "{}", then -> workers.order(to, 17, 3, List.of(), then));
+      OrderReply unread =
+          server.answer(200, "{}", then -> workers.order(to, 17, 3, List.of(), then));
+
+      assertEquals(new OrderReply(Code.OK, report()), done);
+      assertEquals(new OrderReply(Code.CONFLICT, report()), not);
+      assertEquals(new OrderReply(Code.CONFLICT, null), wrong);
+      assertEquals(new OrderReply(Code.UNKNOWN, null), unknown);
+      assertEquals(new OrderReply(Code.OK, null), unread);
+      Fixtures.assertSame("worker-orders.txt", server.requests());
+    }
+  }
+}
