--- a/src/test/java/mallowstall/OneController.java
+++ b/src/test/java/mallowstall/OneController.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import mallowstall.core.ClusterVersion;
 import mallowstall.core.Core;
 import mallowstall.core.Effects;
+import mallowstall.core.Metrics;
 import mallowstall.core.Model.Command;
 import mallowstall.core.Model.CoreSettings;
 import mallowstall.core.Model.Entry;
@@ -16,6 +16,7 @@
 import mallowstall.core.Model.PeerMessage;
 import mallowstall.core.Model.RentRequest;
 import mallowstall.core.Model.Team;
+import mallowstall.core.ProgramVersion;
 import mallowstall.policy.Policies;
 import mallowstall.state.StoredEntries;
 
@@ -58,12 +59,12 @@
             0.01,
             10_000,
             Map.of(),
-            ClusterVersion.CURRENT);
+            ProgramVersion.CURRENT);
     core = new Core(settings, this, Policies.bundled(), new Uncounted(), 7);
   }
 
   /** Counts nothing. */
-  private static final class Uncounted implements Core.Metrics {
+  private static final class Uncounted implements Metrics {
     @Override
     public void count(String what) {}
 
--- a/src/test/java/mallowstall/core/SimulatedController.java
+++ b/src/test/java/mallowstall/core/SimulatedController.java
@@ -128,7 +128,7 @@
                 running),
             sim.recorder.effects(this, this),
             c -> new Simulation.TestPolicy(c, () -> sim.evaluations++),
-            new Core.Metrics() {
+            new Metrics() {
               @Override
               public void count(String what) {}
 
@@ -160,7 +160,7 @@
   }
 
   boolean knowsServices() {
-    return running >= ClusterVersion.WITH_SERVICES;
+    return running >= ProgramVersion.WITH_SERVICES;
   }
 
   /**
