--- a/src/main/java/mallowstall/cli/Main.java
+++ b/src/main/java/mallowstall/cli/Main.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.CompletionException;
 import mallowstall.Service;
 import mallowstall.config.Settings;
-import mallowstall.policy.Fault;
 import mallowstall.policy.Policies;
+import mallowstall.policy.PolicyDiagnostic;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -41,13 +41,13 @@
         System.err.println("mallowstall: " + file + " can't be read");
         return 1;
       }
-      for (Fault fault : policies.faults()) {
-        System.err.println(fault.at(file.toString()));
+      for (PolicyDiagnostic diagnostic : policies.diagnostics()) {
+        System.err.println(diagnostic.format(file.toString()));
       }
-      if (policies.usable()) {
+      if (policies.isUsable()) {
         System.out.println(file + ": ok");
       }
-      return policies.usable() ? 0 : 1;
+      return policies.isUsable() ? 0 : 1;
     }
   }
 
@@ -139,10 +139,10 @@
         System.err.println("mallowstall: " + policies + " can't be read");
         return 1;
       }
-      for (Fault fault : book.faults()) {
-        System.err.println(fault.at(policies.toString()));
+      for (PolicyDiagnostic diagnostic : book.diagnostics()) {
+        System.err.println(diagnostic.format(policies.toString()));
       }
-      if (!book.usable()) {
+      if (!book.isUsable()) {
         return 1;
       }
     }
--- a/src/main/java/mallowstall/policy/Lexer.java
+++ b/src/main/java/mallowstall/policy/Lexer.java
@@ -4,48 +4,29 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.IntPredicate;
+import mallowstall.policy.PolicyDiagnostic.Severity;
+import mallowstall.policy.Token.Kind;
 
-/** Splits a policy file into tokens with their places. */
+/** Splits the text of a policy file into tokens. Comments and white space are left out. */
 final class Lexer {
   private static final String SIGNS = "{}():,<>=!+-*/";
   private static final Set<String> TWO_CHARACTER_SIGNS = Set.of("<=", ">=", "==", "!=");
 
-  /** Kinds of tokens. */
-  enum Kind {
-    NAME,
-    NUMBER,
-    TEXT,
-    SIGN,
-    END
-  }
-
-  /** A token and where it stands. */
-  record Token(Kind kind, String text, double value, String unit, int line, int column) {
-    boolean is(String s) {
-      return (kind == Kind.NAME || kind == Kind.SIGN) && text.equals(s);
-    }
-
-    @Override
-    public String toString() {
-      return kind == Kind.END ? "the end of the file" : "'" + text + "'";
-    }
-  }
-
   private final String text;
-  private final List<Fault> faults;
+  private final Diagnostics diagnostics;
   private final List<Token> tokens = new ArrayList<>();
   private int position;
   private int line = 1;
   private int lineStart;
 
-  private Lexer(String text, List<Fault> faults) {
+  private Lexer(String text, Diagnostics diagnostics) {
     this.text = text;
-    this.faults = faults;
+    this.diagnostics = diagnostics;
   }
 
-  /** The tokens of the text, with one for its end; what is none becomes a fault. */
-  static List<Token> split(String text, List<Fault> faults) {
-    Lexer lexer = new Lexer(text, faults);
+  /** The tokens of the text, the last one for its end; characters that form none are errors. */
+  static List<Token> split(String text, Diagnostics diagnostics) {
+    Lexer lexer = new Lexer(text, diagnostics);
     while (lexer.position < text.length()) {
       lexer.next();
     }
@@ -57,12 +38,12 @@
     return position - lineStart + 1;
   }
 
-  private void add(Kind kind, String found, int column) {
-    tokens.add(new Token(kind, found, 0, "", line, column));
+  private void add(Kind kind, String characters, int column) {
+    tokens.add(new Token(kind, characters, 0, "", line, column));
   }
 
-  private void fault(int column, String message) {
-    faults.add(new Fault(line, column, true, message));
+  private void error(int column, String message) {
+    diagnostics.add(new PolicyDiagnostic(line, column, Severity.ERROR, message));
   }
 
   private void next() {
@@ -74,37 +55,37 @@
     } else if (Character.isWhitespace(first)) {
       position++;
     } else if (first == '#') {
-      skip(c -> c != '\n');
+      takeWhile(c -> c != '\n');
     } else if (first >= '0' && first <= '9') {
       number();
     } else if (first == '"') {
       quoted();
     } else if (Character.isLetter(first) || first == '_') {
       int column = column();
-      add(Kind.NAME, skip(c -> Character.isLetterOrDigit(c) || "._-".indexOf(c) >= 0), column);
+      add(Kind.NAME, takeWhile(c -> Character.isLetterOrDigit(c) || "._-".indexOf(c) >= 0), column);
     } else {
       sign();
     }
   }
 
-  /** Goes on while the characters are such; returns what lies between. */
-  private String skip(IntPredicate such) {
-    int from = position;
-    while (position < text.length() && such.test(text.charAt(position))) {
+  /** Takes the characters for which the condition holds, up to the first other one. */
+  private String takeWhile(IntPredicate condition) {
+    int start = position;
+    while (position < text.length() && condition.test(text.charAt(position))) {
       position++;
     }
-    return text.substring(from, position);
+    return text.substring(start, position);
   }
 
   private void number() {
     int column = column();
-    String digits = skip(c -> Character.isDigit(c) || c == '.');
-    String unit = skip(Character::isLetter);
+    String digits = takeWhile(c -> Character.isDigit(c) || c == '.');
+    String unit = takeWhile(Character::isLetter);
     double value = 0;
     try {
       value = Double.parseDouble(digits);
     } catch (NumberFormatException notANumber) {
-      fault(column, digits + " is not a number");
+      error(column, digits + " is not a number");
     }
     tokens.add(new Token(Kind.NUMBER, digits + unit, value, unit, line, column));
   }
@@ -112,12 +93,12 @@
   private void quoted() {
     int column = column();
     position++;
-    String inside = skip(c -> c != '"' && c != '\n');
+    String inside = takeWhile(c -> c != '"' && c != '\n');
     boolean closed = position < text.length() && text.charAt(position) == '"';
     if (closed) {
       position++;
     } else {
-      fault(column, "this text has no closing quote");
+      error(column, "this text has no closing quote");
     }
     add(Kind.TEXT, inside, column);
   }
@@ -128,7 +109,7 @@
     String sign = TWO_CHARACTER_SIGNS.contains(two) ? two : two.substring(0, 1);
     position += sign.length();
     if (SIGNS.indexOf(sign.charAt(0)) < 0 || sign.equals("=") || sign.equals("!")) {
-      fault(column, "'" + sign + "' means nothing here");
+      error(column, "'" + sign + "' means nothing here");
     } else {
       add(Kind.SIGN, sign, column);
     }
--- a/src/test/java/mallowstall/policy/PoliciesTest.java
+++ b/src/test/java/mallowstall/policy/PoliciesTest.java
@@ -16,7 +16,7 @@
 
   @Test
   void theBundledPoliciesAreClean() {
-    assertEquals(List.of(), Policies.bundled().faults());
+    assertEquals(List.of(), Policies.bundled().diagnostics());
   }
 
   /** Replicas once waited 12 s for a small machine while larger ones stood idle. */
@@ -67,7 +67,7 @@
         Policies.of(
             "class default { block { strategy: lowest 1 + 2 * 3 - -4\n"
                 + "workers: machine.fetch < 2min and not machine.spot or machine.zone == \"b\" } }");
-    assertEquals(List.of(), policies.faults());
+    assertEquals(List.of(), policies.diagnostics());
     Policy.Block block = policies.forClass("any").blocks().get(0);
     Policy.Facts facts = new Policy.Facts();
     assertEquals(11, block.score(facts));
@@ -81,7 +81,7 @@
   }
 
   @Test
-  void everyFaultIsReportedWithItsPlace() {
+  void everyErrorIsReportedWithItsPlace() {
     String[][] cases = {
       {"workers: machine.colour == 1", "4:12: unknown name 'machine.colour'"},
       {"workers: machine.free_cpus > 4", "4:30: '>' compares a number of cpus with a plain number"},
@@ -97,18 +97,20 @@
     };
     for (String[] c : cases) {
       Policies policies = Policies.of(wrap(c[0]));
-      assertFalse(policies.usable(), c[0]);
-      assertEquals("f:" + c[1], policies.faults().get(0).at("f"), c[0]);
+      assertFalse(policies.isUsable(), c[0]);
+      assertEquals("f:" + c[1], policies.diagnostics().get(0).format("f"), c[0]);
     }
   }
 
   @Test
-  void faultsOfSeveralClassesAreAllFound() {
+  void errorsOfSeveralClassesAreAllFound() {
     Policies policies =
         Policies.of(
             "class a { block { strategy: best } }\nclass a { block { workers: nope } }\nclass b { }\n");
     List<String> all =
-        policies.faults().stream().map(fault -> fault.line() + " " + fault.message()).toList();
+        policies.diagnostics().stream()
+            .map(diagnostic -> diagnostic.line() + " " + diagnostic.message())
+            .toList();
     assertTrue(
         all.contains("1 expected lowest, highest or random but found 'best'"), all.toString());
     assertTrue(all.contains("2 unknown name 'nope'"), all.toString());
@@ -116,9 +118,9 @@
     assertTrue(all.stream().anyMatch(s -> s.contains("no class 'default'")), all.toString());
   }
 
-  /** One fault inside a block isn't followed by others that it only caused. */
+  /** One error inside a block isn't followed by others that it only caused. */
   @Test
-  void readingGoesOnBehindAFaultyBlock() {
+  void parsingResumesBehindAFaultyBlock() {
     Policies policies =
         Policies.of(
             "class default { block { workers: nope strategy: random }\n"
@@ -127,7 +129,18 @@
         List.of(
             "f:1:34: unknown name 'nope'",
             "f:3:29: expected lowest, highest or random but found 'x'"),
-        policies.faults().stream().map(fault -> fault.at("f")).toList());
+        policies.diagnostics().stream().map(diagnostic -> diagnostic.format("f")).toList());
+  }
+
+  /** The nesting that an error ended isn't counted for what follows. */
+  @Test
+  void eachExpressionMayBeNestedAsDeeply() {
+    String faulty = "block { workers: not not not nope strategy: random }\n";
+    Policies policies = Policies.of("class default {\n" + faulty.repeat(100) + "}");
+    assertEquals(100, policies.diagnostics().size());
+    for (PolicyDiagnostic diagnostic : policies.diagnostics()) {
+      assertEquals("unknown name 'nope'", diagnostic.message());
+    }
   }
 
   @Test
@@ -138,10 +151,10 @@
             "invalidate: true",
             "workers: machine.zone == \"a\" and machine.zone == \"b\"")) {
       Policies policies = Policies.of(wrap(s));
-      assertTrue(policies.usable(), s);
-      assertEquals(1, policies.faults().size(), s);
-      assertTrue(policies.faults().get(0).at("f").contains("warning: "), s);
+      assertTrue(policies.isUsable(), s);
+      assertEquals(1, policies.diagnostics().size(), s);
+      assertTrue(policies.diagnostics().get(0).format("f").contains("warning: "), s);
     }
-    assertFalse(Policies.of(wrap("workers: " + "(".repeat(500) + "true")).usable());
+    assertFalse(Policies.of(wrap("workers: " + "(".repeat(500) + "true")).isUsable());
   }
 }
