--- a/src/main/java/mallowstall/Constants.java
+++ b/src/main/java/mallowstall/Constants.java
@@ -61,6 +61,9 @@
   /** Count. Connections to the state service besides the watch; requests are not pipelined. */
   public static final int STATE_CONNECTIONS = 6;
 
+  /** Count. Connections of the watch, which has its own so that it never waits for a request's. */
+  public static final int WATCH_CONNECTIONS = 2;
+
   /** Fraction of the shared limits that all controllers together plan to spend. */
   public static final double BUDGET_SHARE = 0.9;
 
@@ -176,6 +179,9 @@
   /** ms. Between attempts to connect to a peer. */
   public static final long PEER_RETRY_MS = 700;
 
+  /** Count. Connections accepted from peers at a time. */
+  public static final int PEER_CONNECTIONS = 16;
+
   /** Bytes. Unsent data to a peer above which rosters are skipped (the next one says it all). */
   public static final int PEER_BACKLOG_MAX = 512 << 10;
 
@@ -400,6 +406,9 @@
   /** ms. Request to the cloud without an answer by then has failed. */
   public static final long CLOUD_TIMEOUT_MS = 5_000;
 
+  /** Count. Connections to the cloud. */
+  public static final int CLOUD_CONNECTIONS = 2;
+
   /** ms. An idle machine not needed by the plan is returned after this. */
   public static final long IDLE_RETURN_MS = 40_000;
 
@@ -518,6 +527,15 @@
   /** Fraction of the sockets that users and workers may use. */
   public static final double SOCKET_SHARE = 0.7;
 
+  /** Count. Sockets that this process may open, if the settings don't limit them. */
+  public static final int MAX_CONNECTIONS_DEFAULT = 500;
+
+  /** ms. A stopping event loop ends once nothing has come for so long. */
+  public static final long STOP_QUIET_MS = 50;
+
+  /** ms. A stopping event loop ends after this in any case. */
+  public static final long STOP_TIMEOUT_MS = 500;
+
   /** Fraction of the sockets kept open to workers' own addresses. */
   public static final double ORDER_SOCKET_SHARE = 0.2;
 
--- /dev/null
+++ b/src/main/java/mallowstall/Controller.java
@@ -0,0 +1,165 @@
+package mallowstall;
+
+import io.netty.channel.EventLoop;
+import io.netty.channel.nio.NioEventLoopGroup;
+import java.net.InetSocketAddress;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+import mallowstall.cloud.CloudAdapter;
+import mallowstall.config.Settings;
+import mallowstall.core.Core;
+import mallowstall.core.Policy;
+import mallowstall.net.Duty;
+import mallowstall.net.HttpClient;
+import mallowstall.net.HttpServer;
+import mallowstall.peers.PeersAdapter;
+import mallowstall.state.StateAdapter;
+import mallowstall.users.UsersAdapter;
+import mallowstall.workers.WorkersAdapter;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * One controller: the core with its adapters, on one event loop. {@link #start}, {@link #stop} and
+ * {@link #address} may be called by any thread; everything else runs on the event loop.
+ */
+public final class Controller {
+  private static final Logger LOG = LoggerFactory.getLogger("mallowstall.service");
+
+  private final NioEventLoopGroup group = new NioEventLoopGroup(1);
+  private final EventLoop loop = group.next();
+  private final Settings settings;
+  private final Core core;
+  private final CoreEvents events;
+  private final PeersAdapter peers;
+  private final HttpServer server;
+  private final CompletableFuture<InetSocketAddress> address = new CompletableFuture<>();
+  private long startedNanos;
+  private boolean listening;
+  private Duty tick;
+
+  /** Wires the core to its adapters; nothing runs before {@link #start}. */
+  public Controller(Settings settings, Policy.Book policies) {
+    this.settings = settings;
+    // adapters report events to the core, which is made after those that it calls
+    Consumer<Runnable> runEvent = this::runEvent;
+    InetSocketAddress stateAddress = Settings.address(settings.endpoints().state());
+    HttpClient stateClient = new HttpClient(loop, stateAddress, Constants.STATE_CONNECTIONS);
+    HttpClient watchClient = new HttpClient(loop, stateAddress, Constants.WATCH_CONNECTIONS);
+    HttpClient cloudClient =
+        new HttpClient(
+            loop, Settings.address(settings.endpoints().cloud()), Constants.CLOUD_CONNECTIONS);
+    ControllerMetrics metrics = new ControllerMetrics();
+    AdapterEffects effects =
+        new AdapterEffects(
+            new StateAdapter(stateClient, watchClient, runEvent),
+            new CloudAdapter(cloudClient, runEvent),
+            metrics);
+    this.core =
+        new Core(
+            CoreSettingsFactory.create(settings),
+            effects,
+            policies,
+            metrics,
+            randomSeed(settings.node()));
+    this.events = new CoreEvents(core, loop);
+    int sockets = maxConnections(settings.facts().limits());
+    this.peers = new PeersAdapter(loop, core, runEvent, Constants.PEER_CONNECTIONS);
+    WorkersAdapter workers =
+        new WorkersAdapter(core, loop, runEvent, (int) (sockets * Constants.ORDER_SOCKET_SHARE));
+    effects.connect(peers, workers);
+    RequestRouter router = new RequestRouter(core, new UsersAdapter(core), workers, metrics);
+    this.server =
+        new HttpServer(
+            (request, responder) -> events.run(() -> router.route(request, responder)),
+            (int) (sockets * Constants.SOCKET_SHARE));
+  }
+
+  /** Controllers draw differently, and each one the same after a restart. */
+  private static long randomSeed(String node) {
+    return node.hashCode() * 31L + 7;
+  }
+
+  private static int maxConnections(Settings.Limits limits) {
+    return limits == null || limits.maxConnections() == null
+        ? Constants.MAX_CONNECTIONS_DEFAULT
+        : limits.maxConnections();
+  }
+
+  private void runEvent(Runnable event) {
+    events.run(event);
+  }
+
+  /**
+   * Connects to peers and begins to tick. Users and workers are listened to once requests can be
+   * taken, or at the latest after {@link Constants#LISTEN_LATEST_MS}: refusing hundreds of workers
+   * one by one takes all the processor time that getting ready needs, and a closed port sends them
+   * on as well. Call it once.
+   *
+   * @throws InterruptedException if interrupted before peers can connect
+   */
+  public void start() throws InterruptedException {
+    startedNanos = System.nanoTime();
+    peers.listen(group, Settings.address(settings.peerListen()));
+    loop.execute(
+        () -> {
+          if (settings.peers() != null) {
+            for (Settings.Peer peer : settings.peers()) {
+              peers.connect(peer.node(), Settings.address(peer.addr()));
+            }
+          }
+          tick = new Duty("tick", loop, Constants.TICK_MS, this::tick);
+        });
+    LOG.info("{} starts", settings.node());
+  }
+
+  private void tick() {
+    events.run(core::tick);
+    if (listening) {
+      return;
+    }
+    long waitedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedNanos);
+    if (core.ready() || waitedMs >= Constants.LISTEN_LATEST_MS) {
+      listen();
+    }
+  }
+
+  private void listen() {
+    listening = true;
+    server
+        .listen(group, Settings.address(settings.listen()))
+        .whenComplete(
+            (bound, failure) -> {
+              if (failure == null) {
+                LOG.info("{} serves on {}", settings.node(), settings.listen());
+                address.complete(bound);
+              } else {
+                address.completeExceptionally(failure);
+              }
+            });
+  }
+
+  /**
+   * Where users and workers reach this controller, once it listens; completed exceptionally if it
+   * can't.
+   */
+  public CompletableFuture<InetSocketAddress> address() {
+    return address;
+  }
+
+  /** Ends the tick, then connections, then the event loop; returns before that is done. */
+  public void stop() {
+    loop.execute(
+        () -> {
+          if (tick != null) {
+            tick.cancel();
+          }
+          events.cancelTimer();
+          server.close();
+          peers.close();
+        });
+    group.shutdownGracefully(
+        Constants.STOP_QUIET_MS, Constants.STOP_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+  }
+}
--- /dev/null
+++ b/src/main/java/mallowstall/ControllerMetrics.java
@@ -0,0 +1,88 @@
+package mallowstall;
+
+import io.micrometer.core.instrument.Counter;
+import io.micrometer.core.instrument.simple.SimpleMeterRegistry;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.concurrent.TimeUnit;
+import mallowstall.core.Core;
+import org.HdrHistogram.Histogram;
+
+/**
+ * Counters through Micrometer, latencies in HdrHistograms; the set of names is fixed, so bounded in
+ * size. Used on the event loop only.
+ */
+final class ControllerMetrics implements Core.Metrics {
+  /** Latency of submissions, from the whole request to the answer. */
+  static final String SUBMIT = "submit";
+
+  /** Latency of the state service's transactions. */
+  static final String STATE_WRITE = "state_write";
+
+  /** Latency of the cloud's rentals. */
+  static final String CLOUD_RENT = "cloud_rent";
+
+  /** Microseconds. Longer durations are counted as this. */
+  private static final long MAX_MICROS = 60_000_000;
+
+  private static final int SIGNIFICANT_DIGITS = 2;
+  private static final double[] QUANTILES = {0.5, 0.95, 0.99};
+
+  /** Made with the first counter: it takes a tenth of the processor time from exec to serving. */
+  private SimpleMeterRegistry registry;
+
+  private final Map<String, Counter> counters = new TreeMap<>();
+  private final Map<String, Histogram> latencies = new TreeMap<>();
+
+  @Override
+  public void count(String name) {
+    counters.computeIfAbsent(name, this::counter).increment();
+  }
+
+  private Counter counter(String name) {
+    if (registry == null) {
+      registry = new SimpleMeterRegistry();
+    }
+    return registry.counter(name);
+  }
+
+  @Override
+  public void time(String name, long ms) {
+    timeNanos(name, TimeUnit.MILLISECONDS.toNanos(ms));
+  }
+
+  /** Records a duration in ns. */
+  void timeNanos(String name, long nanos) {
+    latencies
+        .computeIfAbsent(name, key -> new Histogram(MAX_MICROS, SIGNIFICANT_DIGITS))
+        .recordValue(Math.min(MAX_MICROS, Math.max(0, nanos / 1_000)));
+  }
+
+  /** All metrics in the text format of Prometheus; latencies in seconds. */
+  String text() {
+    StringBuilder text = new StringBuilder();
+    for (Map.Entry<String, Counter> entry : counters.entrySet()) {
+      text.append("mallowstall_")
+          .append(entry.getKey())
+          .append("_total ")
+          .append((long) entry.getValue().count())
+          .append('\n');
+    }
+    for (Map.Entry<String, Histogram> entry : latencies.entrySet()) {
+      appendLatency(text, "mallowstall_" + entry.getKey() + "_seconds", entry.getValue());
+    }
+    return text.toString();
+  }
+
+  private static void appendLatency(StringBuilder text, String name, Histogram micros) {
+    for (double quantile : QUANTILES) {
+      text.append(name)
+          .append("{quantile=\"")
+          .append(quantile)
+          .append("\"} ")
+          .append(micros.getValueAtPercentile(quantile * 100) / 1e6)
+          .append('\n');
+    }
+    text.append(name).append("_count ").append(micros.getTotalCount()).append('\n');
+  }
+}
--- /dev/null
+++ b/src/main/java/mallowstall/RequestRouter.java
@@ -0,0 +1,135 @@
+package mallowstall;
+
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import mallowstall.core.Core;
+import mallowstall.net.HttpServer.Request;
+import mallowstall.net.HttpServer.Responder;
+import mallowstall.users.UsersAdapter;
+import mallowstall.workers.WorkersAdapter;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Hands each HTTP request to what answers its path and method. Used on the event loop only. */
+final class RequestRouter {
+  private static final Logger LOG = LoggerFactory.getLogger("mallowstall.service");
+  private static final String SUBMISSIONS = "/submissions";
+  private static final String CANCEL = "/cancel";
+  private static final String GET = "GET";
+  private static final String POST = "POST";
+
+  private final Core core;
+  private final UsersAdapter users;
+  private final WorkersAdapter workers;
+  private final ControllerMetrics metrics;
+
+  RequestRouter(Core core, UsersAdapter users, WorkersAdapter workers, ControllerMetrics metrics) {
+    this.core = core;
+    this.users = users;
+    this.workers = workers;
+    this.metrics = metrics;
+  }
+
+  /** Answers the request now or later, also when that fails. */
+  void route(Request request, Responder responder) {
+    String path = path(request);
+    try {
+      switch (path) {
+        case "/hello" -> hello(request, responder);
+        case "/ready" -> ready(request, responder);
+        case "/metrics" -> metrics(request, responder);
+        case SUBMISSIONS -> submit(request, responder);
+        default -> {
+          if (path.startsWith(SUBMISSIONS + "/")) {
+            submission(path.substring(SUBMISSIONS.length() + 1), request, responder);
+          } else {
+            noSuchPath(responder);
+          }
+        }
+      }
+    } catch (RuntimeException failure) {
+      LOG.error("request failed method={} path={}", request.method(), path, failure);
+      respondError(responder, 500, "internal error");
+    }
+  }
+
+  /** The path without the query. */
+  private static String path(Request request) {
+    String path = request.path();
+    int query = path.indexOf('?');
+    return query < 0 ? path : path.substring(0, query);
+  }
+
+  private void hello(Request request, Responder responder) {
+    if (!requireMethod(POST, request, responder)) {
+      return;
+    }
+    try {
+      workers.report(request, responder);
+    } catch (IOException failure) {
+      LOG.info("heartbeat rejected reason={}", failure.getMessage());
+      respondError(responder, 400, "not a valid report");
+    }
+  }
+
+  private void ready(Request request, Responder responder) {
+    if (!requireMethod(GET, request, responder)) {
+      return;
+    }
+    boolean ready = core.ready();
+    byte[] body = ("{\"ready\":" + ready + "}").getBytes(StandardCharsets.UTF_8);
+    responder.answer(ready ? 200 : 503, body, ready ? 0 : 1);
+  }
+
+  private void metrics(Request request, Responder responder) {
+    if (requireMethod(GET, request, responder)) {
+      responder.answer(200, metrics.text().getBytes(StandardCharsets.UTF_8), 0);
+    }
+  }
+
+  private void submit(Request request, Responder responder) {
+    if (!requireMethod(POST, request, responder)) {
+      return;
+    }
+    long receivedNanos = System.nanoTime();
+    users.submit(
+        request,
+        (status, json, retryAfterS) -> {
+          metrics.timeNanos(ControllerMetrics.SUBMIT, System.nanoTime() - receivedNanos);
+          responder.answer(status, json, retryAfterS);
+        });
+  }
+
+  /** Query or cancellation of one job; {@code rest} is the path behind {@code /submissions/}. */
+  private void submission(String rest, Request request, Responder responder) {
+    boolean cancel = rest.endsWith(CANCEL);
+    String job = cancel ? rest.substring(0, rest.length() - CANCEL.length()) : rest;
+    if (job.indexOf('/') >= 0) {
+      noSuchPath(responder);
+    } else if (cancel) {
+      if (requireMethod(POST, request, responder)) {
+        users.cancel(job, responder);
+      }
+    } else if (requireMethod(GET, request, responder)) {
+      users.query(job, responder);
+    }
+  }
+
+  /** Whether the request has this method; if not, it is answered. */
+  private static boolean requireMethod(String method, Request request, Responder responder) {
+    if (request.method().equals(method)) {
+      return true;
+    }
+    respondError(responder, 405, "the method must be " + method);
+    return false;
+  }
+
+  private static void noSuchPath(Responder responder) {
+    respondError(responder, 404, "no such path");
+  }
+
+  private static void respondError(Responder responder, int status, String message) {
+    responder.answer(
+        status, ("{\"error\":\"" + message + "\"}").getBytes(StandardCharsets.UTF_8), 0);
+  }
+}
--- a/src/main/java/mallowstall/cli/Main.java
+++ b/src/main/java/mallowstall/cli/Main.java
@@ -5,7 +5,7 @@
 import java.util.Locale;
 import java.util.concurrent.Callable;
 import java.util.concurrent.CompletionException;
-import mallowstall.Service;
+import mallowstall.Controller;
 import mallowstall.config.Settings;
 import mallowstall.policy.Policies;
 import mallowstall.policy.PolicyDiagnostic;
@@ -146,10 +146,10 @@
         return 1;
       }
     }
-    Service service = new Service(settings, book);
-    service.start();
+    Controller controller = new Controller(settings, book);
+    controller.start();
     try {
-      service.address().join();
+      controller.address().join();
     } catch (CompletionException failure) {
       System.err.println(
           "mallowstall: can't listen on " + settings.listen() + ": " + failure.getCause());
--- a/src/main/java/mallowstall/cli/WarmUp.java
+++ b/src/main/java/mallowstall/cli/WarmUp.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import mallowstall.Service;
+import mallowstall.Controller;
 import mallowstall.config.Settings;
 import mallowstall.net.HttpClient;
 import mallowstall.net.HttpServer;
@@ -74,10 +74,10 @@
     // through a file, as when serving: reading one loads classes too
     Path file = Files.createTempFile("mallowstall-warm-up", ".json");
     Files.writeString(file, settings(worldAddress));
-    Service service = new Service(Settings.load(file), Policies.bundled());
+    Controller controller = new Controller(Settings.load(file), Policies.bundled());
     Files.delete(file);
-    service.start();
-    HttpClient user = new HttpClient(group.next(), service.address().join(), 2);
+    controller.start();
+    HttpClient user = new HttpClient(group.next(), controller.address().join(), 2);
     CountDownLatch left = new CountDownLatch(ROUNDS * REQUESTS_A_ROUND);
     for (int round = 1; round <= ROUNDS; round++) {
       String report = report(worldAddress, round);
@@ -88,7 +88,7 @@
       Thread.sleep(ROUND_MS);
     }
     boolean all = left.await(5, TimeUnit.SECONDS);
-    service.stop();
+    controller.stop();
     world.close();
     group.shutdownGracefully(0, 200, TimeUnit.MILLISECONDS);
     return all ? 0 : 1;
--- a/src/test/java/mallowstall/ServiceTest.java
+++ b/src/test/java/mallowstall/ControllerTest.java
@@ -12,7 +12,9 @@
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import mallowstall.config.Settings;
+import mallowstall.core.Model.CoreSettings;
 import mallowstall.policy.Policies;
+import mallowstall.users.Examples;
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
@@ -20,7 +22,7 @@
 /**
  * The real process on loopback, without a world around it: what it can't take is answered at once.
  */
-class ServiceTest {
+class ControllerTest {
   private static final String SETTINGS =
       """
       {"node":"n0","listen":"127.0.0.1:0","peer_bind":"127.0.0.1:0",
@@ -31,22 +33,23 @@
         "cloud":{"rps":1.5,"list_lag_s":10.0},"skew_ms":25.0}}
       """;
 
-  private static Service service;
+  private static Controller controller;
   private static String base;
   private static final HttpClient HTTP =
       HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
   @BeforeAll
   static void start() throws Exception {
-    service =
-        new Service(Settings.parse(SETTINGS.getBytes(StandardCharsets.UTF_8)), Policies.bundled());
-    service.start();
-    base = "http://127.0.0.1:" + service.address().join().getPort();
+    controller =
+        new Controller(
+            Settings.parse(SETTINGS.getBytes(StandardCharsets.UTF_8)), Policies.bundled());
+    controller.start();
+    base = "http://127.0.0.1:" + controller.address().join().getPort();
   }
 
   @AfterAll
   static void stop() {
-    service.stop();
+    controller.stop();
   }
 
   private static HttpResponse<String> call(String method, String path, String body)
@@ -72,7 +75,7 @@
             SETTINGS
                 .replace("\"txn_ops\":24", "\"txn_ops\":24" + next)
                 .getBytes(StandardCharsets.UTF_8));
-    mallowstall.core.Model.CoreSettings core = Service.coreSettings(settings);
+    CoreSettings core = CoreSettingsFactory.create(settings);
     assertEquals(2_048, core.valueBytes());
     assertEquals(8, core.txnOps());
     assertEquals(60.0, core.stateWriteRps());
@@ -81,7 +84,7 @@
 
   @Test
   void eachBadRequestGetsItsStatusAndAMessage() throws Exception {
-    String job = mallowstall.users.Examples.JOB;
+    String job = Examples.JOB;
     Object[][] cases = {
       {"GET", "/nothing", null, 404, "no such path"},
       {"GET", "/submissions/wk-000001/more", null, 404, "no such path"},
@@ -114,12 +117,8 @@
   void whatCannotBeDecidedIsAnsweredAtOnceWithARetryAfter() throws Exception {
     for (String[] c :
         new String[][] {
-          {"POST", "/submissions", mallowstall.users.Examples.JOB},
-          {
-            "POST",
-            "/submissions",
-            mallowstall.users.Examples.JOB.replace("\"batch\"", "\"daemon\"")
-          },
+          {"POST", "/submissions", Examples.JOB},
+          {"POST", "/submissions", Examples.JOB.replace("\"batch\"", "\"daemon\"")},
           {"GET", "/submissions/wk-000412", null},
           {"POST", "/submissions/wk-000412/cancel", ""},
         }) {
@@ -136,7 +135,7 @@
 
   @Test
   void aConnectionStaysOpenForTheNextRequest() throws Exception {
-    try (Socket s = new Socket("127.0.0.1", service.address().join().getPort())) {
+    try (Socket s = new Socket("127.0.0.1", controller.address().join().getPort())) {
       s.setSoTimeout(3_000);
       byte[] ask = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
       for (int i = 0; i < 3; i++) {
