--- a/src/main/java/mallowstall/cli/Main.java
+++ b/src/main/java/mallowstall/cli/Main.java
@@ -2,63 +2,31 @@
 
 import java.io.IOException;
 import java.nio.file.Path;
-import java.util.Locale;
 import java.util.concurrent.Callable;
 import java.util.concurrent.CompletionException;
 import mallowstall.Controller;
 import mallowstall.config.Settings;
 import mallowstall.policy.Policies;
-import mallowstall.policy.PolicyDiagnostic;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import picocli.CommandLine.Parameters;
 
-/** The command line. */
+/** The entry point and the root of the command line, which serves. */
 @Command(
     name = "mallowstall",
     description = "A cluster scheduler with several controllers.",
     mixinStandardHelpOptions = true,
-    versionProvider = Main.Version.class,
-    subcommands = {Main.Check.class, WarmUp.class},
+    versionProvider = VersionProvider.class,
+    subcommands = {CheckCommand.class, WarmUp.class},
     sortOptions = false)
 public final class Main implements Callable<Integer> {
-  /** Checks a policy file. */
-  @Command(
-      name = "check",
-      description = "Check a policy file: every fault with file, line and column.",
-      mixinStandardHelpOptions = true)
-  static final class Check implements Callable<Integer> {
-    @Parameters(paramLabel = "FILE", description = "The policy file.")
-    private Path file;
-
-    @Override
-    public Integer call() {
-      Policies policies;
-      try {
-        policies = Policies.load(file);
-      } catch (IOException failure) {
-        System.err.println("mallowstall: " + file + " can't be read");
-        return 1;
-      }
-      for (PolicyDiagnostic diagnostic : policies.diagnostics()) {
-        System.err.println(diagnostic.format(file.toString()));
-      }
-      if (policies.isUsable()) {
-        System.out.println(file + ": ok");
-      }
-      return policies.isUsable() ? 0 : 1;
-    }
-  }
+  private static final String CONFIG = "--config";
 
-  /** The version that the package was built with. */
-  static final class Version implements CommandLine.IVersionProvider {
-    @Override
-    public String[] getVersion() {
-      String v = Main.class.getPackage().getImplementationVersion();
-      return new String[] {"mallowstall " + (v == null ? "(unpackaged)" : v)};
-    }
-  }
+  /**
+   * In place of an exit code: the controller serves, on a thread that keeps the process alive until
+   * it is killed.
+   */
+  private static final int SERVING = -1;
 
   @Option(names = CONFIG, paramLabel = "FILE", description = "Serve with these settings (JSON).")
   private Path config;
@@ -69,12 +37,9 @@
       description = "Use these policies instead of the bundled ones.")
   private Path policies;
 
-  private static final String CONFIG = "--config";
-  private static final int SERVING = -1;
-
-  /** The entrance of the program. */
+  /** Runs the command line; returns while the controller serves, exits otherwise. */
   public static void main(String[] args) throws Exception {
-    logging();
+    LibraryProperties.set();
     int code = isPlainServe(args) ? serve(Path.of(args[1]), null) : execute(args);
     if (code != SERVING) {
       System.exit(code);
@@ -94,24 +59,6 @@
     return args.length == 2 && args[0].equals(CONFIG) && !args[1].startsWith("-");
   }
 
-  private static void logging() {
-    String level = System.getenv("LOG_LEVEL");
-    level = level == null ? "info" : level.toLowerCase(Locale.ROOT);
-    if (!level.equals("error") && !level.equals("debug")) {
-      level = "info";
-    }
-    String p = "org.slf4j.simpleLogger.";
-    System.setProperty(p + "defaultLogLevel", "warn");
-    System.setProperty(p + "log.mallowstall", level);
-    System.setProperty(p + "showThreadName", "false");
-    System.setProperty(p + "showShortLogName", "false");
-    System.setProperty("io.netty.noUnsafe", "true");
-    System.setProperty("io.netty.allocator.type", "unpooled");
-    System.setProperty("io.netty.leakDetection.level", "disabled");
-    System.setProperty("io.netty.machineId", "00:00:00:00:00:01");
-    System.setProperty("io.netty.processId", "1");
-  }
-
   @Override
   public Integer call() throws Exception {
     if (config == null) {
@@ -122,8 +69,14 @@
     return serve(config, policies);
   }
 
-  /** Serves with these settings and policies (null: the bundled ones) until killed. */
-  private static int serve(Path config, Path policies) throws InterruptedException {
+  /**
+   * Starts a controller.
+   *
+   * @param config the settings file
+   * @param policyFile the policies; null: the bundled ones
+   * @return {@link #SERVING}, or an exit code if it can't serve
+   */
+  private static int serve(Path config, Path policyFile) throws InterruptedException {
     Settings settings;
     try {
       settings = Settings.load(config);
@@ -131,22 +84,20 @@
       System.err.println("mallowstall: settings: " + invalid.getMessage());
       return 1;
     }
-    Policies book = Policies.bundled();
-    if (policies != null) {
+    Policies policies = Policies.bundled();
+    if (policyFile != null) {
       try {
-        book = Policies.load(policies);
+        policies = Policies.load(policyFile);
       } catch (IOException failure) {
-        System.err.println("mallowstall: " + policies + " can't be read");
+        System.err.println("mallowstall: " + policyFile + " can't be read");
         return 1;
       }
-      for (PolicyDiagnostic diagnostic : book.diagnostics()) {
-        System.err.println(diagnostic.format(policies.toString()));
-      }
-      if (!book.isUsable()) {
+      CheckCommand.printDiagnostics(policies, policyFile);
+      if (!policies.isUsable()) {
         return 1;
       }
     }
-    Controller controller = new Controller(settings, book);
+    Controller controller = new Controller(settings, policies);
     controller.start();
     try {
       controller.address().join();
--- a/src/main/java/mallowstall/cli/WarmUp.java
+++ b/src/main/java/mallowstall/cli/WarmUp.java
@@ -2,6 +2,7 @@
 
 import io.netty.channel.nio.NioEventLoopGroup;
 import io.netty.handler.codec.http.HttpMethod;
+import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -18,7 +19,7 @@
 
 /**
  * Serves for a moment on loopback against canned answers and ends. The build runs it so that the
- * class archive holds what serving loads: on a seventh of a core loading classes is most of a
+ * class archive holds what serving loads: on a small share of a core loading classes is most of a
  * restart.
  */
 @Command(name = "warm-up", hidden = true, description = "Serve for a moment on loopback.")
@@ -29,80 +30,72 @@
           + "\"calibres\":null,\"patio\":null,\"one_zone\":false,\"scatter\":false,\"prestados\":true,"
           + "\"aserrado_s\":1.0,\"marca_s\":0.0,\"apilado_s\":0.0,\"despacho_s\":60.0}";
   private static final int ROUNDS = 12;
-  private static final int REQUESTS_A_ROUND = 4;
+  private static final int REQUESTS_PER_ROUND = 4;
   private static final long ROUND_MS = 150;
-  private int revision = 1;
-
-  private void canned(HttpServer.Request request, HttpServer.Responder responder) {
-    String p = request.path();
-    String body;
-    int status = 200;
-    if (p.equals("/multi")) {
-      body = "{\"tirada\":" + ++revision + "}";
-    } else if (p.startsWith("/leases")) {
-      body = "{\"permiso\":1}";
-    } else if (p.startsWith("/keys?")) {
-      body = "{\"entries\":[],\"has_next\":false,\"tirada\":" + revision + "}";
-    } else if (p.startsWith("/keys/")) {
-      status = 404;
-      body = "{\"tirada\":" + revision + "}";
-    } else if (p.startsWith("/changes")) {
-      body = "{\"tirada\":" + revision + ",\"events\":[]}";
-    } else if (p.equals("/flavors")) {
-      body =
-          "{\"calibres\":[{\"label\":\"x\",\"vcpus\":8,\"gpus\":0,\"mem_gb\":32,\"local_gb\":9,"
-              + "\"fetch_gb_per_s\":1.0,\"rate\":1.0,\"market_price\":0.3,\"ready_s\":9,\"patios\":[\"z\"]}]}";
-    } else if (p.startsWith("/machines?")) {
-      body = "{\"sierras\":[],\"has_next\":false}";
-    } else if (p.equals("/orders")) {
-      status = 409;
-      body =
-          "{\"sierra\":\"m-000001\",\"addr\":\"\",\"calibre\":\"x\",\"patio\":\"z\",\"turno\":1,\"folio\":1,"
-              + "\"baston\":1,\"piezas\":[]}";
-    } else {
-      body = "{\"sierras\":[]}";
-    }
-    responder.answer(status, body.getBytes(StandardCharsets.UTF_8), 0);
-  }
+  private static final long REQUEST_TIMEOUT_MS = 2_000;
+  private static final long ANSWERS_S = 5;
+  private static final int WORLD_CONNECTIONS = 50;
+  private static final int USER_CONNECTIONS = 2;
 
   @Override
   public Integer call() throws Exception {
     NioEventLoopGroup group = new NioEventLoopGroup(1);
-    HttpServer world = new HttpServer(this::canned, 50);
-    InetSocketAddress at = world.listen(group, new InetSocketAddress("127.0.0.1", 0)).join();
-    String worldAddress = "127.0.0.1:" + at.getPort();
-    // through a file, as when serving: reading one loads classes too
-    Path file = Files.createTempFile("mallowstall-warm-up", ".json");
-    Files.writeString(file, settings(worldAddress));
-    Controller controller = new Controller(Settings.load(file), Policies.bundled());
-    Files.delete(file);
+    HttpServer world = new HttpServer(new CannedWorld(), WORLD_CONNECTIONS);
+    try {
+      InetSocketAddress bound = world.listen(group, new InetSocketAddress("127.0.0.1", 0)).join();
+      return serve(group, "127.0.0.1:" + bound.getPort()) ? 0 : 1;
+    } finally {
+      world.close();
+      group.shutdownGracefully(0, 200, TimeUnit.MILLISECONDS);
+    }
+  }
+
+  /** Whether all requests to a controller in this world were answered. */
+  private static boolean serve(NioEventLoopGroup group, String worldAddress) throws Exception {
+    Controller controller = new Controller(loadSettings(worldAddress), Policies.bundled());
     controller.start();
-    HttpClient user = new HttpClient(group.next(), controller.address().join(), 2);
-    CountDownLatch left = new CountDownLatch(ROUNDS * REQUESTS_A_ROUND);
-    for (int round = 1; round <= ROUNDS; round++) {
-      String report = report(worldAddress, round);
-      ask(group, user, HttpMethod.GET, "/ready", null, left);
-      ask(group, user, HttpMethod.POST, "/hello", report, left);
-      ask(group, user, HttpMethod.POST, "/submissions", JOB, left);
-      ask(group, user, HttpMethod.GET, "/submissions/wk-000001", null, left);
-      Thread.sleep(ROUND_MS);
+    try {
+      HttpClient user = new HttpClient(group.next(), controller.address().join(), USER_CONNECTIONS);
+      CountDownLatch unanswered = new CountDownLatch(ROUNDS * REQUESTS_PER_ROUND);
+      for (int round = 1; round <= ROUNDS; round++) {
+        String heartbeat = heartbeat(worldAddress, round);
+        send(group, user, HttpMethod.GET, "/ready", null, unanswered);
+        send(group, user, HttpMethod.POST, "/hello", heartbeat, unanswered);
+        send(group, user, HttpMethod.POST, "/submissions", JOB, unanswered);
+        send(group, user, HttpMethod.GET, "/submissions/wk-000001", null, unanswered);
+        Thread.sleep(ROUND_MS);
+      }
+      return unanswered.await(ANSWERS_S, TimeUnit.SECONDS);
+    } finally {
+      controller.stop();
+    }
+  }
+
+  /** Through a file, as when serving: reading one loads classes too. */
+  private static Settings loadSettings(String worldAddress) throws IOException, Settings.Invalid {
+    Path file = Files.createTempFile("mallowstall-warm-up", ".json");
+    try {
+      Files.writeString(file, settings(worldAddress));
+      return Settings.load(file);
+    } finally {
+      Files.delete(file);
     }
-    boolean all = left.await(5, TimeUnit.SECONDS);
-    controller.stop();
-    world.close();
-    group.shutdownGracefully(0, 200, TimeUnit.MILLISECONDS);
-    return all ? 0 : 1;
   }
 
-  private static void ask(
+  private static void send(
       NioEventLoopGroup group,
       HttpClient user,
       HttpMethod method,
       String path,
       String body,
-      CountDownLatch left) {
+      CountDownLatch unanswered) {
     byte[] bytes = body == null ? null : body.getBytes(StandardCharsets.UTF_8);
-    group.next().execute(() -> user.call(method, path, bytes, 2_000, reply -> left.countDown()));
+    group
+        .next()
+        .execute(
+            () ->
+                user.call(
+                    method, path, bytes, REQUEST_TIMEOUT_MS, reply -> unanswered.countDown()));
   }
 
   private static String settings(String worldAddress) {
@@ -118,8 +111,8 @@
         .formatted(worldAddress);
   }
 
-  /** A report of the one worker; the job's task has ended in the later rounds. */
-  private static String report(String address, int round) {
+  /** A heartbeat of the one worker; the job's task has ended in the later rounds. */
+  private static String heartbeat(String address, int round) {
     int token = round > 2 ? 1 : 0;
     String tasks =
         round > 6
