--- a/src/test/java/mallowstall/policy/GoldenPolicyTest.java
+++ b/src/test/java/mallowstall/policy/GoldenPolicyTest.java
@@ -16,7 +16,7 @@
     try (InputStream in = getClass().getResourceAsStream("/mallowstall/default.policy")) {
       assertArrayEquals(Fixtures.bytes("default.policy"), in.readAllBytes());
     }
-    assertEquals(List.of(), Policies.bundled().faults());
+    assertEquals(List.of(), Policies.bundled().diagnostics());
   }
 
   @Test
@@ -24,7 +24,11 @@
     Policies policies = Policies.of(Fixtures.text("faulty.policy"));
 
     String told =
-        String.join("\n", policies.faults().stream().map(f -> f.at("faulty.policy")).toList());
+        String.join(
+            "\n",
+            policies.diagnostics().stream()
+                .map(diagnostic -> diagnostic.format("faulty.policy"))
+                .toList());
 
     Fixtures.assertSame("policy-faults.txt", told);
   }
