--- a/src/main/java/mallowstall/Service.java
+++ b/src/main/java/mallowstall/Service.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import mallowstall.cloud.CloudAdapter;
+import mallowstall.cloud.CloudClient;
 import mallowstall.config.Settings;
 import mallowstall.core.ClusterVersion;
 import mallowstall.core.Core;
@@ -26,15 +26,15 @@
 import mallowstall.core.Model.RentRequest;
 import mallowstall.core.Model.Team;
 import mallowstall.core.Policy;
-import mallowstall.net.Duty;
 import mallowstall.net.HttpClient;
 import mallowstall.net.HttpServer;
 import mallowstall.net.HttpServer.Request;
 import mallowstall.net.HttpServer.Responder;
-import mallowstall.peers.PeersAdapter;
-import mallowstall.state.StateAdapter;
-import mallowstall.users.UsersAdapter;
-import mallowstall.workers.WorkersAdapter;
+import mallowstall.net.PeriodicTask;
+import mallowstall.peers.PeerConnections;
+import mallowstall.state.StateServiceClient;
+import mallowstall.users.UserApiHandler;
+import mallowstall.workers.WorkerHttpAdapter;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -47,18 +47,18 @@
   private final NioEventLoopGroup group = new NioEventLoopGroup(1);
   private final EventLoop loop = group.next();
   private final Core core;
-  private final StateAdapter state;
-  private final CloudAdapter cloud;
-  private final PeersAdapter peers;
-  private final UsersAdapter users;
-  private final WorkersAdapter workers;
+  private final StateServiceClient state;
+  private final CloudClient cloud;
+  private final PeerConnections peers;
+  private final UserApiHandler users;
+  private final WorkerHttpAdapter workers;
   private final Meters meters = new Meters();
   private final HttpServer server;
   private final Settings settings;
   private final CompletableFuture<InetSocketAddress> address = new CompletableFuture<>();
   private long startedAt;
   private boolean listens;
-  private Duty ticks;
+  private PeriodicTask ticks;
   private ScheduledFuture<?> wake;
   private long wakeAt = Long.MAX_VALUE;
 
@@ -71,8 +71,8 @@
             loop, Settings.address(settings.endpoints().state()), Constants.STATE_CONNECTIONS);
     HttpClient watches = new HttpClient(loop, Settings.address(settings.endpoints().state()), 2);
     HttpClient cloudCalls = new HttpClient(loop, Settings.address(settings.endpoints().cloud()), 2);
-    this.state = new StateAdapter(stateCalls, watches, events);
-    this.cloud = new CloudAdapter(cloudCalls, events);
+    this.state = new StateServiceClient(stateCalls, watches, events);
+    this.cloud = new CloudClient(cloudCalls, events);
     this.core =
         new Core(
             coreSettings(settings),
@@ -84,10 +84,10 @@
         settings.facts().limits() == null || settings.facts().limits().maxConnections() == null
             ? 500
             : settings.facts().limits().maxConnections();
-    this.peers = new PeersAdapter(loop, core, events, 16);
-    this.users = new UsersAdapter(core);
+    this.peers = new PeerConnections(loop, core, events, 16);
+    this.users = new UserApiHandler(core);
     this.workers =
-        new WorkersAdapter(core, loop, events, (int) (sockets * Constants.ORDER_SOCKET_SHARE));
+        new WorkerHttpAdapter(core, loop, events, (int) (sockets * Constants.ORDER_SOCKET_SHARE));
     this.server = new HttpServer(this::handle, (int) (sockets * Constants.SOCKET_SHARE));
   }
 
@@ -152,7 +152,7 @@
               peers.connect(peer.node(), Settings.address(peer.addr()));
             }
           }
-          ticks = new Duty("tick", loop, Constants.TICK_MS, this::tick);
+          ticks = new PeriodicTask("tick", loop, Constants.TICK_MS, this::tick);
         });
     LOG.info("{} starts", settings.node());
   }
--- a/src/main/java/mallowstall/cloud/CloudAdapter.java
+++ b/src/main/java/mallowstall/cloud/CloudClient.java
@@ -19,7 +19,7 @@
 import org.slf4j.LoggerFactory;
 
 /** The cloud's HTTP interface. */
-public final class CloudAdapter {
+public final class CloudClient {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.cloud");
 
   /** A page of listed machines; null: the answer has none. */
@@ -32,7 +32,7 @@
   private final Consumer<Runnable> events;
 
   /** Turns the core's requests into calls of the cloud. */
-  public CloudAdapter(HttpClient http, Consumer<Runnable> events) {
+  public CloudClient(HttpClient http, Consumer<Runnable> events) {
     this.http = http;
     this.events = events;
   }
@@ -73,7 +73,7 @@
         HttpMethod.GET,
         "/flavors",
         null,
-        in -> in.only("calibres", types -> types.list(CloudAdapter::type)),
+        in -> in.fieldOrNull("calibres", types -> types.list(CloudClient::type)),
         (status, types) -> then.accept(types));
   }
 
@@ -88,19 +88,19 @@
     double spotPrice = 0;
     double bootS = 0;
     List<String> zones = null;
-    in.requireObject();
+    in.enterObject();
     while (in.nextField()) {
       switch (in.field()) {
-        case "label" -> name = in.text();
-        case "vcpus" -> cpus = in.number();
-        case "gpus" -> gpus = in.number();
-        case "mem_gb" -> memoryGb = in.number();
-        case "local_gb" -> cacheGb = in.number();
-        case "fetch_gb_per_s" -> fetchGbPerS = in.number();
-        case "rate" -> price = in.number();
-        case "market_price" -> spotPrice = in.number();
-        case "ready_s" -> bootS = in.number();
-        case "patios" -> zones = in.texts();
+        case "label" -> name = in.string();
+        case "vcpus" -> cpus = in.doubleOrZero();
+        case "gpus" -> gpus = in.doubleOrZero();
+        case "mem_gb" -> memoryGb = in.doubleOrZero();
+        case "local_gb" -> cacheGb = in.doubleOrZero();
+        case "fetch_gb_per_s" -> fetchGbPerS = in.doubleOrZero();
+        case "rate" -> price = in.doubleOrZero();
+        case "market_price" -> spotPrice = in.doubleOrZero();
+        case "ready_s" -> bootS = in.doubleOrZero();
+        case "patios" -> zones = in.strings();
         default -> in.skip();
       }
     }
@@ -123,7 +123,7 @@
         HttpMethod.POST,
         "/machines",
         JsonWriter.object(out -> write(out, request)),
-        CloudAdapter::names,
+        CloudClient::names,
         (status, names) ->
             then.accept(
                 new RentReply(
@@ -141,7 +141,7 @@
 
   /** The names of machines in an answer. */
   private static List<String> names(JsonReader in) throws IOException {
-    List<String> names = in.only(MACHINES, JsonReader::texts);
+    List<String> names = in.fieldOrNull(MACHINES, JsonReader::strings);
     return names == null ? List.of() : names;
   }
 
@@ -150,7 +150,7 @@
     call(
         HttpMethod.POST,
         "/machines/return",
-        JsonWriter.object(out -> JsonWriter.texts(out, MACHINES, machines)),
+        JsonWriter.object(out -> JsonWriter.strings(out, MACHINES, machines)),
         null,
         (status, nothing) -> then.accept(status == 200));
   }
@@ -161,7 +161,7 @@
         HttpMethod.GET,
         "/machines?" + (after == null ? "" : "after=" + after + "&") + "page=" + PAGE,
         null,
-        CloudAdapter::page,
+        CloudClient::page,
         (status, page) -> {
           if (page == null || page.machines() == null) {
             then.accept(new ListedReply(false, List.of(), false));
@@ -174,13 +174,13 @@
   private static Page page(JsonReader in) throws IOException {
     List<Listed> machines = null;
     boolean more = false;
-    if (!in.object()) {
+    if (!in.enterObjectIfPresent()) {
       return null;
     }
     while (in.nextField()) {
       switch (in.field()) {
-        case MACHINES -> machines = in.list(CloudAdapter::listed);
-        case "has_next" -> more = in.flag();
+        case MACHINES -> machines = in.list(CloudClient::listed);
+        case "has_next" -> more = in.booleanOrFalse();
         default -> in.skip();
       }
     }
@@ -194,15 +194,15 @@
     boolean spot = false;
     String state = null;
     double ageS = 0;
-    in.requireObject();
+    in.enterObject();
     while (in.nextField()) {
       switch (in.field()) {
-        case "ref" -> id = in.text();
-        case "calibre" -> type = in.text();
-        case "patio" -> zone = in.text();
-        case "prestados" -> spot = in.flag();
-        case "estado" -> state = in.text();
-        case "held_s" -> ageS = in.number();
+        case "ref" -> id = in.string();
+        case "calibre" -> type = in.string();
+        case "patio" -> zone = in.string();
+        case "prestados" -> spot = in.booleanOrFalse();
+        case "estado" -> state = in.string();
+        case "held_s" -> ageS = in.doubleOrZero();
         default -> in.skip();
       }
     }
--- a/src/main/java/mallowstall/config/SettingsReader.java
+++ b/src/main/java/mallowstall/config/SettingsReader.java
@@ -9,7 +9,7 @@
   private SettingsReader() {}
 
   static Settings settings(JsonReader in) throws IOException {
-    if (!in.object()) {
+    if (!in.enterObjectIfPresent()) {
       return null;
     }
     String node = null;
@@ -21,10 +21,10 @@
     Settings.Facts facts = null;
     while (in.nextField()) {
       switch (in.field()) {
-        case "node" -> node = in.text();
-        case "location" -> zone = in.text();
-        case "listen" -> listen = in.text();
-        case "peer_bind" -> peerListen = in.text();
+        case "node" -> node = in.string();
+        case "location" -> zone = in.string();
+        case "listen" -> listen = in.string();
+        case "peer_bind" -> peerListen = in.string();
         case "known" -> peers = in.list(SettingsReader::peer);
         case "endpoints" -> endpoints = endpoints(in);
         case "facts" -> facts = facts(in);
@@ -35,7 +35,7 @@
   }
 
   static Settings.Peer peer(JsonReader in) throws IOException {
-    if (!in.object()) {
+    if (!in.enterObjectIfPresent()) {
       return null;
     }
     String node = null;
@@ -43,9 +43,9 @@
     String addr = null;
     while (in.nextField()) {
       switch (in.field()) {
-        case "node" -> node = in.text();
-        case "location" -> zone = in.text();
-        case "addr" -> addr = in.text();
+        case "node" -> node = in.string();
+        case "location" -> zone = in.string();
+        case "addr" -> addr = in.string();
         default -> in.skip();
       }
     }
@@ -53,15 +53,15 @@
   }
 
   static Settings.Endpoints endpoints(JsonReader in) throws IOException {
-    if (!in.object()) {
+    if (!in.enterObjectIfPresent()) {
       return null;
     }
     String cloud = null;
     String state = null;
     while (in.nextField()) {
       switch (in.field()) {
-        case "cloud" -> cloud = in.text();
-        case "state" -> state = in.text();
+        case "cloud" -> cloud = in.string();
+        case "state" -> state = in.string();
         default -> in.skip();
       }
     }
@@ -69,7 +69,7 @@
   }
 
   static Settings.Facts facts(JsonReader in) throws IOException {
-    if (!in.object()) {
+    if (!in.enterObjectIfPresent()) {
       return null;
     }
     List<Settings.Team> teams = null;
@@ -87,7 +87,7 @@
         case "state" -> state = state(in);
         case "cloud" -> cloud = cloud(in);
         case "machine_limits" -> limits = limits(in);
-        case "skew_ms" -> skewMs = in.numberOrNull();
+        case "skew_ms" -> skewMs = in.doubleOrNull();
         default -> in.skip();
       }
     }
@@ -95,7 +95,7 @@
   }
 
   static Settings.Team team(JsonReader in) throws IOException {
-    if (!in.object()) {
+    if (!in.enterObjectIfPresent()) {
       return null;
     }
     String name = null;
@@ -105,11 +105,11 @@
     double gpusMax = 0;
     while (in.nextField()) {
       switch (in.field()) {
-        case "name" -> name = in.text();
-        case "cpus" -> cpus = in.number();
-        case "cpus_max" -> cpusMax = in.number();
-        case "gpus" -> gpus = in.number();
-        case "gpus_max" -> gpusMax = in.number();
+        case "name" -> name = in.string();
+        case "cpus" -> cpus = in.doubleOrZero();
+        case "cpus_max" -> cpusMax = in.doubleOrZero();
+        case "gpus" -> gpus = in.doubleOrZero();
+        case "gpus_max" -> gpusMax = in.doubleOrZero();
         default -> in.skip();
       }
     }
@@ -117,7 +117,7 @@
   }
 
   static Settings.Objective objective(JsonReader in) throws IOException {
-    if (!in.object()) {
+    if (!in.enterObjectIfPresent()) {
       return null;
     }
     String kind = null;
@@ -125,9 +125,9 @@
     Double times = null;
     while (in.nextField()) {
       switch (in.field()) {
-        case "kind" -> kind = in.text();
-        case "class" -> jobClass = in.text();
-        case "times" -> times = in.numberOrNull();
+        case "kind" -> kind = in.string();
+        case "class" -> jobClass = in.string();
+        case "times" -> times = in.doubleOrNull();
         default -> in.skip();
       }
     }
@@ -135,7 +135,7 @@
   }
 
   static Settings.Workers workers(JsonReader in) throws IOException {
-    if (!in.object()) {
+    if (!in.enterObjectIfPresent()) {
       return null;
     }
     Double reportS = null;
@@ -143,9 +143,9 @@
     Double cancelS = null;
     while (in.nextField()) {
       switch (in.field()) {
-        case "report_s" -> reportS = in.numberOrNull();
-        case "lease_s" -> leaseS = in.numberOrNull();
-        case "cancel_s" -> cancelS = in.numberOrNull();
+        case "report_s" -> reportS = in.doubleOrNull();
+        case "lease_s" -> leaseS = in.doubleOrNull();
+        case "cancel_s" -> cancelS = in.doubleOrNull();
         default -> in.skip();
       }
     }
@@ -153,7 +153,7 @@
   }
 
   static Settings.State state(JsonReader in) throws IOException {
-    if (!in.object()) {
+    if (!in.enterObjectIfPresent()) {
       return null;
     }
     Double rps = null;
@@ -163,10 +163,10 @@
     Settings.NextState next = null;
     while (in.nextField()) {
       switch (in.field()) {
-        case "rps" -> rps = in.numberOrNull();
-        case "write_rps" -> writeRps = in.numberOrNull();
-        case "value_kb" -> valueKb = in.numberOrNull();
-        case "txn_ops" -> txnOps = in.smallWholeOrNull();
+        case "rps" -> rps = in.doubleOrNull();
+        case "write_rps" -> writeRps = in.doubleOrNull();
+        case "value_kb" -> valueKb = in.doubleOrNull();
+        case "txn_ops" -> txnOps = in.intOrNull();
         case "next" -> next = nextState(in);
         default -> in.skip();
       }
@@ -175,7 +175,7 @@
   }
 
   static Settings.NextState nextState(JsonReader in) throws IOException {
-    if (!in.object()) {
+    if (!in.enterObjectIfPresent()) {
       return null;
     }
     Double rps = null;
@@ -184,10 +184,10 @@
     Integer txnOps = null;
     while (in.nextField()) {
       switch (in.field()) {
-        case "rps" -> rps = in.numberOrNull();
-        case "write_rps" -> writeRps = in.numberOrNull();
-        case "value_kb" -> valueKb = in.numberOrNull();
-        case "txn_ops" -> txnOps = in.smallWholeOrNull();
+        case "rps" -> rps = in.doubleOrNull();
+        case "write_rps" -> writeRps = in.doubleOrNull();
+        case "value_kb" -> valueKb = in.doubleOrNull();
+        case "txn_ops" -> txnOps = in.intOrNull();
         default -> in.skip();
       }
     }
@@ -195,15 +195,15 @@
   }
 
   static Settings.Cloud cloud(JsonReader in) throws IOException {
-    if (!in.object()) {
+    if (!in.enterObjectIfPresent()) {
       return null;
     }
     Double rps = null;
     Double listLagS = null;
     while (in.nextField()) {
       switch (in.field()) {
-        case "rps" -> rps = in.numberOrNull();
-        case "list_lag_s" -> listLagS = in.numberOrNull();
+        case "rps" -> rps = in.doubleOrNull();
+        case "list_lag_s" -> listLagS = in.doubleOrNull();
         default -> in.skip();
       }
     }
@@ -211,15 +211,15 @@
   }
 
   static Settings.Limits limits(JsonReader in) throws IOException {
-    if (!in.object()) {
+    if (!in.enterObjectIfPresent()) {
       return null;
     }
     Integer maxConnections = null;
     Double memoryMb = null;
     while (in.nextField()) {
       switch (in.field()) {
-        case "fd_limit" -> maxConnections = in.smallWholeOrNull();
-        case "ram_mb" -> memoryMb = in.numberOrNull();
+        case "fd_limit" -> maxConnections = in.intOrNull();
+        case "ram_mb" -> memoryMb = in.doubleOrNull();
         default -> in.skip();
       }
     }
--- a/src/main/java/mallowstall/json/JsonReader.java
+++ b/src/main/java/mallowstall/json/JsonReader.java
@@ -39,10 +39,10 @@
 
   /** Reads a document that consists of this value alone. */
   public static <T> T read(byte[] document, ValueReader<T> value) throws IOException {
-    return new JsonReader(document, 0, document.length).whole(value);
+    return new JsonReader(document, 0, document.length).readDocument(value);
   }
 
-  private <T> T whole(ValueReader<T> value) throws IOException {
+  private <T> T readDocument(ValueReader<T> value) throws IOException {
     if (parser.nextToken() == null) {
       throw new WrongTypeException("");
     }
@@ -54,13 +54,13 @@
   }
 
   /** Enters an object, whose fields follow; false: the value is null. */
-  public boolean object() throws IOException {
+  public boolean enterObjectIfPresent() throws IOException {
     return expect(JsonToken.START_OBJECT);
   }
 
   /** Enters an object that must be there. */
-  public void requireObject() throws IOException {
-    if (!object()) {
+  public void enterObject() throws IOException {
+    if (!enterObjectIfPresent()) {
       throw wrongType();
     }
   }
@@ -91,9 +91,9 @@
   }
 
   /** The one field that matters of an object that must be there; null if the object has none. */
-  public <T> T only(String name, ValueReader<T> value) throws IOException {
+  public <T> T fieldOrNull(String name, ValueReader<T> value) throws IOException {
     T found = null;
-    requireObject();
+    enterObject();
     while (nextField()) {
       if (field().equals(name)) {
         found = value.read(this);
@@ -126,19 +126,19 @@
   }
 
   /** The texts of a list; null if there is none. */
-  public List<String> texts() throws IOException {
-    return list(JsonReader::text);
+  public List<String> strings() throws IOException {
+    return list(JsonReader::string);
   }
 
   /** A text, or null. */
-  public String text() throws IOException {
+  public String string() throws IOException {
     return expect(JsonToken.VALUE_STRING) ? parser.getText() : null;
   }
 
   /** Bytes in base 64, or null. */
   public byte[] bytes() throws IOException {
     // as a text first: the reader then stands behind it even if it isn't base 64
-    if (text() == null) {
+    if (string() == null) {
       return null;
     }
     try {
@@ -149,8 +149,8 @@
   }
 
   /** A constant by its name, or null. */
-  public <E extends Enum<E>> E constant(Class<E> type) throws IOException {
-    String name = text();
+  public <E extends Enum<E>> E enumConstant(Class<E> type) throws IOException {
+    String name = string();
     try {
       return name == null ? null : Enum.valueOf(type, name);
     } catch (IllegalArgumentException unknown) {
@@ -159,7 +159,7 @@
   }
 
   /** True or false, or null. */
-  public Boolean flagOrNull() throws IOException {
+  public Boolean booleanOrNull() throws IOException {
     return switch (parser.currentToken()) {
       case VALUE_NULL -> null;
       case VALUE_TRUE -> Boolean.TRUE;
@@ -169,12 +169,12 @@
   }
 
   /** True or false; null counts as false. */
-  public boolean flag() throws IOException {
-    return flagOrNull() == Boolean.TRUE;
+  public boolean booleanOrFalse() throws IOException {
+    return booleanOrNull() == Boolean.TRUE;
   }
 
   /** A number, or null. */
-  public Double numberOrNull() throws IOException {
+  public Double doubleOrNull() throws IOException {
     if (isNull()) {
       return null;
     }
@@ -185,13 +185,13 @@
   }
 
   /** A number; null counts as 0. */
-  public double number() throws IOException {
-    Double value = numberOrNull();
+  public double doubleOrZero() throws IOException {
+    Double value = doubleOrNull();
     return value == null ? 0 : value;
   }
 
   /** A whole number of 64 bits; null counts as 0. */
-  public long whole() throws IOException {
+  public long longOrZero() throws IOException {
     if (!expect(JsonToken.VALUE_NUMBER_INT)) {
       return 0;
     }
@@ -203,7 +203,7 @@
   }
 
   /** A whole number of 32 bits, or null. */
-  public Integer smallWholeOrNull() throws IOException {
+  public Integer intOrNull() throws IOException {
     if (!expect(JsonToken.VALUE_NUMBER_INT)) {
       return null;
     }
@@ -215,8 +215,8 @@
   }
 
   /** A whole number of 32 bits; null counts as 0. */
-  public int smallWhole() throws IOException {
-    Integer value = smallWholeOrNull();
+  public int intOrZero() throws IOException {
+    Integer value = intOrNull();
     return value == null ? 0 : value;
   }
 
@@ -241,20 +241,20 @@
   }
 
   /** Passes over the value, which may be read later as a document of its own. */
-  public Skipped skipForLater() throws IOException {
+  public Deferred defer() throws IOException {
     int start = (int) parser.currentTokenLocation().getByteOffset();
     parser.skipChildren();
     int end = (int) parser.currentLocation().getByteOffset();
-    return new Skipped(document, offset + start, end - start);
+    return new Deferred(document, offset + start, end - start);
   }
 
   /** A value that was passed over: a part of its document. */
-  public static final class Skipped {
+  public static final class Deferred {
     private final byte[] document;
     private final int offset;
     private final int length;
 
-    private Skipped(byte[] document, int offset, int length) {
+    private Deferred(byte[] document, int offset, int length) {
       this.document = document;
       this.offset = offset;
       this.length = length;
@@ -262,7 +262,7 @@
 
     /** Reads the value. */
     public <T> T read(ValueReader<T> value) throws IOException {
-      return new JsonReader(document, offset, length).whole(value);
+      return new JsonReader(document, offset, length).readDocument(value);
     }
   }
 
--- a/src/main/java/mallowstall/json/JsonWriter.java
+++ b/src/main/java/mallowstall/json/JsonWriter.java
@@ -59,13 +59,13 @@
   }
 
   /** A field with a list of texts; null if there is none. */
-  public static void texts(JsonGenerator out, String field, List<String> values)
+  public static void strings(JsonGenerator out, String field, List<String> values)
       throws IOException {
     list(out, field, values, JsonGenerator::writeString);
   }
 
   /** A field with a number, or null. */
-  public static void numberOrNull(JsonGenerator out, String field, Double value)
+  public static void doubleOrNull(JsonGenerator out, String field, Double value)
       throws IOException {
     if (value == null) {
       out.writeNullField(field);
--- a/src/main/java/mallowstall/net/HttpServer.java
+++ b/src/main/java/mallowstall/net/HttpServer.java
@@ -61,7 +61,7 @@
   private final Patience patience;
   private final Set<Guard> open = new HashSet<>();
   private Channel listening;
-  private Duty sweep;
+  private PeriodicTask sweep;
 
   /** A server that keeps so many connections open at most. */
   public HttpServer(Handler handler, int maxConnections) {
@@ -110,7 +110,7 @@
     listening = bound.channel();
     // a timer for each connection woke the process fifty times a second for 500 workers
     sweep =
-        new Duty(
+        new PeriodicTask(
             "idle connections", group.next(), patience.sweepMs, () -> closeIdle(System.nanoTime()));
     bound.addListener(
         future -> {
--- a/src/main/java/mallowstall/net/Duty.java
+++ b/src/main/java/mallowstall/net/PeriodicTask.java
@@ -7,13 +7,13 @@
 import org.slf4j.LoggerFactory;
 
 /** A named long-lived task on the event loop, run at a fixed delay until it is cancelled. */
-public final class Duty {
+public final class PeriodicTask {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.duty");
   private final String name;
   private final ScheduledFuture<?> future;
 
   /** Runs the body again and again, at this interval, until it is cancelled. */
-  public Duty(String name, EventLoop loop, long everyMs, Runnable body) {
+  public PeriodicTask(String name, EventLoop loop, long everyMs, Runnable body) {
     this.name = name;
     this.future =
         loop.scheduleWithFixedDelay(
--- a/src/main/java/mallowstall/peers/PeersAdapter.java
+++ b/src/main/java/mallowstall/peers/PeerConnections.java
@@ -34,7 +34,7 @@
 /**
  * One connection to each peer for what this controller says, and one from each for what it hears.
  */
-public final class PeersAdapter {
+public final class PeerConnections {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.peers");
 
   private final EventLoop loop;
@@ -48,7 +48,7 @@
   private boolean closed;
 
   /** Connects to peers and accepts so many connections of theirs at most. */
-  public PeersAdapter(EventLoop loop, Core core, Consumer<Runnable> events, int maxInbound) {
+  public PeerConnections(EventLoop loop, Core core, Consumer<Runnable> events, int maxInbound) {
     this.loop = loop;
     this.core = core;
     this.events = events;
--- a/src/main/java/mallowstall/state/StateAdapter.java
+++ b/src/main/java/mallowstall/state/StateServiceClient.java
@@ -25,7 +25,7 @@
 import org.slf4j.LoggerFactory;
 
 /** The state service's HTTP interface. Values are the core's records as JSON. */
-public final class StateAdapter {
+public final class StateServiceClient {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.state");
 
   /** A page of keys, or the changes since a revision. */
@@ -45,7 +45,7 @@
   private final Consumer<Runnable> events;
 
   /** {@code events} runs what it is given as one event of the core. */
-  public StateAdapter(HttpClient calls, HttpClient watches, Consumer<Runnable> events) {
+  public StateServiceClient(HttpClient calls, HttpClient watches, Consumer<Runnable> events) {
     this.calls = calls;
     this.watches = watches;
     this.events = events;
@@ -85,7 +85,7 @@
     return read(
         body,
         in -> {
-          Long number = in.only(name, JsonReader::whole);
+          Long number = in.fieldOrNull(name, JsonReader::longOrZero);
           return number == null ? 0L : number;
         });
   }
@@ -121,7 +121,7 @@
   }
 
   private static void write(JsonGenerator out, Txn transaction) throws IOException {
-    JsonWriter.list(out, "when", transaction.when(), StateAdapter::write);
+    JsonWriter.list(out, "when", transaction.when(), StateServiceClient::write);
     out.writeFieldName("then");
     out.writeStartArray();
     for (Put put : transaction.puts()) {
@@ -164,7 +164,7 @@
             then.accept(new GetReply(Code.OK, new Item(key, null, 0)));
             return;
           }
-          Item item = reply.status() == 200 ? read(reply.body(), StateAdapter::item) : null;
+          Item item = reply.status() == 200 ? read(reply.body(), StateServiceClient::item) : null;
           if (item == null || item.value() == null) {
             then.accept(
                 new GetReply(reply.status() == 200 ? Code.REFUSED : code(reply.status()), null));
@@ -185,7 +185,7 @@
             + Constants.LIST_PAGE,
         null,
         reply -> {
-          Items page = reply.status() == 200 ? read(reply.body(), StateAdapter::items) : null;
+          Items page = reply.status() == 200 ? read(reply.body(), StateServiceClient::items) : null;
           if (page == null) {
             then.accept(new ListReply(Code.REFUSED, List.of(), false, 0));
             return;
@@ -198,12 +198,12 @@
     List<Item> items = null;
     boolean more = false;
     long revision = 0;
-    in.requireObject();
+    in.enterObject();
     while (in.nextField()) {
       switch (in.field()) {
-        case "entries", "events" -> items = in.list(StateAdapter::item);
-        case "has_next" -> more = in.flag();
-        case REVISION -> revision = in.whole();
+        case "entries", "events" -> items = in.list(StateServiceClient::item);
+        case "has_next" -> more = in.booleanOrFalse();
+        case REVISION -> revision = in.longOrZero();
         default -> in.skip();
       }
     }
@@ -219,26 +219,26 @@
     String key = null;
     boolean dropped = false;
     Entry value = null;
-    JsonReader.Skipped unread = null;
+    JsonReader.Deferred unread = null;
     long version = 0;
-    if (!in.object()) {
+    if (!in.enterObjectIfPresent()) {
       return null;
     }
     while (in.nextField()) {
       switch (in.field()) {
-        case KEY, SET -> key = in.text();
+        case KEY, SET -> key = in.string();
         case DROP -> {
-          key = in.text();
+          key = in.string();
           dropped = true;
         }
         case VALUE -> {
           if (key == null) {
-            unread = in.skipForLater();
+            unread = in.defer();
           } else {
             value = entry(key, in);
           }
         }
-        case VERSION -> version = in.whole();
+        case VERSION -> version = in.longOrZero();
         default -> in.skip();
       }
     }
@@ -267,7 +267,7 @@
             events.accept(
                 () -> {
                   Items news =
-                      reply.status() == 200 ? read(reply.body(), StateAdapter::items) : null;
+                      reply.status() == 200 ? read(reply.body(), StateServiceClient::items) : null;
                   if (news != null) {
                     then.accept(new WatchReply(Code.OK, news.items(), news.revision()));
                   } else {
--- a/src/main/java/mallowstall/state/StoredEntries.java
+++ b/src/main/java/mallowstall/state/StoredEntries.java
@@ -38,7 +38,7 @@
       in.skip();
       return null;
     }
-    return in.object() ? fields.read(in) : null;
+    return in.enterObjectIfPresent() ? fields.read(in) : null;
   }
 
   /** What reads the fields of the entries under such a key; null: nothing does. */
@@ -138,8 +138,8 @@
     long incarnation = 0;
     while (in.nextField()) {
       switch (in.field()) {
-        case "node" -> node = in.text();
-        case "incarnation" -> incarnation = in.whole();
+        case "node" -> node = in.string();
+        case "incarnation" -> incarnation = in.longOrZero();
         default -> in.skip();
       }
     }
@@ -157,9 +157,9 @@
     int version = 0;
     while (in.nextField()) {
       switch (in.field()) {
-        case "node" -> node = in.text();
-        case "incarnation" -> incarnation = in.whole();
-        case "version" -> version = in.smallWhole();
+        case "node" -> node = in.string();
+        case "incarnation" -> incarnation = in.longOrZero();
+        case "version" -> version = in.intOrZero();
         default -> in.skip();
       }
     }
@@ -175,12 +175,12 @@
     boolean spot = false;
     while (in.nextField()) {
       switch (in.field()) {
-        case "node" -> node = in.text();
-        case "incarnation" -> incarnation = in.whole();
-        case "token" -> token = in.whole();
-        case "type" -> type = in.text();
-        case "zone" -> zone = in.text();
-        case "spot" -> spot = in.flag();
+        case "node" -> node = in.string();
+        case "incarnation" -> incarnation = in.longOrZero();
+        case "token" -> token = in.longOrZero();
+        case "type" -> type = in.string();
+        case "zone" -> zone = in.string();
+        case "spot" -> spot = in.booleanOrFalse();
         default -> in.skip();
       }
     }
@@ -193,8 +193,8 @@
     List<GroupMachine> machines = null;
     while (in.nextField()) {
       switch (in.field()) {
-        case "node" -> node = in.text();
-        case "incarnation" -> incarnation = in.whole();
+        case "node" -> node = in.string();
+        case "incarnation" -> incarnation = in.longOrZero();
         case "machines" -> machines = in.list(StoredEntries::member);
         default -> in.skip();
       }
@@ -203,7 +203,7 @@
   }
 
   private static GroupMachine member(JsonReader in) throws IOException {
-    if (!in.object()) {
+    if (!in.enterObjectIfPresent()) {
       return null;
     }
     String id = null;
@@ -212,10 +212,10 @@
     boolean spot = false;
     while (in.nextField()) {
       switch (in.field()) {
-        case "id" -> id = in.text();
-        case "type" -> type = in.text();
-        case "zone" -> zone = in.text();
-        case "spot" -> spot = in.flag();
+        case "id" -> id = in.string();
+        case "type" -> type = in.string();
+        case "zone" -> zone = in.string();
+        case "spot" -> spot = in.booleanOrFalse();
         default -> in.skip();
       }
     }
@@ -227,8 +227,8 @@
     double gpus = 0;
     while (in.nextField()) {
       switch (in.field()) {
-        case "cpus" -> cpus = in.number();
-        case "gpus" -> gpus = in.number();
+        case "cpus" -> cpus = in.doubleOrZero();
+        case "gpus" -> gpus = in.doubleOrZero();
         default -> in.skip();
       }
     }
@@ -241,9 +241,9 @@
     double pendingCpus = 0;
     while (in.nextField()) {
       switch (in.field()) {
-        case "incarnation" -> incarnation = in.whole();
+        case "incarnation" -> incarnation = in.longOrZero();
         case "rooms" -> rooms = in.list(StoredEntries::room);
-        case "pendingCpus" -> pendingCpus = in.number();
+        case "pendingCpus" -> pendingCpus = in.doubleOrZero();
         default -> in.skip();
       }
     }
@@ -251,7 +251,7 @@
   }
 
   private static Room room(JsonReader in) throws IOException {
-    if (!in.object()) {
+    if (!in.enterObjectIfPresent()) {
       return null;
     }
     String machine = null;
@@ -260,10 +260,10 @@
     double memoryGb = 0;
     while (in.nextField()) {
       switch (in.field()) {
-        case "machine" -> machine = in.text();
-        case "cpus" -> cpus = in.number();
-        case "gpus" -> gpus = in.number();
-        case "memoryGb" -> memoryGb = in.number();
+        case "machine" -> machine = in.string();
+        case "cpus" -> cpus = in.doubleOrZero();
+        case "gpus" -> gpus = in.doubleOrZero();
+        case "memoryGb" -> memoryGb = in.doubleOrZero();
         default -> in.skip();
       }
     }
@@ -285,7 +285,7 @@
     long value = 0;
     while (in.nextField()) {
       switch (in.field()) {
-        case "value" -> value = in.whole();
+        case "value" -> value = in.longOrZero();
         default -> in.skip();
       }
     }
--- a/src/main/java/mallowstall/state/StoredJobs.java
+++ b/src/main/java/mallowstall/state/StoredJobs.java
@@ -42,7 +42,7 @@
     out.writeNumberField("memoryGb", spec.memoryGb());
     out.writeStringField("image", spec.image());
     out.writeNumberField("imageGb", spec.imageGb());
-    JsonWriter.texts(out, "types", spec.types());
+    JsonWriter.strings(out, "types", spec.types());
     out.writeStringField("zone", spec.zone());
     out.writeBooleanField("oneZone", spec.oneZone());
     out.writeBooleanField("spread", spec.spread());
@@ -50,7 +50,7 @@
     out.writeNumberField("estimateS", spec.estimateS());
     out.writeNumberField("checkpointS", spec.checkpointS());
     out.writeNumberField("saveS", spec.saveS());
-    JsonWriter.numberOrNull(out, "deadlineS", spec.deadlineS());
+    JsonWriter.doubleOrNull(out, "deadlineS", spec.deadlineS());
     // only where it isn't the usual one: entries of batch jobs equal those of versions without
     // services, byte for byte
     if (spec.kind() != JobKind.BATCH) {
@@ -71,15 +71,15 @@
     Final fin = null;
     while (in.nextField()) {
       switch (in.field()) {
-        case "spec" -> spec = in.object() ? new SpecFields().read(in) : null;
-        case "submittedMs" -> submittedMs = in.whole();
-        case "holder" -> holder = in.text();
-        case "incarnation" -> incarnation = in.whole();
-        case "epoch" -> epoch = in.whole();
+        case "spec" -> spec = in.enterObjectIfPresent() ? new SpecFields().read(in) : null;
+        case "submittedMs" -> submittedMs = in.longOrZero();
+        case "holder" -> holder = in.string();
+        case "incarnation" -> incarnation = in.longOrZero();
+        case "epoch" -> epoch = in.longOrZero();
         case "done" -> done = in.bytes();
-        case "doneCount" -> doneCount = in.smallWhole();
-        case "grant" -> grant = in.smallWhole();
-        case "fin" -> fin = in.constant(Final.class);
+        case "doneCount" -> doneCount = in.intOrZero();
+        case "grant" -> grant = in.intOrZero();
+        case "fin" -> fin = in.enumConstant(Final.class);
         default -> in.skip();
       }
     }
@@ -138,26 +138,26 @@
 
     private void take(JsonReader in) throws IOException {
       switch (in.field()) {
-        case "id" -> id = in.text();
-        case "jobClass" -> jobClass = in.text();
-        case "team" -> team = in.text();
-        case "priority" -> priority = in.constant(Priority.class);
-        case "tasks" -> tasks = in.smallWhole();
-        case "cpus" -> cpus = in.number();
-        case "gpus" -> gpus = in.number();
-        case "memoryGb" -> memoryGb = in.number();
-        case "image" -> image = in.text();
-        case "imageGb" -> imageGb = in.number();
-        case "types" -> types = in.texts();
-        case "zone" -> zone = in.text();
-        case "oneZone" -> oneZone = in.flag();
-        case "spread" -> spread = in.flag();
-        case "spot" -> spot = in.flag();
-        case "estimateS" -> estimateS = in.number();
-        case "checkpointS" -> checkpointS = in.number();
-        case "saveS" -> saveS = in.number();
-        case "deadlineS" -> deadlineS = in.numberOrNull();
-        case "kind" -> kind = in.constant(JobKind.class);
+        case "id" -> id = in.string();
+        case "jobClass" -> jobClass = in.string();
+        case "team" -> team = in.string();
+        case "priority" -> priority = in.enumConstant(Priority.class);
+        case "tasks" -> tasks = in.intOrZero();
+        case "cpus" -> cpus = in.doubleOrZero();
+        case "gpus" -> gpus = in.doubleOrZero();
+        case "memoryGb" -> memoryGb = in.doubleOrZero();
+        case "image" -> image = in.string();
+        case "imageGb" -> imageGb = in.doubleOrZero();
+        case "types" -> types = in.strings();
+        case "zone" -> zone = in.string();
+        case "oneZone" -> oneZone = in.booleanOrFalse();
+        case "spread" -> spread = in.booleanOrFalse();
+        case "spot" -> spot = in.booleanOrFalse();
+        case "estimateS" -> estimateS = in.doubleOrZero();
+        case "checkpointS" -> checkpointS = in.doubleOrZero();
+        case "saveS" -> saveS = in.doubleOrZero();
+        case "deadlineS" -> deadlineS = in.doubleOrNull();
+        case "kind" -> kind = in.enumConstant(JobKind.class);
         default -> in.skip();
       }
     }
--- a/src/main/java/mallowstall/users/UsersAdapter.java
+++ b/src/main/java/mallowstall/users/UserApiHandler.java
@@ -19,7 +19,7 @@
 import mallowstall.net.HttpServer.Responder;
 
 /** Submissions, questions and cancellations of users. */
-public final class UsersAdapter {
+public final class UserApiHandler {
   /** A submission as its fields come in; those that are missing are null. Mutable. */
   private static final class Submission {
     private String id;
@@ -45,7 +45,7 @@
 
     /** Reads a submission; null: the body is null. */
     static Submission read(JsonReader in) throws IOException {
-      if (!in.object()) {
+      if (!in.enterObjectIfPresent()) {
         return null;
       }
       Submission submission = new Submission();
@@ -57,26 +57,26 @@
 
     private void take(JsonReader in) throws IOException {
       switch (in.field()) {
-        case "ref" -> id = in.text();
-        case "lote" -> jobClass = in.text();
-        case "cuadrilla" -> team = in.text();
-        case "oficio" -> kind = in.text();
-        case "urgencia" -> priority = in.text();
-        case "piezas" -> tasks = in.smallWholeOrNull();
-        case "vcpus" -> cpus = in.numberOrNull();
-        case "gpus" -> gpus = in.numberOrNull();
-        case "mem_gb" -> memoryGb = in.numberOrNull();
-        case "molde" -> image = in.text();
-        case "image_gb" -> imageGb = in.numberOrNull();
-        case "calibres" -> types = in.texts();
-        case "patio" -> zone = in.text();
-        case "one_zone" -> oneZone = in.flagOrNull();
-        case "scatter" -> spread = in.flagOrNull();
-        case "prestados" -> spot = in.flagOrNull();
-        case "aserrado_s" -> estimateS = in.numberOrNull();
-        case "marca_s" -> checkpointS = in.numberOrNull();
-        case "apilado_s" -> saveS = in.numberOrNull();
-        case "despacho_s" -> deadlineS = in.numberOrNull();
+        case "ref" -> id = in.string();
+        case "lote" -> jobClass = in.string();
+        case "cuadrilla" -> team = in.string();
+        case "oficio" -> kind = in.string();
+        case "urgencia" -> priority = in.string();
+        case "piezas" -> tasks = in.intOrNull();
+        case "vcpus" -> cpus = in.doubleOrNull();
+        case "gpus" -> gpus = in.doubleOrNull();
+        case "mem_gb" -> memoryGb = in.doubleOrNull();
+        case "molde" -> image = in.string();
+        case "image_gb" -> imageGb = in.doubleOrNull();
+        case "calibres" -> types = in.strings();
+        case "patio" -> zone = in.string();
+        case "one_zone" -> oneZone = in.booleanOrNull();
+        case "scatter" -> spread = in.booleanOrNull();
+        case "prestados" -> spot = in.booleanOrNull();
+        case "aserrado_s" -> estimateS = in.doubleOrNull();
+        case "marca_s" -> checkpointS = in.doubleOrNull();
+        case "apilado_s" -> saveS = in.doubleOrNull();
+        case "despacho_s" -> deadlineS = in.doubleOrNull();
         default -> in.skip();
       }
     }
@@ -117,7 +117,7 @@
   private final Core core;
 
   /** Turns users' requests into events of the core. */
-  public UsersAdapter(Core core) {
+  public UserApiHandler(Core core) {
     this.core = core;
   }
 
--- a/src/main/java/mallowstall/workers/WorkersAdapter.java
+++ b/src/main/java/mallowstall/workers/WorkerHttpAdapter.java
@@ -28,7 +28,7 @@
 import org.slf4j.LoggerFactory;
 
 /** Reports of workers and the commands that answer them. */
-public final class WorkersAdapter {
+public final class WorkerHttpAdapter {
   private static final String TASK = "pieza";
   private static final String ATTEMPT = "intento";
   private static final String SESSION = "turno";
@@ -47,7 +47,7 @@
       new Object2ObjectLinkedOpenHashMap<>();
 
   /** Turns reports into events of the core, and its commands into requests. */
-  public WorkersAdapter(Core core, EventLoop loop, Consumer<Runnable> events, int maxClients) {
+  public WorkerHttpAdapter(Core core, EventLoop loop, Consumer<Runnable> events, int maxClients) {
     this.maxClients = maxClients;
     this.core = core;
     this.loop = loop;
@@ -106,7 +106,7 @@
   }
 
   private static Report read(byte[] body) throws IOException {
-    Report report = JsonReader.read(body, WorkersAdapter::report);
+    Report report = JsonReader.read(body, WorkerHttpAdapter::report);
     if (report == null
         || report.machine() == null
         || report.type() == null
@@ -128,21 +128,21 @@
     long token = 0;
     Double noticeS = null;
     List<TaskReport> tasks = null;
-    if (!in.object()) {
+    if (!in.enterObjectIfPresent()) {
       return null;
     }
     while (in.nextField()) {
       switch (in.field()) {
-        case "sierra" -> machine = in.text();
-        case "addr" -> addr = in.text();
-        case "calibre" -> type = in.text();
-        case "patio" -> zone = in.text();
-        case "prestados" -> spot = in.flag();
-        case SESSION -> session = in.whole();
-        case "folio" -> seq = in.whole();
-        case TOKEN -> token = in.whole();
-        case "aviso_s" -> noticeS = in.numberOrNull();
-        case "piezas" -> tasks = in.list(WorkersAdapter::task);
+        case "sierra" -> machine = in.string();
+        case "addr" -> addr = in.string();
+        case "calibre" -> type = in.string();
+        case "patio" -> zone = in.string();
+        case "prestados" -> spot = in.booleanOrFalse();
+        case SESSION -> session = in.longOrZero();
+        case "folio" -> seq = in.longOrZero();
+        case TOKEN -> token = in.longOrZero();
+        case "aviso_s" -> noticeS = in.doubleOrNull();
+        case "piezas" -> tasks = in.list(WorkerHttpAdapter::task);
         default -> in.skip();
       }
     }
@@ -165,14 +165,14 @@
     TaskState state = TaskState.FETCHING;
     String why = null;
     boolean saved = false;
-    in.requireObject();
+    in.enterObject();
     while (in.nextField()) {
       switch (in.field()) {
-        case TASK -> name = in.text();
-        case ATTEMPT -> attempt = in.whole();
-        case "estado" -> state = state(in.text());
-        case "motivo" -> why = in.text();
-        case "saved" -> saved = in.flag();
+        case TASK -> name = in.string();
+        case ATTEMPT -> attempt = in.longOrZero();
+        case "estado" -> state = state(in.string());
+        case "motivo" -> why = in.string();
+        case "saved" -> saved = in.booleanOrFalse();
         default -> in.skip();
       }
     }
@@ -238,13 +238,13 @@
       JsonGenerator out, long token, long session, List<Command> commands) throws IOException {
     out.writeNumberField(TOKEN, token);
     out.writeNumberField(SESSION, session);
-    JsonWriter.list(out, COMMANDS, commands, WorkersAdapter::writeCommand);
+    JsonWriter.list(out, COMMANDS, commands, WorkerHttpAdapter::writeCommand);
   }
 
   private static void writeCommands(JsonGenerator out, long token, List<Command> commands)
       throws IOException {
     out.writeNumberField(TOKEN, token);
-    JsonWriter.list(out, COMMANDS, commands, WorkersAdapter::writeCommand);
+    JsonWriter.list(out, COMMANDS, commands, WorkerHttpAdapter::writeCommand);
   }
 
   private static void writeCommand(JsonGenerator out, Command command) throws IOException {
--- a/src/test/java/mallowstall/json/JsonReaderTest.java
+++ b/src/test/java/mallowstall/json/JsonReaderTest.java
@@ -19,33 +19,34 @@
 
   /** Reads an object whose field {@code v}, wherever it stands, is read like this. */
   private static <T> T field(String document, JsonReader.ValueReader<T> value) throws IOException {
-    return JsonReader.read(bytes(document), in -> in.only("v", value));
+    return JsonReader.read(bytes(document), in -> in.fieldOrNull("v", value));
   }
 
   @Test
   void unknownFieldsArePassedOver() throws IOException {
     String document = "{\"a\":{\"v\":[1,{\"v\":2}]},\"v\":\"x\",\"z\":[[],{}]}";
-    assertEquals("x", field(document, JsonReader::text));
+    assertEquals("x", field(document, JsonReader::string));
   }
 
   @Test
   void nullIsAnAbsentValue() throws IOException {
-    assertNull(field("{\"v\":null}", JsonReader::text));
-    assertNull(field("{\"v\":null}", JsonReader::numberOrNull));
-    assertNull(field("{\"v\":null}", JsonReader::texts));
-    assertEquals(0, field("{\"v\":null}", JsonReader::whole));
-    assertEquals(false, field("{\"v\":null}", JsonReader::flag));
-    assertEquals(false, field("{\"v\":null}", JsonReader::object));
+    assertNull(field("{\"v\":null}", JsonReader::string));
+    assertNull(field("{\"v\":null}", JsonReader::doubleOrNull));
+    assertNull(field("{\"v\":null}", JsonReader::strings));
+    assertEquals(0, field("{\"v\":null}", JsonReader::longOrZero));
+    assertEquals(false, field("{\"v\":null}", JsonReader::booleanOrFalse));
+    assertEquals(false, field("{\"v\":null}", JsonReader::enterObjectIfPresent));
   }
 
   @Test
   void wholeNumbersBeyondTheirRangeAreRefused() throws IOException {
-    assertEquals(Long.MAX_VALUE, field("{\"v\":9223372036854775807}", JsonReader::whole));
+    assertEquals(Long.MAX_VALUE, field("{\"v\":9223372036854775807}", JsonReader::longOrZero));
     assertThrows(
-        WrongTypeException.class, () -> field("{\"v\":9223372036854775808}", JsonReader::whole));
+        WrongTypeException.class,
+        () -> field("{\"v\":9223372036854775808}", JsonReader::longOrZero));
     assertThrows(
-        WrongTypeException.class, () -> field("{\"v\":2147483648}", JsonReader::smallWhole));
-    assertThrows(WrongTypeException.class, () -> field("{\"v\":1.0}", JsonReader::whole));
+        WrongTypeException.class, () -> field("{\"v\":2147483648}", JsonReader::intOrZero));
+    assertThrows(WrongTypeException.class, () -> field("{\"v\":1.0}", JsonReader::longOrZero));
     assertThrows(WrongTypeException.class, () -> field("{\"v\":\"?\"}", JsonReader::bytes));
   }
 
@@ -53,13 +54,13 @@
   void nothingIsConvertedSilently() {
     List<JsonReader.ValueReader<?>> readers =
         List.of(
-            JsonReader::text,
-            JsonReader::whole,
-            JsonReader::number,
-            JsonReader::flag,
-            JsonReader::texts,
-            JsonReader::object,
-            in -> in.constant(Thread.State.class));
+            JsonReader::string,
+            JsonReader::longOrZero,
+            JsonReader::doubleOrZero,
+            JsonReader::booleanOrFalse,
+            JsonReader::strings,
+            JsonReader::enterObjectIfPresent,
+            in -> in.enumConstant(Thread.State.class));
     String[] values = {"\"other\"", "1", "1.5", "true", "[\"x\"]", "{\"x\":1}"};
     int[] taken = {1, 1, 2, 1, 1, 1, 0};
     for (int i = 0; i < readers.size(); i++) {
@@ -94,24 +95,25 @@
   @Test
   void aWrongValueIsSaidWhereItStands() {
     JsonReader.ValueReader<Object> inner =
-        in -> in.list(element -> element.only("v", JsonReader::whole));
+        in -> in.list(element -> element.fieldOrNull("v", JsonReader::longOrZero));
     WrongTypeException wrong =
         assertThrows(
             WrongTypeException.class, () -> field("{\"v\":[{\"v\":1},{\"v\":\"2\"}]}", inner));
     assertEquals("v[1].v", wrong.path());
     assertEquals("v", wrong.outermostField());
-    wrong = assertThrows(WrongTypeException.class, () -> field("[]", JsonReader::whole));
+    wrong = assertThrows(WrongTypeException.class, () -> field("[]", JsonReader::longOrZero));
     assertEquals("", wrong.path());
   }
 
   @Test
   void whatIsNotOneWholeDocumentIsRefused() {
     for (String document : new String[] {"", "{} {}", "{}1"}) {
-      assertThrows(WrongTypeException.class, () -> field(document, JsonReader::whole), document);
+      assertThrows(
+          WrongTypeException.class, () -> field(document, JsonReader::longOrZero), document);
     }
     for (String document : new String[] {"{", "{\"v\":", "{\"a\":[1", "{\"v\":NaN}", "nul"}) {
       assertThrows(
-          JsonProcessingException.class, () -> field(document, JsonReader::number), document);
+          JsonProcessingException.class, () -> field(document, JsonReader::doubleOrZero), document);
     }
   }
 
@@ -122,7 +124,7 @@
     JsonReader.ValueReader<Long> tolerant =
         in ->
             in.readOrSkip(
-                value -> value.only("v", JsonReader::whole),
+                value -> value.fieldOrNull("v", JsonReader::longOrZero),
                 failure -> failures.add(failure.path()));
     List<Long> read =
         field(
@@ -134,8 +136,8 @@
 
   @Test
   void aValueThatWasPassedOverIsReadLater() throws IOException {
-    JsonReader.Skipped skipped =
-        field("{\"ü\":1, \"v\" : {\"v\":[\"ß\"]} ,\"z\":0}", JsonReader::skipForLater);
-    assertEquals(List.of("ß"), skipped.read(in -> in.only("v", JsonReader::texts)));
+    JsonReader.Deferred skipped =
+        field("{\"ü\":1, \"v\" : {\"v\":[\"ß\"]} ,\"z\":0}", JsonReader::defer);
+    assertEquals(List.of("ß"), skipped.read(in -> in.fieldOrNull("v", JsonReader::strings)));
   }
 }
--- a/src/test/java/mallowstall/users/SubmissionTest.java
+++ b/src/test/java/mallowstall/users/SubmissionTest.java
@@ -21,12 +21,12 @@
        "despacho_s":900.0,"later":[1]}
       """;
 
-  private static JobSpec parse(String s) throws UsersAdapter.Malformed {
-    return new UsersAdapter(null).parse(s.getBytes(StandardCharsets.UTF_8));
+  private static JobSpec parse(String s) throws UserApiHandler.Malformed {
+    return new UserApiHandler(null).parse(s.getBytes(StandardCharsets.UTF_8));
   }
 
   @Test
-  void aSubmissionIsRead() throws UsersAdapter.Malformed {
+  void aSubmissionIsRead() throws UserApiHandler.Malformed {
     JobSpec spec = parse(GOOD);
     assertEquals(16, spec.tasks());
     assertEquals(Priority.HIGH, spec.priority());
@@ -37,7 +37,7 @@
 
   /** A service has no run time to estimate, so 0 is right and no deadline needed. */
   @Test
-  void aServiceIsRead() throws UsersAdapter.Malformed {
+  void aServiceIsRead() throws UserApiHandler.Malformed {
     String daemon =
         GOOD.replace("\"batch\"", "\"daemon\"")
             .replace("\"aserrado_s\":240.0", "\"aserrado_s\":0")
@@ -48,10 +48,11 @@
     assertNull(spec.deadlineS());
     assertEquals(JobKind.BATCH, parse(GOOD).kind());
     assertThrows(
-        UsersAdapter.Malformed.class,
+        UserApiHandler.Malformed.class,
         () -> parse(daemon.replace("\"aserrado_s\":0", "\"aserrado_s\":-1")));
     assertThrows(
-        UsersAdapter.Malformed.class, () -> parse(daemon.replace("\"piezas\":16", "\"piezas\":0")));
+        UserApiHandler.Malformed.class,
+        () -> parse(daemon.replace("\"piezas\":16", "\"piezas\":0")));
   }
 
   @Test
@@ -76,9 +77,9 @@
       {"[\"g8\"]", "[null]", "calibres is missing"},
     };
     for (String[] c : cases) {
-      UsersAdapter.Malformed malformed =
+      UserApiHandler.Malformed malformed =
           assertThrows(
-              UsersAdapter.Malformed.class, () -> parse(GOOD.replace(c[0], c[1])), c[0] + c[1]);
+              UserApiHandler.Malformed.class, () -> parse(GOOD.replace(c[0], c[1])), c[0] + c[1]);
       assertTrue(malformed.getMessage().startsWith(c[2]), c[1] + " -> " + malformed.getMessage());
     }
   }
