--- a/src/main/java/mallowstall/Service.java
+++ b/src/main/java/mallowstall/Service.java
@@ -31,6 +31,7 @@
 import mallowstall.net.HttpServer.Request;
 import mallowstall.net.HttpServer.Responder;
 import mallowstall.net.PeriodicTask;
+import mallowstall.net.SocketAddresses;
 import mallowstall.peers.PeerConnections;
 import mallowstall.state.StateServiceClient;
 import mallowstall.users.UserApiHandler;
@@ -68,9 +69,11 @@
     Consumer<Runnable> events = this::event;
     HttpClient stateCalls =
         new HttpClient(
-            loop, Settings.address(settings.endpoints().state()), Constants.STATE_CONNECTIONS);
-    HttpClient watches = new HttpClient(loop, Settings.address(settings.endpoints().state()), 2);
-    HttpClient cloudCalls = new HttpClient(loop, Settings.address(settings.endpoints().cloud()), 2);
+            loop, SocketAddresses.parse(settings.endpoints().state()), Constants.STATE_CONNECTIONS);
+    HttpClient watches =
+        new HttpClient(loop, SocketAddresses.parse(settings.endpoints().state()), 2);
+    HttpClient cloudCalls =
+        new HttpClient(loop, SocketAddresses.parse(settings.endpoints().cloud()), 2);
     this.state = new StateServiceClient(stateCalls, watches, events);
     this.cloud = new CloudClient(cloudCalls, events);
     this.core =
@@ -144,12 +147,12 @@
    */
   public void start() throws InterruptedException {
     startedAt = System.nanoTime();
-    peers.listen(group, Settings.address(settings.peerListen()));
+    peers.listen(group, SocketAddresses.parse(settings.peerListen()));
     loop.execute(
         () -> {
           if (settings.peers() != null) {
             for (Settings.Peer peer : settings.peers()) {
-              peers.connect(peer.node(), Settings.address(peer.addr()));
+              peers.connect(peer.node(), SocketAddresses.parse(peer.addr()));
             }
           }
           ticks = new PeriodicTask("tick", loop, Constants.TICK_MS, this::tick);
@@ -171,7 +174,7 @@
   private void listen() {
     listens = true;
     server
-        .listen(group, Settings.address(settings.listen()))
+        .listen(group, SocketAddresses.parse(settings.listen()))
         .whenComplete(
             (at, failure) -> {
               if (failure == null) {
--- a/src/main/java/mallowstall/json/JsonReader.java
+++ b/src/main/java/mallowstall/json/JsonReader.java
@@ -8,6 +8,7 @@
 import com.fasterxml.jackson.core.exc.InputCoercionException;
 import java.io.IOException;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 
 /**
@@ -15,8 +16,9 @@
  * is converted silently, null stands for an absent value, and whoever reads an object skips the
  * fields that it doesn't know.
  *
- * <p>Binding by reflection (Jackson's ObjectMapper) took a third of the processor time from exec to
- * serving.
+ * <p>Values are read by hand instead of bound by reflection, which costs a third of the start-up
+ * time. Every method may throw {@link WrongTypeException}, or Jackson's own exception for what is
+ * not JSON. Not thread-safe.
  */
 public final class JsonReader {
   /** Reads one value, at which the reader stands. */
@@ -25,6 +27,22 @@
     T read(JsonReader in) throws IOException;
   }
 
+  /** Is told why a document couldn't be read. */
+  public interface DocumentErrorHandler {
+    /** The document is not JSON, or has a {@link WrongTypeException}. */
+    void handle(IOException failure);
+  }
+
+  /** Is told why a value couldn't be read. */
+  public interface ValueErrorHandler {
+    /** The value was skipped. */
+    void handle(WrongTypeException failure);
+  }
+
+  private static final String OBJECT = "an object";
+  private static final String LONG = "a whole number of 64 bits";
+  private static final String INT = "a whole number of 32 bits";
+  private static final int MAX_SHOWN_VALUE = 40;
   static final JsonFactory FACTORY = new JsonFactory();
 
   private final byte[] document;
@@ -42,36 +60,47 @@
     return new JsonReader(document, 0, document.length).readDocument(value);
   }
 
+  /** Reads a document that consists of this value alone; null if it can't be read. */
+  public static <T> T readOrNull(
+      byte[] document, ValueReader<T> value, DocumentErrorHandler unreadable) {
+    try {
+      return read(document, value);
+    } catch (IOException failure) {
+      unreadable.handle(failure);
+      return null;
+    }
+  }
+
   private <T> T readDocument(ValueReader<T> value) throws IOException {
     if (parser.nextToken() == null) {
-      throw new WrongTypeException("");
+      throw new WrongTypeException("", "one JSON value", "an empty document");
     }
     T result = value.read(this);
     if (parser.nextToken() != null) {
-      throw new WrongTypeException("");
+      throw new WrongTypeException("", "one JSON value", "more than one");
     }
     return result;
   }
 
   /** Enters an object, whose fields follow; false: the value is null. */
   public boolean enterObjectIfPresent() throws IOException {
-    return expect(JsonToken.START_OBJECT);
+    return expect(JsonToken.START_OBJECT, OBJECT);
   }
 
   /** Enters an object that must be there. */
   public void enterObject() throws IOException {
     if (!enterObjectIfPresent()) {
-      throw wrongType();
+      throw wrongType(OBJECT);
     }
   }
 
   /** Whether the value begins with this token; false: it is null. Anything else is refused. */
-  private boolean expect(JsonToken token) throws IOException {
+  private boolean expect(JsonToken token, String expected) throws IOException {
     if (isNull()) {
       return false;
     }
     if (parser.currentToken() != token) {
-      throw wrongType();
+      throw wrongType(expected);
     }
     return true;
   }
@@ -104,7 +133,7 @@
     return found;
   }
 
-  /** Passes over the value. */
+  /** Skips the value. */
   public void skip() throws IOException {
     parser.skipChildren();
   }
@@ -115,7 +144,7 @@
 
   /** The elements of a list; null if there is none. */
   public <T> List<T> list(ValueReader<T> element) throws IOException {
-    if (!expect(JsonToken.START_ARRAY)) {
+    if (!expect(JsonToken.START_ARRAY, "a list")) {
       return null;
     }
     List<T> elements = new ArrayList<>();
@@ -125,14 +154,14 @@
     return elements;
   }
 
-  /** The texts of a list; null if there is none. */
+  /** The strings of a list; null if there is none. */
   public List<String> strings() throws IOException {
     return list(JsonReader::string);
   }
 
-  /** A text, or null. */
+  /** A string, or null. */
   public String string() throws IOException {
-    return expect(JsonToken.VALUE_STRING) ? parser.getText() : null;
+    return expect(JsonToken.VALUE_STRING, "a string") ? parser.getText() : null;
   }
 
   /** Bytes in base 64, or null. */
@@ -144,7 +173,7 @@
     try {
       return parser.getBinaryValue();
     } catch (JsonProcessingException notBase64) {
-      throw wrongType();
+      throw wrongType("bytes in base 64");
     }
   }
 
@@ -154,7 +183,7 @@
     try {
       return name == null ? null : Enum.valueOf(type, name);
     } catch (IllegalArgumentException unknown) {
-      throw wrongType();
+      throw wrongType("one of " + Arrays.toString(type.getEnumConstants()));
     }
   }
 
@@ -164,7 +193,7 @@
       case VALUE_NULL -> null;
       case VALUE_TRUE -> Boolean.TRUE;
       case VALUE_FALSE -> Boolean.FALSE;
-      default -> throw wrongType();
+      default -> throw wrongType("true or false");
     };
   }
 
@@ -179,7 +208,7 @@
       return null;
     }
     if (!parser.currentToken().isNumeric()) {
-      throw wrongType();
+      throw wrongType("a number");
     }
     return parser.getDoubleValue();
   }
@@ -192,25 +221,25 @@
 
   /** A whole number of 64 bits; null counts as 0. */
   public long longOrZero() throws IOException {
-    if (!expect(JsonToken.VALUE_NUMBER_INT)) {
+    if (!expect(JsonToken.VALUE_NUMBER_INT, LONG)) {
       return 0;
     }
     try {
       return parser.getLongValue();
     } catch (InputCoercionException outOfRange) {
-      throw wrongType();
+      throw wrongType(LONG);
     }
   }
 
   /** A whole number of 32 bits, or null. */
   public Integer intOrNull() throws IOException {
-    if (!expect(JsonToken.VALUE_NUMBER_INT)) {
+    if (!expect(JsonToken.VALUE_NUMBER_INT, INT)) {
       return null;
     }
     try {
       return parser.getIntValue();
     } catch (InputCoercionException outOfRange) {
-      throw wrongType();
+      throw wrongType(INT);
     }
   }
 
@@ -220,8 +249,8 @@
     return value == null ? 0 : value;
   }
 
-  /** Reads the value, or passes over it if it can't be read, which {@code failed} is told. */
-  public <T> T readOrSkip(ValueReader<T> value, Failed failed) throws IOException {
+  /** Reads the value, or skips it if it can't be read, which {@code unreadable} is told. */
+  public <T> T readOrSkip(ValueReader<T> value, ValueErrorHandler unreadable) throws IOException {
     JsonStreamContext outside = outside();
     try {
       return value.read(this);
@@ -229,18 +258,12 @@
       while (parser.getParsingContext() != outside) {
         parser.nextToken();
       }
-      failed.because(wrong);
+      unreadable.handle(wrong);
       return null;
     }
   }
 
-  /** Hears why a value couldn't be read. */
-  public interface Failed {
-    /** The value was passed over. */
-    void because(WrongTypeException failure);
-  }
-
-  /** Passes over the value, which may be read later as a document of its own. */
+  /** Skips the value, which may be read later as a document of its own. */
   public Deferred defer() throws IOException {
     int start = (int) parser.currentTokenLocation().getByteOffset();
     parser.skipChildren();
@@ -248,7 +271,7 @@
     return new Deferred(document, offset + start, end - start);
   }
 
-  /** A value that was passed over: a part of its document. */
+  /** A value that was skipped: a part of its document. */
   public static final class Deferred {
     private final byte[] document;
     private final int offset;
@@ -273,10 +296,25 @@
   }
 
   /** The value at which the reader stands isn't what is expected there. */
-  private WrongTypeException wrongType() {
+  private WrongTypeException wrongType(String expected) throws IOException {
     StringBuilder path = new StringBuilder();
     appendPath(path, outside());
-    return new WrongTypeException(path.toString());
+    return new WrongTypeException(path.toString(), expected, found());
+  }
+
+  /** The value at which the reader stands, as an error shows it. */
+  private String found() throws IOException {
+    JsonToken token = parser.currentToken();
+    if (token == JsonToken.START_OBJECT) {
+      return OBJECT;
+    }
+    if (token == JsonToken.START_ARRAY) {
+      return "a list";
+    }
+    String text = parser.getText();
+    String shown =
+        text.length() <= MAX_SHOWN_VALUE ? text : text.substring(0, MAX_SHOWN_VALUE) + "...";
+    return token == JsonToken.VALUE_STRING ? '"' + shown + '"' : shown;
   }
 
   private static void appendPath(StringBuilder path, JsonStreamContext context) {
--- a/src/main/java/mallowstall/json/WrongTypeException.java
+++ b/src/main/java/mallowstall/json/WrongTypeException.java
@@ -6,11 +6,15 @@
 public final class WrongTypeException extends IOException {
   private static final long serialVersionUID = 1;
 
-  /** Where the value stands, like {@code known[0].addr}; empty: the document itself. */
   private final String path;
 
-  WrongTypeException(String path) {
-    super((path.isEmpty() ? "the document" : path) + " has the wrong type or is out of range");
+  WrongTypeException(String path, String expected, String found) {
+    super(
+        (path.isEmpty() ? "the document" : path)
+            + " has the wrong type or is out of range: expected "
+            + expected
+            + ", found "
+            + found);
     this.path = path;
   }
 
--- a/src/main/java/mallowstall/net/HttpClient.java
+++ b/src/main/java/mallowstall/net/HttpClient.java
@@ -1,17 +1,11 @@
 package mallowstall.net;
 
-import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
-import io.netty.buffer.UnpooledByteBufAllocator;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelInitializer;
-import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
 import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.channel.socket.SocketChannel;
-import io.netty.channel.socket.nio.NioSocketChannel;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpClientCodec;
@@ -25,12 +19,24 @@
 import java.util.ArrayDeque;
 import java.util.concurrent.TimeUnit;
 
-/** Requests to one server over a bounded number of persistent connections, without pipelining. */
+/**
+ * HTTP client of one server over a bounded number of persistent connections, without pipelining.
+ * All methods run on its event loop, as do the callbacks.
+ */
 public final class HttpClient {
-  /** Status 0: no answer, perhaps executed. Status -1: never sent. */
+  /**
+   * How a call has ended: the status of a response with its body, or one of the two outcomes
+   * without a response.
+   */
   public record Reply(int status, byte[] body) {
-    public static final Reply UNKNOWN = new Reply(0, new byte[0]);
-    public static final Reply UNSENT = new Reply(-1, new byte[0]);
+    /** The status of a call without a response: perhaps executed, perhaps later. */
+    public static final int NO_RESPONSE = 0;
+
+    /** The status of a call that was never sent. */
+    public static final int NOT_SENT = -1;
+
+    static final Reply WITHOUT_RESPONSE = new Reply(NO_RESPONSE, new byte[0]);
+    static final Reply UNSENT = new Reply(NOT_SENT, new byte[0]);
   }
 
   /** Receives the reply on the event loop. */
@@ -39,14 +45,19 @@
     void done(Reply reply);
   }
 
+  /** Bytes of a response body. */
   private static final int MAX_RESPONSE = 8 << 20;
+
+  /** Calls that wait for a connection; further ones are not sent. */
   private static final int MAX_QUEUE = 400;
 
+  private static final long MAX_CONNECT_MS = 1_000;
+
   private final EventLoop loop;
   private final InetSocketAddress address;
   private final int maxConnections;
   private final String host;
-  private final ArrayDeque<Conn> idle = new ArrayDeque<>();
+  private final ArrayDeque<Connection> idle = new ArrayDeque<>();
   private final ArrayDeque<Call> queue = new ArrayDeque<>();
   private int open;
   private boolean retired;
@@ -89,9 +100,9 @@
   /** Sends a request; the callback hears of its end once, at the latest after the timeout. */
   public void call(HttpMethod method, String path, byte[] body, long timeoutMs, Callback then) {
     Call call = new Call(method, path, body, System.nanoTime() + timeoutMs * 1_000_000, then);
-    Conn conn = idle.poll();
-    if (conn != null) {
-      conn.send(call);
+    Connection connection = idle.poll();
+    if (connection != null) {
+      connection.send(call);
     } else if (open < maxConnections) {
       connect(call);
     } else if (queue.size() >= MAX_QUEUE) {
@@ -113,35 +124,28 @@
   /** No further call will be made: connections close at once, or when their call is over. */
   public void retire() {
     retired = true;
-    for (Conn c : new ArrayDeque<>(idle)) {
-      c.channel.close();
+    for (Connection connection : new ArrayDeque<>(idle)) {
+      connection.channel.close();
     }
   }
 
   private void connect(Call call) {
     open++;
     long left = Math.max(1, (call.deadline - System.nanoTime()) / 1_000_000);
-    Conn conn = new Conn();
-    new Bootstrap()
-        .group(loop)
-        .channel(NioSocketChannel.class)
-        .option(ChannelOption.ALLOCATOR, UnpooledByteBufAllocator.DEFAULT)
-        .option(ChannelOption.TCP_NODELAY, true)
-        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.min(left, 1_000))
-        .handler(
-            new ChannelInitializer<SocketChannel>() {
-              @Override
-              protected void initChannel(SocketChannel channel) {
+    Connection connection = new Connection();
+    TcpBootstraps.client(
+            loop,
+            (int) Math.min(left, MAX_CONNECT_MS),
+            channel ->
                 channel
                     .pipeline()
-                    .addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_RESPONSE), conn);
-              }
-            })
+                    .addLast(
+                        new HttpClientCodec(), new HttpObjectAggregator(MAX_RESPONSE), connection))
         .connect(address)
         .addListener(
             future -> {
               if (future.isSuccess()) {
-                conn.send(call);
+                connection.send(call);
               } else {
                 open--;
                 call.finish(Reply.UNSENT);
@@ -152,9 +156,9 @@
 
   private void next() {
     while (!queue.isEmpty()) {
-      Conn conn = idle.poll();
-      if (conn != null) {
-        conn.send(queue.poll());
+      Connection connection = idle.poll();
+      if (connection != null) {
+        connection.send(queue.poll());
       } else if (open < maxConnections) {
         connect(queue.poll());
       } else {
@@ -164,7 +168,7 @@
   }
 
   /** One connection: one call at a time. */
-  private final class Conn extends SimpleChannelInboundHandler<FullHttpResponse> {
+  private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
     private Channel channel;
     private Call current;
     private ScheduledFuture<?> timer;
@@ -174,16 +178,16 @@
       current = call;
       call.sent = true;
       ByteBuf body = call.body == null ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(call.body);
-      DefaultFullHttpRequest q =
+      DefaultFullHttpRequest request =
           new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, call.method, call.path, body);
-      q.headers().set(HttpHeaderNames.HOST, host);
+      request.headers().set(HttpHeaderNames.HOST, host);
       if (call.body != null) {
-        q.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
+        request.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
       }
-      q.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
+      request.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
       long left = Math.max(1, (call.deadline - System.nanoTime()) / 1_000_000);
       timer = loop.schedule(() -> channel.close(), left, TimeUnit.MILLISECONDS);
-      channel.writeAndFlush(q);
+      channel.writeAndFlush(request);
     }
 
     /** Not channelActive: the connect listener, which sends the first call, may run before it. */
@@ -193,7 +197,7 @@
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse m) {
+    protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
       Call call = current;
       if (call == null) {
         ctx.close();
@@ -201,16 +205,16 @@
       }
       current = null;
       timer.cancel(false);
-      byte[] b = new byte[m.content().readableBytes()];
-      m.content().readBytes(b);
-      boolean keep = HttpUtil.isKeepAlive(m);
+      byte[] responseBody = new byte[response.content().readableBytes()];
+      response.content().readBytes(responseBody);
+      boolean keep = HttpUtil.isKeepAlive(response);
       if (keep && !retired) {
         idle.push(this);
       } else {
         ctx.close();
       }
       next();
-      call.finish(new Reply(m.status().code(), b));
+      call.finish(new Reply(response.status().code(), responseBody));
     }
 
     @Override
@@ -227,7 +231,7 @@
       if (current != null) {
         Call call = current;
         current = null;
-        call.finish(Reply.UNKNOWN);
+        call.finish(Reply.WITHOUT_RESPONSE);
       }
       next();
     }
--- a/src/main/java/mallowstall/net/HttpServer.java
+++ b/src/main/java/mallowstall/net/HttpServer.java
@@ -1,20 +1,16 @@
 package mallowstall.net;
 
-import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
-import io.netty.buffer.UnpooledByteBufAllocator;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelFutureListener;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
-import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.socket.SocketChannel;
-import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.handler.codec.TooLongFrameException;
 import io.netty.handler.codec.http.DefaultFullHttpResponse;
 import io.netty.handler.codec.http.FullHttpRequest;
@@ -35,15 +31,17 @@
 import mallowstall.Constants;
 
 /**
- * Serves HTTP to users, workers and health checks; one handler per connection, bounded in number.
+ * HTTP server for users, workers and health checks. Connections are bounded in number, their
+ * requests are answered one after the other, and those that are idle or too slow are closed. Runs
+ * on one event loop, on which the handler is called and must respond.
  */
 public final class HttpServer {
   /** One request; {@code body} is complete. */
   public record Request(String method, String path, byte[] body) {}
 
-  /** Takes the answer, once. */
+  /** Takes the response to one request, once; later calls are ignored. */
   public interface Responder {
-    /** Sends the answer; each request gets one. */
+    /** Sends the response; {@code retryAfterS} 0: without a Retry-After header. */
     void answer(int status, byte[] json, int retryAfterS);
   }
 
@@ -53,13 +51,18 @@
     void handle(Request request, Responder responder);
   }
 
-  /** How long requests and connections are waited for, and how often that is looked at, in ms. */
-  record Patience(long slowRequestMs, long idleMs, long sweepMs) {}
+  /** Limits for slow requests and idle connections, and the interval at which they are checked. */
+  record Timeouts(long slowRequestMs, long idleMs, long sweepMs) {}
+
+  private static final byte[] BODY_TOO_LARGE =
+      "{\"error\":\"the body is larger than 64 KiB\"}".getBytes(StandardCharsets.UTF_8);
+  private static final byte[] INVALID_REQUEST =
+      "{\"error\":\"not a valid HTTP request\"}".getBytes(StandardCharsets.UTF_8);
 
   private final Handler handler;
   private final int maxConnections;
-  private final Patience patience;
-  private final Set<Guard> open = new HashSet<>();
+  private final Timeouts timeouts;
+  private final Set<IdleTracker> open = new HashSet<>();
   private Channel listening;
   private PeriodicTask sweep;
 
@@ -68,50 +71,28 @@
     this(
         handler,
         maxConnections,
-        new Patience(
+        new Timeouts(
             Constants.SLOW_REQUEST_S * 1_000L,
             Constants.IDLE_CONNECTION_S * 1_000L,
             Constants.IDLE_SWEEP_MS));
   }
 
-  HttpServer(Handler handler, int maxConnections, Patience patience) {
-    this.patience = patience;
+  HttpServer(Handler handler, int maxConnections, Timeouts timeouts) {
+    this.timeouts = timeouts;
     this.handler = handler;
     this.maxConnections = maxConnections;
   }
 
-  /** Begins to accept connections there; the result tells where, or why not. */
+  /** Binds the address; the result is the bound address, or the failure. */
   public CompletableFuture<InetSocketAddress> listen(EventLoopGroup group, InetSocketAddress at) {
     CompletableFuture<InetSocketAddress> result = new CompletableFuture<>();
     ChannelFuture bound =
-        new ServerBootstrap()
-            .group(group)
-            .channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_BACKLOG, 256)
-            .option(ChannelOption.SO_REUSEADDR, true)
-            .childOption(ChannelOption.ALLOCATOR, UnpooledByteBufAllocator.DEFAULT)
-            .childOption(ChannelOption.TCP_NODELAY, true)
-            .childHandler(
-                new ChannelInitializer<SocketChannel>() {
-                  @Override
-                  protected void initChannel(SocketChannel channel) {
-                    if (open.size() >= maxConnections) {
-                      channel.close();
-                      return;
-                    }
-                    Conn c = new Conn();
-                    channel
-                        .pipeline()
-                        .addLast(
-                            new Guard(c), new HttpServerCodec(4096, 8192, 8192), new Whole(), c);
-                  }
-                })
-            .bind(at);
+        TcpBootstraps.server(group, this::accept).option(ChannelOption.SO_BACKLOG, 256).bind(at);
     listening = bound.channel();
-    // a timer for each connection woke the process fifty times a second for 500 workers
+    // one sweep for all connections: a timer for each wakes the process too often
     sweep =
         new PeriodicTask(
-            "idle connections", group.next(), patience.sweepMs, () -> closeIdle(System.nanoTime()));
+            "idle connections", group.next(), timeouts.sweepMs, () -> closeIdle(System.nanoTime()));
     bound.addListener(
         future -> {
           if (future.isSuccess()) {
@@ -123,7 +104,22 @@
     return result;
   }
 
-  /** Stops listening and closes all connections. */
+  private void accept(SocketChannel channel) {
+    if (open.size() >= maxConnections) {
+      channel.close();
+      return;
+    }
+    Connection connection = new Connection();
+    channel
+        .pipeline()
+        .addLast(
+            new IdleTracker(connection),
+            new HttpServerCodec(4096, 8192, 8192),
+            new BodyAggregator(),
+            connection);
+  }
+
+  /** Stops listening; open connections close with the event loop. */
   public void close() {
     if (listening == null) {
       return;
@@ -134,46 +130,36 @@
 
   /** Closes connections whose request arrives too slowly or never. */
   private void closeIdle(long now) {
-    for (Guard guard : List.copyOf(open)) {
-      if (guard.idle(now)) {
-        guard.channel.close();
+    for (IdleTracker tracker : List.copyOf(open)) {
+      if (tracker.idle(now)) {
+        tracker.channel.close();
       }
     }
   }
 
-  /** A body over the limit is the sender's mistake: 400, as the protocol says. */
-  private static final class Whole extends HttpObjectAggregator {
-    Whole() {
+  /** Collects a request's body; one over the limit is answered with 400, as the protocol says. */
+  private static final class BodyAggregator extends HttpObjectAggregator {
+    BodyAggregator() {
       super(Constants.BODY_MAX);
     }
 
     @Override
-    protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage m) {
-      write(
-          ctx,
-          400,
-          "{\"error\":\"the body is larger than 64 KiB\"}".getBytes(StandardCharsets.UTF_8),
-          0,
-          false,
-          false);
+    protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage message) {
+      write(ctx, HttpStatus.BAD_REQUEST, BODY_TOO_LARGE, 0, false, false);
       // closing with unread bytes resets the connection, and the sender may never see the answer
-      ctx.executor()
-          .schedule(
-              (Runnable) ctx::close,
-              Constants.LINGER_MS,
-              java.util.concurrent.TimeUnit.MILLISECONDS);
+      ctx.executor().schedule((Runnable) ctx::close, Constants.LINGER_MS, TimeUnit.MILLISECONDS);
     }
   }
 
-  /** Knows since when a connection's next request is awaited. */
-  private final class Guard extends ChannelInboundHandlerAdapter {
-    private final Conn conn;
+  /** Tracks since when a connection's next request is awaited. */
+  private final class IdleTracker extends ChannelInboundHandlerAdapter {
+    private final Connection connection;
     private Channel channel;
     private long since;
     private long lastRead;
 
-    Guard(Conn conn) {
-      this.conn = conn;
+    IdleTracker(Connection connection) {
+      this.connection = connection;
     }
 
     @Override
@@ -192,57 +178,52 @@
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext ctx, Object m) {
+    public void channelRead(ChannelHandlerContext ctx, Object message) {
       lastRead = System.nanoTime();
-      if (conn.complete) {
-        conn.complete = false;
+      if (connection.complete) {
+        connection.complete = false;
         since = lastRead;
       } else if (idle(lastRead)) {
-        if (m instanceof ByteBuf b) {
-          b.release();
+        if (message instanceof ByteBuf bytes) {
+          bytes.release();
         }
         ctx.close();
         return;
       }
-      ctx.fireChannelRead(m);
+      ctx.fireChannelRead(message);
     }
 
     /** Whether a request that has begun isn't complete in time, or none begins for long. */
     private boolean idle(long now) {
-      if (conn.busy) {
+      if (connection.busy) {
         return false;
       }
-      return conn.complete
-          ? now - lastRead > TimeUnit.MILLISECONDS.toNanos(patience.idleMs)
-          : now - since > TimeUnit.MILLISECONDS.toNanos(patience.slowRequestMs);
+      return connection.complete
+          ? now - lastRead > TimeUnit.MILLISECONDS.toNanos(timeouts.idleMs)
+          : now - since > TimeUnit.MILLISECONDS.toNanos(timeouts.slowRequestMs);
     }
   }
 
   /** One connection: its requests are answered one after the other. */
-  private final class Conn extends SimpleChannelInboundHandler<FullHttpRequest> {
+  private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
     /** The last request has arrived whole and no further one has begun. */
     private boolean complete;
 
     private boolean busy;
 
     @Override
-    protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest q) {
+    protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
       complete = true;
       busy = true;
-      boolean keep = HttpUtil.isKeepAlive(q);
-      if (!q.decoderResult().isSuccess()) {
-        write(
-            ctx,
-            400,
-            "{\"error\":\"not a valid HTTP request\"}".getBytes(StandardCharsets.UTF_8),
-            0,
-            false);
+      boolean keep = HttpUtil.isKeepAlive(request);
+      if (!request.decoderResult().isSuccess()) {
+        write(ctx, HttpStatus.BAD_REQUEST, INVALID_REQUEST, 0, false);
         return;
       }
-      byte[] body = new byte[q.content().readableBytes()];
-      q.content().readBytes(body);
+      byte[] body = new byte[request.content().readableBytes()];
+      request.content().readBytes(body);
       handler.handle(
-          new Request(q.method().name(), q.uri(), body),
+          new Request(request.method().name(), request.uri(), body),
           (status, json, retry) -> {
             if (!busy) {
               return;
@@ -255,12 +236,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable failure) {
       if (failure instanceof TooLongFrameException) {
-        write(
-            ctx,
-            400,
-            "{\"error\":\"not a valid HTTP request\"}".getBytes(StandardCharsets.UTF_8),
-            0,
-            false);
+        write(ctx, HttpStatus.BAD_REQUEST, INVALID_REQUEST, 0, false);
       } else {
         ctx.close();
       }
@@ -279,23 +255,24 @@
       int retryAfterS,
       boolean keep,
       boolean close) {
-    DefaultFullHttpResponse r =
+    DefaultFullHttpResponse response =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), Unpooled.wrappedBuffer(json));
-    r.headers()
+    response
+        .headers()
         .set(
             HttpHeaderNames.CONTENT_TYPE,
             json.length > 0 && json[0] == '{' ? "application/json" : "text/plain");
-    r.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, json.length);
+    response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, json.length);
     if (retryAfterS > 0) {
-      r.headers().setInt(HttpHeaderNames.RETRY_AFTER, retryAfterS);
+      response.headers().setInt(HttpHeaderNames.RETRY_AFTER, retryAfterS);
     }
     if (!keep) {
-      r.headers().set(HttpHeaderNames.CONNECTION, "close");
+      response.headers().set(HttpHeaderNames.CONNECTION, "close");
     }
-    var f = ctx.writeAndFlush(r);
+    ChannelFuture written = ctx.writeAndFlush(response);
     if (close) {
-      f.addListener(ChannelFutureListener.CLOSE);
+      written.addListener(ChannelFutureListener.CLOSE);
     }
   }
 }
--- a/src/main/java/mallowstall/net/PeriodicTask.java
+++ b/src/main/java/mallowstall/net/PeriodicTask.java
@@ -6,14 +6,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A named long-lived task on the event loop, run at a fixed delay until it is cancelled. */
+/** A named task that an event loop runs with a fixed delay until it is cancelled. */
 public final class PeriodicTask {
-  private static final Logger LOG = LoggerFactory.getLogger("mallowstall.duty");
+  private static final Logger LOG = LoggerFactory.getLogger("mallowstall.net");
   private final String name;
   private final ScheduledFuture<?> future;
 
-  /** Runs the body again and again, at this interval, until it is cancelled. */
-  public PeriodicTask(String name, EventLoop loop, long everyMs, Runnable body) {
+  /** Runs the body at once, then with this delay after each run, also after one that has failed. */
+  public PeriodicTask(String name, EventLoop loop, long delayMs, Runnable body) {
     this.name = name;
     this.future =
         loop.scheduleWithFixedDelay(
@@ -21,17 +21,17 @@
               try {
                 body.run();
               } catch (RuntimeException failure) {
-                LOG.error("duty {} failed", name, failure);
+                LOG.error("periodic task failed name={}", name, failure);
               }
             },
             0,
-            everyMs,
+            delayMs,
             TimeUnit.MILLISECONDS);
   }
 
-  /** The body runs no more. */
+  /** Ends the task; a run that has begun is completed. */
   public void cancel() {
-    LOG.debug("duty {} ends", name);
+    LOG.debug("periodic task cancelled name={}", name);
     future.cancel(false);
   }
 }
--- /dev/null
+++ b/src/main/java/mallowstall/net/SocketAddresses.java
@@ -0,0 +1,26 @@
+package mallowstall.net;
+
+import java.net.InetSocketAddress;
+import java.util.regex.Pattern;
+
+/** Addresses as the protocols and the settings write them. */
+public final class SocketAddresses {
+  private static final Pattern IP_V4 = Pattern.compile("[0-9]{1,3}(\\.[0-9]{1,3}){3}");
+
+  private SocketAddresses() {}
+
+  /**
+   * An IPv4 address with a port, like {@code 10.0.0.1:8080}; names are never looked up.
+   *
+   * @throws IllegalArgumentException for anything else
+   */
+  public static InetSocketAddress parse(String address) {
+    int colon = address.lastIndexOf(':');
+    if (colon < 7 || !IP_V4.matcher(address.substring(0, colon)).matches()) {
+      throw new IllegalArgumentException(
+          "not an address: " + address + ", expected one like 10.0.0.1:8080");
+    }
+    return new InetSocketAddress(
+        address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
+  }
+}
--- /dev/null
+++ b/src/main/java/mallowstall/net/TcpBootstraps.java
@@ -0,0 +1,51 @@
+package mallowstall.net;
+
+import io.netty.bootstrap.Bootstrap;
+import io.netty.bootstrap.ServerBootstrap;
+import io.netty.buffer.UnpooledByteBufAllocator;
+import io.netty.channel.ChannelInitializer;
+import io.netty.channel.ChannelOption;
+import io.netty.channel.EventLoop;
+import io.netty.channel.EventLoopGroup;
+import io.netty.channel.socket.SocketChannel;
+import io.netty.channel.socket.nio.NioServerSocketChannel;
+import io.netty.channel.socket.nio.NioSocketChannel;
+import java.util.function.Consumer;
+
+/** TCP servers and clients with the socket options that all connections share. */
+public final class TcpBootstraps {
+  private TcpBootstraps() {}
+
+  /** A server that is not bound yet; {@code initializer} prepares each accepted connection. */
+  public static ServerBootstrap server(EventLoopGroup group, Consumer<SocketChannel> initializer) {
+    return new ServerBootstrap()
+        .group(group)
+        .channel(NioServerSocketChannel.class)
+        .option(ChannelOption.SO_REUSEADDR, true)
+        .childOption(ChannelOption.ALLOCATOR, UnpooledByteBufAllocator.DEFAULT)
+        .childOption(ChannelOption.TCP_NODELAY, true)
+        .childHandler(channelInitializer(initializer));
+  }
+
+  /** A client that is not connected yet; {@code initializer} prepares its connection. */
+  public static Bootstrap client(
+      EventLoop loop, int connectTimeoutMs, Consumer<SocketChannel> initializer) {
+    return new Bootstrap()
+        .group(loop)
+        .channel(NioSocketChannel.class)
+        .option(ChannelOption.ALLOCATOR, UnpooledByteBufAllocator.DEFAULT)
+        .option(ChannelOption.TCP_NODELAY, true)
+        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMs)
+        .handler(channelInitializer(initializer));
+  }
+
+  private static ChannelInitializer<SocketChannel> channelInitializer(
+      Consumer<SocketChannel> initializer) {
+    return new ChannelInitializer<>() {
+      @Override
+      protected void initChannel(SocketChannel channel) {
+        initializer.accept(channel);
+      }
+    };
+  }
+}
--- a/src/main/java/mallowstall/peers/PeerCodec.java
+++ b/src/main/java/mallowstall/peers/PeerCodec.java
@@ -24,32 +24,39 @@
 
 /**
  * Messages between controllers in Avro's binary encoding, after the schema {@code peers.avsc} (one
- * record around a union). Written field by field with Avro's encoder: generic records cost several
- * times the start-up time and garbage, which these machines don't have to spare.
+ * record around a union). Written field by field: Avro's generic records take several times the
+ * start-up time and garbage.
  */
 public final class PeerCodec {
   /** Writes one element of an array. */
-  private interface Write<T> {
-    void to(BinaryEncoder encoder, T v) throws IOException;
+  private interface ElementWriter<T> {
+    void write(BinaryEncoder encoder, T value) throws IOException;
   }
 
   /** Reads one element of an array. */
-  private interface Read<T> {
-    T from(BinaryDecoder decoder) throws IOException;
+  private interface ElementReader<T> {
+    T read(BinaryDecoder decoder) throws IOException;
   }
 
+  // the union's branches, in the order of the schema
+  private static final int STATUS_UPDATE = 0;
+  private static final int START_BATCH = 1;
+  private static final int STOP_BATCH = 2;
+
+  // bits of a machine's flags
   private static final int CONFIRMED = 1;
   private static final int USABLE = 2;
   private static final int DRAINING = 4;
   private static final int REPLACE = 8;
-  private static final int SILENT = 16;
+  private static final int UNRESPONSIVE = 16;
   private static final int SPOT = 32;
-  private static final int LOST = 64;
+  private static final int LEASE_EXPIRED = 64;
+  // the schema lists both enums in the order of their constants, after one for null
   private static final TaskState[] STATES = TaskState.values();
   private static final ExitReason[] EXIT_REASONS = ExitReason.values();
 
   static {
-    // else a few bytes may ask for a text of two gigabytes
+    // without this limit a few bytes can make the decoder allocate two gigabytes
     System.setProperty(
         "org.apache.avro.limits.string.maxLength", String.valueOf(Constants.PEER_TEXT_MAX));
   }
@@ -61,100 +68,102 @@
     ByteArrayOutputStream out = new ByteArrayOutputStream(1024);
     BinaryEncoder encoder = EncoderFactory.get().binaryEncoder(out, null);
     try {
-      if (message instanceof Roster statement) {
-        encoder.writeIndex(0);
-        roster(encoder, statement);
+      if (message instanceof Roster update) {
+        encoder.writeIndex(STATUS_UPDATE);
+        writeStatusUpdate(encoder, update);
       } else if (message instanceof Starts starts) {
-        encoder.writeIndex(1);
+        encoder.writeIndex(START_BATCH);
         encoder.writeString(starts.node());
         encoder.writeLong(starts.incarnation());
         encoder.writeLong(starts.connection());
         encoder.writeLong(starts.seq());
-        list(encoder, starts.starts(), PeerCodec::start);
+        writeList(encoder, starts.starts(), PeerCodec::writeStart);
       } else if (message instanceof Stops stops) {
-        encoder.writeIndex(2);
+        encoder.writeIndex(STOP_BATCH);
         encoder.writeString(stops.node());
         encoder.writeLong(stops.incarnation());
-        list(encoder, stops.stops(), PeerCodec::stop);
-        list(encoder, stops.drains(), BinaryEncoder::writeString);
+        writeList(encoder, stops.stops(), PeerCodec::writeStop);
+        writeList(encoder, stops.drains(), BinaryEncoder::writeString);
       }
       encoder.flush();
-    } catch (IOException x) {
-      throw new IllegalStateException(x);
+    } catch (IOException impossible) {
+      throw new IllegalStateException(impossible);
     }
     return out.toByteArray();
   }
 
-  /** Whatever the bytes are: a message, or an {@link IOException}. */
-  public static PeerMessage decode(byte[] b) throws IOException {
+  /** Decodes a message; any other bytes give an {@link IOException}, whatever they are. */
+  public static PeerMessage decode(byte[] bytes) throws IOException {
     try {
-      return message(b);
+      return readMessage(bytes);
     } catch (RuntimeException failure) {
       throw new IOException("malformed message", failure);
     }
   }
 
-  private static PeerMessage message(byte[] b) throws IOException {
-    BinaryDecoder decoder = DecoderFactory.get().binaryDecoder(b, null);
+  private static PeerMessage readMessage(byte[] bytes) throws IOException {
+    BinaryDecoder decoder = DecoderFactory.get().binaryDecoder(bytes, null);
     int kind = decoder.readIndex();
     return switch (kind) {
-      case 0 -> roster(decoder);
-      case 1 ->
+      case STATUS_UPDATE -> readStatusUpdate(decoder);
+      case START_BATCH ->
           new Starts(
               decoder.readString(),
               decoder.readLong(),
               decoder.readLong(),
               decoder.readLong(),
-              list(decoder, PeerCodec::start));
-      case 2 ->
+              readList(decoder, PeerCodec::readStart));
+      case STOP_BATCH ->
           new Stops(
               decoder.readString(),
               decoder.readLong(),
-              list(decoder, PeerCodec::stop),
-              list(decoder, BinaryDecoder::readString));
-      default -> throw new IOException("unknown message kind " + kind);
+              readList(decoder, PeerCodec::readStop),
+              readList(decoder, BinaryDecoder::readString));
+      default -> throw new IOException("message kind is " + kind + ": expected 0 to " + STOP_BATCH);
     };
   }
 
-  private static <T> void list(BinaryEncoder encoder, List<T> l, Write<T> w) throws IOException {
+  private static <T> void writeList(BinaryEncoder encoder, List<T> values, ElementWriter<T> element)
+      throws IOException {
     encoder.writeArrayStart();
-    encoder.setItemCount(l.size());
-    for (T task : l) {
+    encoder.setItemCount(values.size());
+    for (T value : values) {
       encoder.startItem();
-      w.to(encoder, task);
+      element.write(encoder, value);
     }
     encoder.writeArrayEnd();
   }
 
-  private static <T> List<T> list(BinaryDecoder decoder, Read<T> r) throws IOException {
+  private static <T> List<T> readList(BinaryDecoder decoder, ElementReader<T> element)
+      throws IOException {
     List<T> out = new ArrayList<>();
     for (long n = decoder.readArrayStart(); n != 0; n = decoder.arrayNext()) {
       for (long i = 0; i < n; i++) {
-        out.add(r.from(decoder));
+        out.add(element.read(decoder));
       }
     }
     return out;
   }
 
-  private static void roster(BinaryEncoder encoder, Roster roster) throws IOException {
-    encoder.writeString(roster.node());
-    encoder.writeLong(roster.incarnation());
-    encoder.writeLong(roster.serial());
-    encoder.writeLong(roster.since());
-    encoder.writeLong(roster.heardIncarnation());
-    encoder.writeLong(roster.heardSerial());
-    encoder.writeLong(roster.mirrorRevision());
-    encoder.writeLong(roster.ackedIncarnation());
-    encoder.writeLong(roster.ackedConnection());
-    encoder.writeLong(roster.ackedSeq());
-    encoder.writeLong(roster.sinceMirrorMs());
-    list(encoder, roster.cancelled(), BinaryEncoder::writeString);
-    list(encoder, roster.machines(), PeerCodec::machine);
-    list(encoder, roster.gone(), BinaryEncoder::writeString);
-    list(encoder, roster.refusals(), PeerCodec::refusal);
+  private static void writeStatusUpdate(BinaryEncoder encoder, Roster update) throws IOException {
+    encoder.writeString(update.node());
+    encoder.writeLong(update.incarnation());
+    encoder.writeLong(update.serial());
+    encoder.writeLong(update.since());
+    encoder.writeLong(update.heardIncarnation());
+    encoder.writeLong(update.heardSerial());
+    encoder.writeLong(update.mirrorRevision());
+    encoder.writeLong(update.ackedIncarnation());
+    encoder.writeLong(update.ackedConnection());
+    encoder.writeLong(update.ackedSeq());
+    encoder.writeLong(update.sinceMirrorMs());
+    writeList(encoder, update.cancelled(), BinaryEncoder::writeString);
+    writeList(encoder, update.machines(), PeerCodec::writeMachineStatus);
+    writeList(encoder, update.gone(), BinaryEncoder::writeString);
+    writeList(encoder, update.refusals(), PeerCodec::writeRejection);
   }
 
-  private static Roster roster(BinaryDecoder decoder) throws IOException {
+  private static Roster readStatusUpdate(BinaryDecoder decoder) throws IOException {
     return new Roster(
         decoder.readString(),
         decoder.readLong(),
@@ -167,13 +176,14 @@
         decoder.readLong(),
         decoder.readLong(),
         decoder.readLong(),
-        list(decoder, BinaryDecoder::readString),
-        list(decoder, PeerCodec::machine),
-        list(decoder, BinaryDecoder::readString),
-        list(decoder, PeerCodec::refusal));
+        readList(decoder, BinaryDecoder::readString),
+        readList(decoder, PeerCodec::readMachineStatus),
+        readList(decoder, BinaryDecoder::readString),
+        readList(decoder, PeerCodec::readRejection));
   }
 
-  private static void machine(BinaryEncoder encoder, RosterMachine state) throws IOException {
+  private static void writeMachineStatus(BinaryEncoder encoder, RosterMachine state)
+      throws IOException {
     encoder.writeString(state.machine());
     encoder.writeString(state.addr() == null ? "" : state.addr());
     encoder.writeLong(state.token());
@@ -185,9 +195,9 @@
             | (state.usable() ? USABLE : 0)
             | (state.draining() ? DRAINING : 0)
             | (state.replace() ? REPLACE : 0)
-            | (state.silent() ? SILENT : 0)
+            | (state.silent() ? UNRESPONSIVE : 0)
             | (state.spot() ? SPOT : 0)
-            | (state.lost() ? LOST : 0));
+            | (state.lost() ? LEASE_EXPIRED : 0));
     encoder.writeString(state.type());
     encoder.writeString(state.zone());
     encoder.writeDouble(state.noticeS());
@@ -195,18 +205,18 @@
     encoder.writeDouble(state.freeGpus());
     encoder.writeDouble(state.freeMemoryGb());
     encoder.writeLong(state.idleMs());
-    list(encoder, state.images(), BinaryEncoder::writeString);
-    list(encoder, state.tasks(), PeerCodec::task);
+    writeList(encoder, state.images(), BinaryEncoder::writeString);
+    writeList(encoder, state.tasks(), PeerCodec::writeTaskStatus);
   }
 
-  private static RosterMachine machine(BinaryDecoder decoder) throws IOException {
+  private static RosterMachine readMachineStatus(BinaryDecoder decoder) throws IOException {
     String id = decoder.readString();
     String addr = decoder.readString();
     long token = decoder.readLong();
     long version = decoder.readLong();
     long session = decoder.readLong();
     long seq = decoder.readLong();
-    int f = decoder.readInt();
+    int flags = decoder.readInt();
     String type = decoder.readString();
     String zone = decoder.readString();
     return new RosterMachine(
@@ -216,54 +226,63 @@
         version,
         session,
         seq,
-        (f & CONFIRMED) != 0,
-        (f & USABLE) != 0,
-        (f & DRAINING) != 0,
-        (f & REPLACE) != 0,
-        (f & SILENT) != 0,
-        (f & LOST) != 0,
+        (flags & CONFIRMED) != 0,
+        (flags & USABLE) != 0,
+        (flags & DRAINING) != 0,
+        (flags & REPLACE) != 0,
+        (flags & UNRESPONSIVE) != 0,
+        (flags & LEASE_EXPIRED) != 0,
         type,
         zone,
-        (f & SPOT) != 0,
+        (flags & SPOT) != 0,
         decoder.readDouble(),
         decoder.readDouble(),
         decoder.readDouble(),
         decoder.readDouble(),
         decoder.readLong(),
-        list(decoder, BinaryDecoder::readString),
-        list(decoder, PeerCodec::task));
+        readList(decoder, BinaryDecoder::readString),
+        readList(decoder, PeerCodec::readTaskStatus));
   }
 
-  private static void task(BinaryEncoder encoder, RosterTask task) throws IOException {
+  private static void writeTaskStatus(BinaryEncoder encoder, RosterTask task) throws IOException {
     encoder.writeString(task.job());
     encoder.writeInt(task.task());
     encoder.writeLong(task.attempt());
-    encoder.writeEnum(task.state() == null ? 0 : task.state().ordinal() + 1);
-    encoder.writeEnum(task.why() == null ? 0 : task.why().ordinal() + 1);
+    writeEnumOrNull(encoder, task.state());
+    writeEnumOrNull(encoder, task.why());
   }
 
-  private static RosterTask task(BinaryDecoder decoder) throws IOException {
+  private static RosterTask readTaskStatus(BinaryDecoder decoder) throws IOException {
     String job = decoder.readString();
     int task = decoder.readInt();
     long attempt = decoder.readLong();
-    int s = decoder.readEnum();
-    int w = decoder.readEnum();
-    if (s < 0 || s > STATES.length || w < 0 || w > EXIT_REASONS.length) {
-      throw new IOException("unknown enum value");
+    TaskState state = readEnumOrNull(decoder, "task state", STATES);
+    ExitReason why = readEnumOrNull(decoder, "exit reason", EXIT_REASONS);
+    return new RosterTask(job, task, attempt, state, why);
+  }
+
+  private static void writeEnumOrNull(BinaryEncoder encoder, Enum<?> value) throws IOException {
+    encoder.writeEnum(value == null ? 0 : value.ordinal() + 1);
+  }
+
+  private static <E> E readEnumOrNull(BinaryDecoder decoder, String field, E[] values)
+      throws IOException {
+    int index = decoder.readEnum();
+    if (index < 0 || index > values.length) {
+      throw new IOException(field + " is " + index + ": expected 0 to " + values.length);
     }
-    return new RosterTask(
-        job, task, attempt, s == 0 ? null : STATES[s - 1], w == 0 ? null : EXIT_REASONS[w - 1]);
+    return index == 0 ? null : values[index - 1];
   }
 
-  private static void refusal(BinaryEncoder encoder, Refusal r) throws IOException {
-    encoder.writeString(r.machine());
-    encoder.writeString(r.job());
-    encoder.writeInt(r.task());
-    encoder.writeLong(r.attempt());
-    encoder.writeString(r.reason());
+  private static void writeRejection(BinaryEncoder encoder, Refusal rejection) throws IOException {
+    encoder.writeString(rejection.machine());
+    encoder.writeString(rejection.job());
+    encoder.writeInt(rejection.task());
+    encoder.writeLong(rejection.attempt());
+    encoder.writeString(rejection.reason());
   }
 
-  private static Refusal refusal(BinaryDecoder decoder) throws IOException {
+  private static Refusal readRejection(BinaryDecoder decoder) throws IOException {
     return new Refusal(
         decoder.readString(),
         decoder.readString(),
@@ -272,27 +291,27 @@
         decoder.readString());
   }
 
-  private static void start(BinaryEncoder encoder, StartOrder start) throws IOException {
+  private static void writeStart(BinaryEncoder encoder, StartOrder start) throws IOException {
     encoder.writeString(start.machine());
     encoder.writeString(start.job());
     encoder.writeInt(start.task());
     encoder.writeLong(start.attempt());
     encoder.writeLong(start.epoch());
     encoder.writeLong(start.expiryWallMs());
-    list(encoder, start.instead(), PeerCodec::ref);
+    writeList(encoder, start.instead(), PeerCodec::writeTaskRef);
   }
 
-  private static void ref(BinaryEncoder encoder, TaskRef ref) throws IOException {
+  private static void writeTaskRef(BinaryEncoder encoder, TaskRef ref) throws IOException {
     encoder.writeString(ref.job());
     encoder.writeInt(ref.task());
     encoder.writeLong(ref.attempt());
   }
 
-  private static TaskRef ref(BinaryDecoder decoder) throws IOException {
+  private static TaskRef readTaskRef(BinaryDecoder decoder) throws IOException {
     return new TaskRef(decoder.readString(), decoder.readInt(), decoder.readLong());
   }
 
-  private static StartOrder start(BinaryDecoder decoder) throws IOException {
+  private static StartOrder readStart(BinaryDecoder decoder) throws IOException {
     return new StartOrder(
         decoder.readString(),
         decoder.readString(),
@@ -300,10 +319,10 @@
         decoder.readLong(),
         decoder.readLong(),
         decoder.readLong(),
-        list(decoder, PeerCodec::ref));
+        readList(decoder, PeerCodec::readTaskRef));
   }
 
-  private static void stop(BinaryEncoder encoder, StopOrder stop) throws IOException {
+  private static void writeStop(BinaryEncoder encoder, StopOrder stop) throws IOException {
     encoder.writeString(stop.machine());
     encoder.writeString(stop.job());
     encoder.writeInt(stop.task());
@@ -311,7 +330,7 @@
     encoder.writeDouble(stop.graceS());
   }
 
-  private static StopOrder stop(BinaryDecoder decoder) throws IOException {
+  private static StopOrder readStop(BinaryDecoder decoder) throws IOException {
     return new StopOrder(
         decoder.readString(),
         decoder.readString(),
--- a/src/main/java/mallowstall/peers/PeerConnections.java
+++ b/src/main/java/mallowstall/peers/PeerConnections.java
@@ -1,21 +1,17 @@
 package mallowstall.peers;
 
-import io.netty.bootstrap.Bootstrap;
-import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
-import io.netty.buffer.UnpooledByteBufAllocator;
 import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
-import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.SimpleChannelInboundHandler;
+import io.netty.channel.WriteBufferWaterMark;
 import io.netty.channel.socket.SocketChannel;
-import io.netty.channel.socket.nio.NioServerSocketChannel;
-import io.netty.channel.socket.nio.NioSocketChannel;
 import io.netty.handler.codec.LengthFieldBasedFrameDecoder;
 import io.netty.handler.codec.LengthFieldPrepender;
 import java.io.IOException;
@@ -28,19 +24,30 @@
 import mallowstall.core.Core;
 import mallowstall.core.Model.PeerMessage;
 import mallowstall.core.Model.Roster;
+import mallowstall.net.TcpBootstraps;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * One connection to each peer for what this controller says, and one from each for what it hears.
+ * TCP connections between controllers: one to each peer for the messages of this controller, which
+ * is opened again whenever it ends, and one from each for the messages of the peer. Each message is
+ * four bytes of length and a body after {@link PeerCodec}. Runs on the event loop; messages may be
+ * lost.
  */
 public final class PeerConnections {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.peers");
 
+  /** Bytes of the length before each message. */
+  private static final int LENGTH_BYTES = 4;
+
+  private static final int CONNECT_TIMEOUT_MS = 1_500;
+  private static final WriteBufferWaterMark BACKLOG =
+      new WriteBufferWaterMark(Constants.PEER_BACKLOG_MAX / 2, Constants.PEER_BACKLOG_MAX);
+
   private final EventLoop loop;
   private final Core core;
   private final Consumer<Runnable> events;
-  private final Map<String, Link> links = new HashMap<>();
+  private final Map<String, OutboundConnection> outbound = new HashMap<>();
   private final int maxInbound;
   private int inbound;
   private long connections;
@@ -57,53 +64,42 @@
 
   /** Begins to accept connections of peers. */
   public void listen(EventLoopGroup group, InetSocketAddress at) throws InterruptedException {
-    listening =
-        new ServerBootstrap()
-            .group(group)
-            .channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_REUSEADDR, true)
-            .childOption(ChannelOption.ALLOCATOR, UnpooledByteBufAllocator.DEFAULT)
-            .childOption(ChannelOption.TCP_NODELAY, true)
-            .childHandler(
-                new ChannelInitializer<SocketChannel>() {
-                  @Override
-                  protected void initChannel(SocketChannel channel) {
-                    if (inbound >= maxInbound) {
-                      channel.close();
-                      return;
-                    }
-                    inbound++;
-                    channel.closeFuture().addListener(future -> inbound--);
-                    channel
-                        .pipeline()
-                        .addLast(
-                            new LengthFieldBasedFrameDecoder(Constants.PEER_FRAME_MAX, 0, 4, 0, 4),
-                            new Hearing());
-                  }
-                })
-            .bind(at)
-            .sync()
-            .channel();
+    listening = TcpBootstraps.server(group, this::accept).bind(at).sync().channel();
+  }
+
+  private void accept(SocketChannel channel) {
+    if (inbound >= maxInbound) {
+      channel.close();
+      return;
+    }
+    inbound++;
+    channel.closeFuture().addListener(future -> inbound--);
+    channel
+        .pipeline()
+        .addLast(
+            new LengthFieldBasedFrameDecoder(
+                Constants.PEER_FRAME_MAX, 0, LENGTH_BYTES, 0, LENGTH_BYTES),
+            new InboundHandler());
   }
 
   /** Keeps a connection to this peer from now on. */
   public void connect(String node, InetSocketAddress at) {
-    Link link = new Link(node, at);
-    links.put(node, link);
-    link.connect();
+    OutboundConnection connection = new OutboundConnection(node, at);
+    outbound.put(node, connection);
+    connection.connect();
   }
 
   /** Sends the message if the peer is connected and its backlog has room. */
   public void send(String node, PeerMessage message) {
-    Link link = links.get(node);
-    if (link == null || link.channel == null || !link.channel.isActive()) {
+    OutboundConnection connection = outbound.get(node);
+    if (connection == null || connection.channel == null || !connection.channel.isActive()) {
       return;
     }
-    // a roster says everything anew, so one that can't leave yet is not worth keeping
-    if (message instanceof Roster && link.channel.bytesBeforeUnwritable() <= 0) {
+    // the next status update tells what this one does, so one that can't be sent now is dropped
+    if (message instanceof Roster && connection.channel.bytesBeforeUnwritable() <= 0) {
       return;
     }
-    link.channel.writeAndFlush(Unpooled.wrappedBuffer(PeerCodec.encode(message)));
+    connection.channel.writeAndFlush(Unpooled.wrappedBuffer(PeerCodec.encode(message)));
   }
 
   /** Closes all connections. */
@@ -112,46 +108,49 @@
     if (listening != null) {
       listening.close();
     }
-    for (Link link : links.values()) {
-      if (link.channel != null) {
-        link.channel.close();
+    for (OutboundConnection connection : outbound.values()) {
+      if (connection.channel != null) {
+        connection.channel.close();
       }
     }
   }
 
-  /** A connection that a peer has opened: its messages become events. */
-  private final class Hearing extends SimpleChannelInboundHandler<ByteBuf> {
+  /** Turns the messages of a connection that a peer has opened into events of the core. */
+  private final class InboundHandler extends SimpleChannelInboundHandler<ByteBuf> {
     @Override
-    protected void channelRead0(ChannelHandlerContext ctx, ByteBuf b) throws IOException {
-      byte[] bytes = new byte[b.readableBytes()];
-      b.readBytes(bytes);
+    protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) throws IOException {
+      byte[] bytes = new byte[frame.readableBytes()];
+      frame.readBytes(bytes);
       PeerMessage message = PeerCodec.decode(bytes);
       events.accept(() -> core.message(message));
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable failure) {
-      LOG.info("connection from {} ends: {}", ctx.channel().remoteAddress(), failure.toString());
+      LOG.info(
+          "connection of a peer failed address={} reason={}",
+          ctx.channel().remoteAddress(),
+          failure.toString());
       ctx.close();
     }
   }
 
-  /** Nothing comes back on this connection but its end. */
-  private static final class Speaking extends ChannelInboundHandlerAdapter {
+  /** Handles errors of a connection to a peer, on which nothing is received. */
+  private static final class OutboundHandler extends ChannelInboundHandlerAdapter {
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable failure) {
-      LOG.debug("connection to a peer ends: {}", failure.toString());
+      LOG.debug("connection to a peer failed reason={}", failure.toString());
       ctx.close();
     }
   }
 
-  /** What this controller says to one peer. */
-  private final class Link {
+  /** The connection for messages to one peer. */
+  private final class OutboundConnection {
     private final String node;
     private final InetSocketAddress at;
     private Channel channel;
 
-    Link(String node, InetSocketAddress at) {
+    OutboundConnection(String node, InetSocketAddress at) {
       this.node = node;
       this.at = at;
     }
@@ -160,39 +159,34 @@
       if (closed) {
         return;
       }
-      new Bootstrap()
-          .group(loop)
-          .channel(NioSocketChannel.class)
-          .option(ChannelOption.ALLOCATOR, UnpooledByteBufAllocator.DEFAULT)
-          .option(ChannelOption.TCP_NODELAY, true)
-          .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1_500)
-          .option(
-              ChannelOption.WRITE_BUFFER_WATER_MARK,
-              new io.netty.channel.WriteBufferWaterMark(
-                  Constants.PEER_BACKLOG_MAX / 2, Constants.PEER_BACKLOG_MAX))
-          .handler(
-              new ChannelInitializer<SocketChannel>() {
-                @Override
-                protected void initChannel(SocketChannel channel) {
-                  channel.pipeline().addLast(new LengthFieldPrepender(4), new Speaking());
-                }
-              })
+      TcpBootstraps.client(
+              loop,
+              CONNECT_TIMEOUT_MS,
+              channel ->
+                  channel
+                      .pipeline()
+                      .addLast(new LengthFieldPrepender(LENGTH_BYTES), new OutboundHandler()))
+          .option(ChannelOption.WRITE_BUFFER_WATER_MARK, BACKLOG)
           .connect(at)
           .addListener(
-              future -> {
-                if (!future.isSuccess()) {
-                  again();
-                  return;
+              (ChannelFuture future) -> {
+                if (future.isSuccess()) {
+                  connected(future.channel());
+                } else {
+                  reconnect();
                 }
-                channel = ((io.netty.channel.ChannelFuture) future).channel();
-                long n = ++connections;
-                LOG.info("connected to {}", node);
-                channel.closeFuture().addListener(c -> again());
-                events.accept(() -> core.connected(node, n));
               });
     }
 
-    private void again() {
+    private void connected(Channel connection) {
+      channel = connection;
+      long connectionNumber = ++connections;
+      LOG.info("connected to peer={}", node);
+      connection.closeFuture().addListener(closeFuture -> reconnect());
+      events.accept(() -> core.connected(node, connectionNumber));
+    }
+
+    private void reconnect() {
       channel = null;
       if (!closed) {
         loop.schedule(this::connect, Constants.PEER_RETRY_MS, TimeUnit.MILLISECONDS);
--- a/src/test/java/mallowstall/net/HttpServerTest.java
+++ b/src/test/java/mallowstall/net/HttpServerTest.java
@@ -28,7 +28,7 @@
 
   @BeforeEach
   void start() {
-    server = new HttpServer(this::handle, 50, new HttpServer.Patience(SLOW_MS, IDLE_MS, 20));
+    server = new HttpServer(this::handle, 50, new HttpServer.Timeouts(SLOW_MS, IDLE_MS, 20));
     port = server.listen(group, new InetSocketAddress("127.0.0.1", 0)).join().getPort();
   }
 
