--- /dev/null
+++ b/src/main/java/mallowstall/cloud/CloudProtocol.java
@@ -0,0 +1,46 @@
+package mallowstall.cloud;
+
+/**
+ * Words of the cloud's HTTP interface, by their standard meaning. They stand on the wire, so none
+ * ever changes.
+ */
+final class CloudProtocol {
+  private CloudProtocol() {}
+
+  // requests
+  static final String TYPES_PATH = "/flavors";
+  static final String MACHINES_PATH = "/machines";
+  static final String RETURN_PATH = "/machines/return";
+
+  // machine types
+  static final String TYPES = "calibres";
+  static final String TYPE_NAME = "label";
+  static final String CPUS = "vcpus";
+  static final String GPUS = "gpus";
+  static final String MEMORY_GB = "mem_gb";
+  static final String CACHE_GB = "local_gb";
+  static final String FETCH_GB_PER_S = "fetch_gb_per_s";
+  static final String PRICE = "rate";
+  static final String SPOT_PRICE = "market_price";
+  static final String BOOT_S = "ready_s";
+  static final String ZONES = "patios";
+
+  // requests for machines
+  static final String REQUEST_NAME = "alquiler";
+  static final String MACHINE_TYPE = "calibre";
+  static final String ZONE = "patio";
+  static final String SPOT = "prestados";
+  static final String COUNT = "how_many";
+
+  // machines
+  static final String MACHINES = "sierras";
+  static final String HAS_MORE = "has_next";
+  static final String MACHINE = "ref";
+  static final String STATE = "estado";
+  static final String AGE_S = "held_s";
+
+  /** The path of a page of the inventory after this machine; null: from the first. */
+  static String inventoryPath(String after, int pageSize) {
+    return MACHINES_PATH + "?" + (after == null ? "" : "after=" + after + "&") + "page=" + pageSize;
+  }
+}
--- a/src/main/java/mallowstall/state/StoredEntries.java
+++ b/src/main/java/mallowstall/state/StoredEntries.java
@@ -74,62 +74,62 @@
       writeProcess(out, session.node(), session.incarnation());
     } else if (entry instanceof VersionRec version) {
       writeProcess(out, version.node(), version.incarnation());
-      out.writeNumberField("version", version.version());
+      out.writeNumberField(StoredFields.VERSION, version.version());
     } else if (entry instanceof TeamRec team) {
-      out.writeNumberField("cpus", team.cpus());
-      out.writeNumberField("gpus", team.gpus());
+      out.writeNumberField(StoredFields.CPUS, team.cpus());
+      out.writeNumberField(StoredFields.GPUS, team.gpus());
     } else if (entry instanceof DigestRec digest) {
       write(out, digest);
     } else if (entry instanceof BitsRec bits) {
-      out.writeBinaryField("done", bits.done());
+      out.writeBinaryField(StoredFields.COMPLETED_BITS, bits.done());
     } else if (entry instanceof DutyRec duty) {
       writeProcess(out, duty.node(), duty.incarnation());
     } else if (entry instanceof CounterRec counter) {
-      out.writeNumberField("value", counter.value());
+      out.writeNumberField(StoredFields.COUNTER, counter.value());
     }
     out.writeEndObject();
   }
 
   private static void writeProcess(JsonGenerator out, String node, long incarnation)
       throws IOException {
-    out.writeStringField("node", node);
-    out.writeNumberField("incarnation", incarnation);
+    out.writeStringField(StoredFields.NODE, node);
+    out.writeNumberField(StoredFields.INCARNATION, incarnation);
   }
 
   private static void write(JsonGenerator out, MachineRec machine) throws IOException {
     writeProcess(out, machine.node(), machine.incarnation());
-    out.writeNumberField("token", machine.token());
-    out.writeStringField("type", machine.type());
-    out.writeStringField("zone", machine.zone());
-    out.writeBooleanField("spot", machine.spot());
+    out.writeNumberField(StoredFields.TOKEN, machine.token());
+    out.writeStringField(StoredFields.TYPE, machine.type());
+    out.writeStringField(StoredFields.ZONE, machine.zone());
+    out.writeBooleanField(StoredFields.SPOT, machine.spot());
   }
 
   private static void write(JsonGenerator out, GroupRec group) throws IOException {
     writeProcess(out, group.node(), group.incarnation());
-    JsonWriter.list(out, "machines", group.machines(), StoredEntries::writeMember);
+    JsonWriter.list(out, StoredFields.MACHINES, group.machines(), StoredEntries::writeMember);
   }
 
   private static void writeMember(JsonGenerator out, GroupMachine member) throws IOException {
     out.writeStartObject();
-    out.writeStringField("id", member.id());
-    out.writeStringField("type", member.type());
-    out.writeStringField("zone", member.zone());
-    out.writeBooleanField("spot", member.spot());
+    out.writeStringField(StoredFields.ID, member.id());
+    out.writeStringField(StoredFields.TYPE, member.type());
+    out.writeStringField(StoredFields.ZONE, member.zone());
+    out.writeBooleanField(StoredFields.SPOT, member.spot());
     out.writeEndObject();
   }
 
   private static void write(JsonGenerator out, DigestRec digest) throws IOException {
-    out.writeNumberField("incarnation", digest.incarnation());
-    JsonWriter.list(out, "rooms", digest.rooms(), StoredEntries::writeRoom);
-    out.writeNumberField("pendingCpus", digest.pendingCpus());
+    out.writeNumberField(StoredFields.INCARNATION, digest.incarnation());
+    JsonWriter.list(out, StoredFields.FREE_CAPACITY, digest.rooms(), StoredEntries::writeRoom);
+    out.writeNumberField(StoredFields.PENDING_CPUS, digest.pendingCpus());
   }
 
   private static void writeRoom(JsonGenerator out, Room room) throws IOException {
     out.writeStartObject();
-    out.writeStringField("machine", room.machine());
-    out.writeNumberField("cpus", room.cpus());
-    out.writeNumberField("gpus", room.gpus());
-    out.writeNumberField("memoryGb", room.memoryGb());
+    out.writeStringField(StoredFields.MACHINE, room.machine());
+    out.writeNumberField(StoredFields.CPUS, room.cpus());
+    out.writeNumberField(StoredFields.GPUS, room.gpus());
+    out.writeNumberField(StoredFields.MEMORY_GB, room.memoryGb());
     out.writeEndObject();
   }
 
@@ -138,8 +138,8 @@
     long incarnation = 0;
     while (in.nextField()) {
       switch (in.field()) {
-        case "node" -> node = in.string();
-        case "incarnation" -> incarnation = in.longOrZero();
+        case StoredFields.NODE -> node = in.string();
+        case StoredFields.INCARNATION -> incarnation = in.longOrZero();
         default -> in.skip();
       }
     }
@@ -157,9 +157,9 @@
     int version = 0;
     while (in.nextField()) {
       switch (in.field()) {
-        case "node" -> node = in.string();
-        case "incarnation" -> incarnation = in.longOrZero();
-        case "version" -> version = in.intOrZero();
+        case StoredFields.NODE -> node = in.string();
+        case StoredFields.INCARNATION -> incarnation = in.longOrZero();
+        case StoredFields.VERSION -> version = in.intOrZero();
         default -> in.skip();
       }
     }
@@ -175,12 +175,12 @@
     boolean spot = false;
     while (in.nextField()) {
       switch (in.field()) {
-        case "node" -> node = in.string();
-        case "incarnation" -> incarnation = in.longOrZero();
-        case "token" -> token = in.longOrZero();
-        case "type" -> type = in.string();
-        case "zone" -> zone = in.string();
-        case "spot" -> spot = in.booleanOrFalse();
+        case StoredFields.NODE -> node = in.string();
+        case StoredFields.INCARNATION -> incarnation = in.longOrZero();
+        case StoredFields.TOKEN -> token = in.longOrZero();
+        case StoredFields.TYPE -> type = in.string();
+        case StoredFields.ZONE -> zone = in.string();
+        case StoredFields.SPOT -> spot = in.booleanOrFalse();
         default -> in.skip();
       }
     }
@@ -193,9 +193,9 @@
     List<GroupMachine> machines = null;
     while (in.nextField()) {
       switch (in.field()) {
-        case "node" -> node = in.string();
-        case "incarnation" -> incarnation = in.longOrZero();
-        case "machines" -> machines = in.list(StoredEntries::member);
+        case StoredFields.NODE -> node = in.string();
+        case StoredFields.INCARNATION -> incarnation = in.longOrZero();
+        case StoredFields.MACHINES -> machines = in.list(StoredEntries::member);
         default -> in.skip();
       }
     }
@@ -212,10 +212,10 @@
     boolean spot = false;
     while (in.nextField()) {
       switch (in.field()) {
-        case "id" -> id = in.string();
-        case "type" -> type = in.string();
-        case "zone" -> zone = in.string();
-        case "spot" -> spot = in.booleanOrFalse();
+        case StoredFields.ID -> id = in.string();
+        case StoredFields.TYPE -> type = in.string();
+        case StoredFields.ZONE -> zone = in.string();
+        case StoredFields.SPOT -> spot = in.booleanOrFalse();
         default -> in.skip();
       }
     }
@@ -227,8 +227,8 @@
     double gpus = 0;
     while (in.nextField()) {
       switch (in.field()) {
-        case "cpus" -> cpus = in.doubleOrZero();
-        case "gpus" -> gpus = in.doubleOrZero();
+        case StoredFields.CPUS -> cpus = in.doubleOrZero();
+        case StoredFields.GPUS -> gpus = in.doubleOrZero();
         default -> in.skip();
       }
     }
@@ -241,9 +241,9 @@
     double pendingCpus = 0;
     while (in.nextField()) {
       switch (in.field()) {
-        case "incarnation" -> incarnation = in.longOrZero();
-        case "rooms" -> rooms = in.list(StoredEntries::room);
-        case "pendingCpus" -> pendingCpus = in.doubleOrZero();
+        case StoredFields.INCARNATION -> incarnation = in.longOrZero();
+        case StoredFields.FREE_CAPACITY -> rooms = in.list(StoredEntries::room);
+        case StoredFields.PENDING_CPUS -> pendingCpus = in.doubleOrZero();
         default -> in.skip();
       }
     }
@@ -260,10 +260,10 @@
     double memoryGb = 0;
     while (in.nextField()) {
       switch (in.field()) {
-        case "machine" -> machine = in.string();
-        case "cpus" -> cpus = in.doubleOrZero();
-        case "gpus" -> gpus = in.doubleOrZero();
-        case "memoryGb" -> memoryGb = in.doubleOrZero();
+        case StoredFields.MACHINE -> machine = in.string();
+        case StoredFields.CPUS -> cpus = in.doubleOrZero();
+        case StoredFields.GPUS -> gpus = in.doubleOrZero();
+        case StoredFields.MEMORY_GB -> memoryGb = in.doubleOrZero();
         default -> in.skip();
       }
     }
@@ -274,7 +274,7 @@
     byte[] done = null;
     while (in.nextField()) {
       switch (in.field()) {
-        case "done" -> done = in.bytes();
+        case StoredFields.COMPLETED_BITS -> done = in.bytes();
         default -> in.skip();
       }
     }
@@ -285,7 +285,7 @@
     long value = 0;
     while (in.nextField()) {
       switch (in.field()) {
-        case "value" -> value = in.longOrZero();
+        case StoredFields.COUNTER -> value = in.longOrZero();
         default -> in.skip();
       }
     }
--- a/src/main/java/mallowstall/state/StoredJobs.java
+++ b/src/main/java/mallowstall/state/StoredJobs.java
@@ -17,44 +17,44 @@
 
   /** Writes the fields of the entry. */
   static void write(JsonGenerator out, JobRec job) throws IOException {
-    out.writeFieldName("spec");
+    out.writeFieldName(StoredFields.SPEC);
     out.writeStartObject();
     write(out, job.spec());
     out.writeEndObject();
-    out.writeNumberField("submittedMs", job.submittedMs());
-    out.writeStringField("holder", job.holder());
-    out.writeNumberField("incarnation", job.incarnation());
-    out.writeNumberField("epoch", job.epoch());
-    out.writeBinaryField("done", job.done());
-    out.writeNumberField("doneCount", job.doneCount());
-    out.writeNumberField("grant", job.grant());
-    out.writeStringField("fin", job.fin().name());
+    out.writeNumberField(StoredFields.SUBMITTED_MS, job.submittedMs());
+    out.writeStringField(StoredFields.LEADER, job.holder());
+    out.writeNumberField(StoredFields.INCARNATION, job.incarnation());
+    out.writeNumberField(StoredFields.EPOCH, job.epoch());
+    out.writeBinaryField(StoredFields.COMPLETED_BITS, job.done());
+    out.writeNumberField(StoredFields.COMPLETED_COUNT, job.doneCount());
+    out.writeNumberField(StoredFields.QUOTA_RESERVATION, job.grant());
+    out.writeStringField(StoredFields.OUTCOME, job.fin().name());
   }
 
   private static void write(JsonGenerator out, JobSpec spec) throws IOException {
-    out.writeStringField("id", spec.id());
-    out.writeStringField("jobClass", spec.jobClass());
-    out.writeStringField("team", spec.team());
-    out.writeStringField("priority", spec.priority().name());
-    out.writeNumberField("tasks", spec.tasks());
-    out.writeNumberField("cpus", spec.cpus());
-    out.writeNumberField("gpus", spec.gpus());
-    out.writeNumberField("memoryGb", spec.memoryGb());
-    out.writeStringField("image", spec.image());
-    out.writeNumberField("imageGb", spec.imageGb());
-    JsonWriter.strings(out, "types", spec.types());
-    out.writeStringField("zone", spec.zone());
-    out.writeBooleanField("oneZone", spec.oneZone());
-    out.writeBooleanField("spread", spec.spread());
-    out.writeBooleanField("spot", spec.spot());
-    out.writeNumberField("estimateS", spec.estimateS());
-    out.writeNumberField("checkpointS", spec.checkpointS());
-    out.writeNumberField("saveS", spec.saveS());
-    JsonWriter.doubleOrNull(out, "deadlineS", spec.deadlineS());
+    out.writeStringField(StoredFields.ID, spec.id());
+    out.writeStringField(StoredFields.JOB_CLASS, spec.jobClass());
+    out.writeStringField(StoredFields.TEAM, spec.team());
+    out.writeStringField(StoredFields.PRIORITY, spec.priority().name());
+    out.writeNumberField(StoredFields.TASKS, spec.tasks());
+    out.writeNumberField(StoredFields.CPUS, spec.cpus());
+    out.writeNumberField(StoredFields.GPUS, spec.gpus());
+    out.writeNumberField(StoredFields.MEMORY_GB, spec.memoryGb());
+    out.writeStringField(StoredFields.IMAGE, spec.image());
+    out.writeNumberField(StoredFields.IMAGE_GB, spec.imageGb());
+    JsonWriter.strings(out, StoredFields.TYPES, spec.types());
+    out.writeStringField(StoredFields.ZONE, spec.zone());
+    out.writeBooleanField(StoredFields.ONE_ZONE, spec.oneZone());
+    out.writeBooleanField(StoredFields.SPREAD, spec.spread());
+    out.writeBooleanField(StoredFields.SPOT, spec.spot());
+    out.writeNumberField(StoredFields.ESTIMATE_S, spec.estimateS());
+    out.writeNumberField(StoredFields.CHECKPOINT_S, spec.checkpointS());
+    out.writeNumberField(StoredFields.SAVE_S, spec.saveS());
+    JsonWriter.doubleOrNull(out, StoredFields.DEADLINE_S, spec.deadlineS());
     // only where it isn't the usual one: entries of batch jobs equal those of versions without
     // services, byte for byte
     if (spec.kind() != JobKind.BATCH) {
-      out.writeStringField("kind", spec.kind().name());
+      out.writeStringField(StoredFields.KIND, spec.kind().name());
     }
   }
 
@@ -71,15 +71,16 @@
     Final fin = null;
     while (in.nextField()) {
       switch (in.field()) {
-        case "spec" -> spec = in.enterObjectIfPresent() ? new SpecFields().read(in) : null;
-        case "submittedMs" -> submittedMs = in.longOrZero();
-        case "holder" -> holder = in.string();
-        case "incarnation" -> incarnation = in.longOrZero();
-        case "epoch" -> epoch = in.longOrZero();
-        case "done" -> done = in.bytes();
-        case "doneCount" -> doneCount = in.intOrZero();
-        case "grant" -> grant = in.intOrZero();
-        case "fin" -> fin = in.enumConstant(Final.class);
+        case StoredFields.SPEC ->
+            spec = in.enterObjectIfPresent() ? new SpecFields().read(in) : null;
+        case StoredFields.SUBMITTED_MS -> submittedMs = in.longOrZero();
+        case StoredFields.LEADER -> holder = in.string();
+        case StoredFields.INCARNATION -> incarnation = in.longOrZero();
+        case StoredFields.EPOCH -> epoch = in.longOrZero();
+        case StoredFields.COMPLETED_BITS -> done = in.bytes();
+        case StoredFields.COMPLETED_COUNT -> doneCount = in.intOrZero();
+        case StoredFields.QUOTA_RESERVATION -> grant = in.intOrZero();
+        case StoredFields.OUTCOME -> fin = in.enumConstant(Final.class);
         default -> in.skip();
       }
     }
@@ -138,26 +139,26 @@
 
     private void take(JsonReader in) throws IOException {
       switch (in.field()) {
-        case "id" -> id = in.string();
-        case "jobClass" -> jobClass = in.string();
-        case "team" -> team = in.string();
-        case "priority" -> priority = in.enumConstant(Priority.class);
-        case "tasks" -> tasks = in.intOrZero();
-        case "cpus" -> cpus = in.doubleOrZero();
-        case "gpus" -> gpus = in.doubleOrZero();
-        case "memoryGb" -> memoryGb = in.doubleOrZero();
-        case "image" -> image = in.string();
-        case "imageGb" -> imageGb = in.doubleOrZero();
-        case "types" -> types = in.strings();
-        case "zone" -> zone = in.string();
-        case "oneZone" -> oneZone = in.booleanOrFalse();
-        case "spread" -> spread = in.booleanOrFalse();
-        case "spot" -> spot = in.booleanOrFalse();
-        case "estimateS" -> estimateS = in.doubleOrZero();
-        case "checkpointS" -> checkpointS = in.doubleOrZero();
-        case "saveS" -> saveS = in.doubleOrZero();
-        case "deadlineS" -> deadlineS = in.doubleOrNull();
-        case "kind" -> kind = in.enumConstant(JobKind.class);
+        case StoredFields.ID -> id = in.string();
+        case StoredFields.JOB_CLASS -> jobClass = in.string();
+        case StoredFields.TEAM -> team = in.string();
+        case StoredFields.PRIORITY -> priority = in.enumConstant(Priority.class);
+        case StoredFields.TASKS -> tasks = in.intOrZero();
+        case StoredFields.CPUS -> cpus = in.doubleOrZero();
+        case StoredFields.GPUS -> gpus = in.doubleOrZero();
+        case StoredFields.MEMORY_GB -> memoryGb = in.doubleOrZero();
+        case StoredFields.IMAGE -> image = in.string();
+        case StoredFields.IMAGE_GB -> imageGb = in.doubleOrZero();
+        case StoredFields.TYPES -> types = in.strings();
+        case StoredFields.ZONE -> zone = in.string();
+        case StoredFields.ONE_ZONE -> oneZone = in.booleanOrFalse();
+        case StoredFields.SPREAD -> spread = in.booleanOrFalse();
+        case StoredFields.SPOT -> spot = in.booleanOrFalse();
+        case StoredFields.ESTIMATE_S -> estimateS = in.doubleOrZero();
+        case StoredFields.CHECKPOINT_S -> checkpointS = in.doubleOrZero();
+        case StoredFields.SAVE_S -> saveS = in.doubleOrZero();
+        case StoredFields.DEADLINE_S -> deadlineS = in.doubleOrNull();
+        case StoredFields.KIND -> kind = in.enumConstant(JobKind.class);
         default -> in.skip();
       }
     }
--- /dev/null
+++ b/src/main/java/mallowstall/users/Submission.java
@@ -0,0 +1,241 @@
+package mallowstall.users;
+
+import com.fasterxml.jackson.core.JsonProcessingException;
+import java.io.IOException;
+import java.util.List;
+import java.util.Map;
+import java.util.regex.Pattern;
+import mallowstall.Constants;
+import mallowstall.core.Model.JobKind;
+import mallowstall.core.Model.JobSpec;
+import mallowstall.core.Model.Priority;
+import mallowstall.json.JsonReader;
+import mallowstall.json.WrongTypeException;
+
+/**
+ * A submission as its fields are read; those that are missing are null. The messages of its errors
+ * are sent to users. Mutable.
+ */
+final class Submission {
+  private static final Pattern JOB_ID = Pattern.compile("wk-[0-9]{1,18}");
+  private static final int MAX_TEXT = 200;
+  private static final double MAX_AMOUNT = 1e9;
+  private static final Map<String, Priority> PRIORITIES =
+      Map.of(
+          UserProtocol.PRIORITY_PRODUCTION,
+          Priority.PRODUCTION,
+          UserProtocol.PRIORITY_HIGH,
+          Priority.HIGH,
+          UserProtocol.PRIORITY_NORMAL,
+          Priority.NORMAL,
+          UserProtocol.PRIORITY_LOW,
+          Priority.LOW);
+
+  private static final Map<String, JobKind> KINDS =
+      Map.of(UserProtocol.KIND_BATCH, JobKind.BATCH, UserProtocol.KIND_SERVICE, JobKind.SERVICE);
+
+  private String id;
+  private String jobClass;
+  private String team;
+  private String kind;
+  private String priority;
+  private Integer tasks;
+  private Double cpus;
+  private Double gpus;
+  private Double memoryGb;
+  private String image;
+  private Double imageGb;
+  private List<String> types;
+  private String zone;
+  private Boolean oneZone;
+  private Boolean spread;
+  private Boolean spot;
+  private Double estimateS;
+  private Double checkpointS;
+  private Double saveS;
+  private Double deadlineS;
+
+  /** Reads a submission; null: the body is null. */
+  private static Submission read(JsonReader in) throws IOException {
+    if (!in.enterObjectIfPresent()) {
+      return null;
+    }
+    Submission submission = new Submission();
+    while (in.nextField()) {
+      submission.readField(in);
+    }
+    return submission;
+  }
+
+  private void readField(JsonReader in) throws IOException {
+    switch (in.field()) {
+      case UserProtocol.JOB -> id = in.string();
+      case UserProtocol.JOB_CLASS -> jobClass = in.string();
+      case UserProtocol.TEAM -> team = in.string();
+      case UserProtocol.KIND -> kind = in.string();
+      case UserProtocol.PRIORITY -> priority = in.string();
+      case UserProtocol.TASKS -> tasks = in.intOrNull();
+      case UserProtocol.CPUS -> cpus = in.doubleOrNull();
+      case UserProtocol.GPUS -> gpus = in.doubleOrNull();
+      case UserProtocol.MEMORY_GB -> memoryGb = in.doubleOrNull();
+      case UserProtocol.IMAGE -> image = in.string();
+      case UserProtocol.IMAGE_GB -> imageGb = in.doubleOrNull();
+      case UserProtocol.MACHINE_TYPES -> types = in.strings();
+      case UserProtocol.ZONE -> zone = in.string();
+      case UserProtocol.ONE_ZONE -> oneZone = in.booleanOrNull();
+      case UserProtocol.SPREAD -> spread = in.booleanOrNull();
+      case UserProtocol.SPOT -> spot = in.booleanOrNull();
+      case UserProtocol.ESTIMATE_S -> estimateS = in.doubleOrNull();
+      case UserProtocol.CHECKPOINT_S -> checkpointS = in.doubleOrNull();
+      case UserProtocol.SAVE_S -> saveS = in.doubleOrNull();
+      case UserProtocol.DEADLINE_S -> deadlineS = in.doubleOrNull();
+      default -> in.skip();
+    }
+  }
+
+  /** Whether this is the id of a job. */
+  static boolean isJobId(String id) {
+    return JOB_ID.matcher(id).matches();
+  }
+
+  /**
+   * Reads and checks a submission.
+   *
+   * @throws MalformedSubmissionException with a message for the user
+   */
+  static JobSpec parse(byte[] body) throws MalformedSubmissionException {
+    Submission submission;
+    try {
+      submission = JsonReader.read(body, Submission::read);
+    } catch (WrongTypeException wrong) {
+      String field = wrong.path().isEmpty() ? "the body" : wrong.outermostField();
+      throw new MalformedSubmissionException(field + " has the wrong type or is out of range");
+    } catch (JsonProcessingException failure) {
+      throw new MalformedSubmissionException("the body is not JSON");
+    } catch (IOException error) {
+      throw new MalformedSubmissionException("the body can't be read");
+    }
+    if (submission == null) {
+      throw new MalformedSubmissionException("the body is not an object");
+    }
+    text(UserProtocol.JOB, submission.id);
+    if (!isJobId(submission.id)) {
+      throw new MalformedSubmissionException(UserProtocol.JOB + " must look like wk-000412");
+    }
+    try {
+      return submission.toSpec();
+    } catch (MalformedSubmissionException malformed) {
+      throw malformed.about(submission.id);
+    }
+  }
+
+  /** The job that is described; checks the fields in the order of their messages. */
+  private JobSpec toSpec() throws MalformedSubmissionException {
+    text(UserProtocol.JOB_CLASS, jobClass);
+    text(UserProtocol.TEAM, team);
+    JobKind jobKind = oneOf(UserProtocol.KIND, kind, KINDS, "batch or daemon");
+    Priority jobPriority =
+        oneOf(UserProtocol.PRIORITY, priority, PRIORITIES, "prod, high, standard or best_effort");
+    checkTasks();
+    checkPlaces();
+    amount(UserProtocol.ESTIMATE_S, estimateS);
+    amount(UserProtocol.CHECKPOINT_S, checkpointS);
+    amount(UserProtocol.SAVE_S, saveS);
+    if (deadlineS != null) {
+      amount(UserProtocol.DEADLINE_S, deadlineS);
+    }
+    return new JobSpec(
+        id,
+        jobClass,
+        team,
+        jobPriority,
+        tasks,
+        cpus,
+        gpus,
+        memoryGb,
+        image,
+        imageGb,
+        types,
+        zone,
+        oneZone,
+        spread,
+        spot,
+        estimateS,
+        checkpointS,
+        saveS,
+        deadlineS,
+        jobKind);
+  }
+
+  private static <T> T oneOf(String name, String value, Map<String, T> known, String words)
+      throws MalformedSubmissionException {
+    text(name, value);
+    T found = known.get(value);
+    if (found == null) {
+      throw new MalformedSubmissionException(name + " must be " + words);
+    }
+    return found;
+  }
+
+  /** How many tasks there are, and what each takes. */
+  private void checkTasks() throws MalformedSubmissionException {
+    if (tasks == null) {
+      throw new MalformedSubmissionException(UserProtocol.TASKS + " is missing");
+    }
+    if (tasks < 1 || tasks > Constants.TASKS_MAX) {
+      throw new MalformedSubmissionException(
+          UserProtocol.TASKS + " must be 1 to " + Constants.TASKS_MAX);
+    }
+    amount(UserProtocol.CPUS, cpus);
+    amount(UserProtocol.GPUS, gpus);
+    amount(UserProtocol.MEMORY_GB, memoryGb);
+    if (cpus <= 0) {
+      throw new MalformedSubmissionException(UserProtocol.CPUS + " must be above 0");
+    }
+    text(UserProtocol.IMAGE, image);
+    amount(UserProtocol.IMAGE_GB, imageGb);
+  }
+
+  /** On which machines they may run. */
+  private void checkPlaces() throws MalformedSubmissionException {
+    if (types != null) {
+      for (String type : types) {
+        text(UserProtocol.MACHINE_TYPES, type);
+      }
+      if (types.isEmpty()) {
+        throw new MalformedSubmissionException(
+            UserProtocol.MACHINE_TYPES + " must be null or name a machine type");
+      }
+    }
+    if (zone != null) {
+      text(UserProtocol.ZONE, zone);
+    }
+    flag(UserProtocol.ONE_ZONE, oneZone);
+    flag(UserProtocol.SPREAD, spread);
+    flag(UserProtocol.SPOT, spot);
+  }
+
+  private static void text(String name, String value) throws MalformedSubmissionException {
+    if (value == null) {
+      throw new MalformedSubmissionException(name + " is missing");
+    }
+    if (value.isEmpty() || value.length() > MAX_TEXT) {
+      throw new MalformedSubmissionException(name + " must have 1 to 200 characters");
+    }
+  }
+
+  private static void amount(String name, Double value) throws MalformedSubmissionException {
+    if (value == null) {
+      throw new MalformedSubmissionException(name + " is missing");
+    }
+    if (!Double.isFinite(value) || value < 0 || value > MAX_AMOUNT) {
+      throw new MalformedSubmissionException(name + " must be a number from 0 to 1e9");
+    }
+  }
+
+  private static void flag(String name, Boolean value) throws MalformedSubmissionException {
+    if (value == null) {
+      throw new MalformedSubmissionException(name + " is missing");
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/mallowstall/workers/HeartbeatCodec.java
@@ -0,0 +1,172 @@
+package mallowstall.workers;
+
+import com.fasterxml.jackson.core.JsonGenerator;
+import java.io.IOException;
+import java.util.List;
+import mallowstall.core.Model.Command;
+import mallowstall.core.Model.CommandKind;
+import mallowstall.core.Model.ExitReason;
+import mallowstall.core.Model.Report;
+import mallowstall.core.Model.TaskReport;
+import mallowstall.core.Model.TaskState;
+import mallowstall.json.JsonReader;
+import mallowstall.json.JsonWriter;
+
+/** Heartbeats and commands as JSON; see {@link WorkerProtocol}. */
+final class HeartbeatCodec {
+  private HeartbeatCodec() {}
+
+  /** Reads a heartbeat; an {@link IOException} says which field is wrong. */
+  static Report read(byte[] body) throws IOException {
+    Report report = JsonReader.read(body, HeartbeatCodec::readFields);
+    if (report == null) {
+      throw new IOException("the heartbeat is null: expected an object");
+    }
+    require(WorkerProtocol.MACHINE, report.machine());
+    require(WorkerProtocol.MACHINE_TYPE, report.type());
+    require(WorkerProtocol.ZONE, report.zone());
+    if (report.session() < 1) {
+      throw new IOException(
+          WorkerProtocol.SESSION + " is " + report.session() + ": expected 1 or more");
+    }
+    return report;
+  }
+
+  private static void require(String field, String value) throws IOException {
+    if (value == null) {
+      throw new IOException(field + " is missing: expected a string");
+    }
+  }
+
+  private static Report readFields(JsonReader in) throws IOException {
+    String machine = null;
+    String addr = null;
+    String type = null;
+    String zone = null;
+    boolean spot = false;
+    long session = 0;
+    long seq = 0;
+    long token = 0;
+    Double noticeS = null;
+    List<TaskReport> tasks = List.of();
+    if (!in.enterObjectIfPresent()) {
+      return null;
+    }
+    while (in.nextField()) {
+      switch (in.field()) {
+        case WorkerProtocol.MACHINE -> machine = in.string();
+        case WorkerProtocol.ADDRESS -> addr = in.string();
+        case WorkerProtocol.MACHINE_TYPE -> type = in.string();
+        case WorkerProtocol.ZONE -> zone = in.string();
+        case WorkerProtocol.SPOT -> spot = in.booleanOrFalse();
+        case WorkerProtocol.SESSION -> session = in.longOrZero();
+        case WorkerProtocol.SEQUENCE -> seq = in.longOrZero();
+        case WorkerProtocol.TOKEN -> token = in.longOrZero();
+        case WorkerProtocol.PREEMPTION_NOTICE_S -> noticeS = in.doubleOrNull();
+        case WorkerProtocol.TASKS -> tasks = readTasks(in);
+        default -> in.skip();
+      }
+    }
+    return new Report(machine, addr, type, zone, spot, session, seq, token, noticeS, tasks);
+  }
+
+  private static List<TaskReport> readTasks(JsonReader in) throws IOException {
+    List<TaskReport> tasks = in.list(HeartbeatCodec::readTask);
+    return tasks == null ? List.of() : tasks;
+  }
+
+  private static TaskReport readTask(JsonReader in) throws IOException {
+    String name = null;
+    long attempt = 0;
+    TaskState state = TaskState.FETCHING;
+    String why = null;
+    boolean saved = false;
+    in.enterObject();
+    while (in.nextField()) {
+      switch (in.field()) {
+        case WorkerProtocol.TASK -> name = in.string();
+        case WorkerProtocol.ATTEMPT -> attempt = in.longOrZero();
+        case WorkerProtocol.STATE -> state = state(in.string());
+        case WorkerProtocol.EXIT_REASON -> why = in.string();
+        case WorkerProtocol.CHECKPOINT_SAVED -> saved = in.booleanOrFalse();
+        default -> in.skip();
+      }
+    }
+    int slash = name == null ? -1 : name.lastIndexOf('/');
+    if (slash < 1) {
+      throw invalidTaskName(name);
+    }
+    return new TaskReport(
+        name.substring(0, slash),
+        taskIndex(name, slash + 1),
+        attempt,
+        state,
+        state == TaskState.EXITED ? exitReason(why) : null,
+        saved);
+  }
+
+  private static IOException invalidTaskName(String name) {
+    return new IOException(
+        WorkerProtocol.TASK + " is " + name + ": expected a job and an index like wk-000412/3");
+  }
+
+  private static int taskIndex(String name, int from) throws IOException {
+    try {
+      return Integer.parseInt(name, from, name.length(), 10);
+    } catch (NumberFormatException e) {
+      throw invalidTaskName(name);
+    }
+  }
+
+  private static TaskState state(String word) {
+    return switch (word == null ? "" : word) {
+      case WorkerProtocol.STATE_RUNNING -> TaskState.RUNNING;
+      case WorkerProtocol.STATE_SAVING -> TaskState.SAVING;
+      case WorkerProtocol.STATE_EXITED -> TaskState.EXITED;
+      default -> TaskState.FETCHING;
+    };
+  }
+
+  private static ExitReason exitReason(String word) {
+    return switch (word == null ? "" : word) {
+      case WorkerProtocol.EXIT_DONE -> ExitReason.DONE;
+      case WorkerProtocol.EXIT_STOPPED -> ExitReason.STOPPED;
+      case WorkerProtocol.EXIT_NO_ROOM -> ExitReason.NO_ROOM;
+      case WorkerProtocol.EXIT_BUSY -> ExitReason.BUSY;
+      case WorkerProtocol.EXIT_UNKNOWN_TASK -> ExitReason.UNKNOWN;
+      default -> ExitReason.ERROR;
+    };
+  }
+
+  /** Writes the fields of commands sent to the worker's own address. */
+  static void writeCommands(JsonGenerator out, long token, long session, List<Command> commands)
+      throws IOException {
+    out.writeNumberField(WorkerProtocol.TOKEN, token);
+    out.writeNumberField(WorkerProtocol.SESSION, session);
+    JsonWriter.list(out, WorkerProtocol.COMMANDS, commands, HeartbeatCodec::writeCommand);
+  }
+
+  /** Writes the fields of the response to a heartbeat. */
+  static void writeResponse(JsonGenerator out, long token, List<Command> commands)
+      throws IOException {
+    out.writeNumberField(WorkerProtocol.TOKEN, token);
+    JsonWriter.list(out, WorkerProtocol.COMMANDS, commands, HeartbeatCodec::writeCommand);
+  }
+
+  private static void writeCommand(JsonGenerator out, Command command) throws IOException {
+    out.writeStartObject();
+    out.writeStringField(
+        WorkerProtocol.COMMAND,
+        switch (command.kind()) {
+          case START -> WorkerProtocol.COMMAND_START;
+          case STOP -> WorkerProtocol.COMMAND_STOP;
+          case FORGET -> WorkerProtocol.COMMAND_FORGET;
+        });
+    out.writeStringField(WorkerProtocol.TASK, command.job() + "/" + command.task());
+    out.writeNumberField(WorkerProtocol.ATTEMPT, command.attempt());
+    if (command.kind() == CommandKind.STOP) {
+      out.writeNumberField(WorkerProtocol.GRACE_S, command.graceS());
+    }
+    out.writeEndObject();
+  }
+}
--- /dev/null
+++ b/src/main/java/mallowstall/workers/WorkerProtocol.java
@@ -0,0 +1,52 @@
+package mallowstall.workers;
+
+/**
+ * Words of the protocol between workers and controllers, by their standard meaning. They stand on
+ * the wire, so none ever changes.
+ */
+final class WorkerProtocol {
+  private WorkerProtocol() {}
+
+  // requests
+  static final String COMMANDS_PATH = "/orders";
+
+  // heartbeat
+  static final String MACHINE = "sierra";
+  static final String ADDRESS = "addr";
+  static final String MACHINE_TYPE = "calibre";
+  static final String ZONE = "patio";
+  static final String SPOT = "prestados";
+  static final String SESSION = "turno";
+  static final String SEQUENCE = "folio";
+  static final String TOKEN = "baston";
+  static final String PREEMPTION_NOTICE_S = "aviso_s";
+  static final String TASKS = "piezas";
+
+  // task in a heartbeat or a command
+  static final String TASK = "pieza";
+  static final String ATTEMPT = "intento";
+  static final String STATE = "estado";
+  static final String EXIT_REASON = "motivo";
+  static final String CHECKPOINT_SAVED = "saved";
+
+  // task states; any other word means that the image is being fetched
+  static final String STATE_RUNNING = "running";
+  static final String STATE_SAVING = "flushing";
+  static final String STATE_EXITED = "ended";
+
+  // exit reasons; any other word is an error
+  static final String EXIT_DONE = "done";
+  static final String EXIT_STOPPED = "stopped";
+  static final String EXIT_NO_ROOM = "full";
+  static final String EXIT_BUSY = "busy";
+  static final String EXIT_UNKNOWN_TASK = "no_such";
+
+  // response and commands
+  static final String COMMANDS = "ordenes";
+  static final String COMMAND = "orden";
+  static final String GRACE_S = "respiro_s";
+  static final String COMMAND_START = "run";
+  static final String COMMAND_STOP = "kill";
+  static final String COMMAND_FORGET = "reap";
+  static final String REPORT_TO = "capataz";
+}
--- a/src/test/java/mallowstall/users/SubmissionTest.java
+++ b/src/test/java/mallowstall/users/SubmissionTest.java
@@ -21,12 +21,12 @@
        "despacho_s":900.0,"later":[1]}
       """;
 
-  private static JobSpec parse(String s) throws UserApiHandler.Malformed {
-    return new UserApiHandler(null).parse(s.getBytes(StandardCharsets.UTF_8));
+  private static JobSpec parse(String s) throws MalformedSubmissionException {
+    return Submission.parse(s.getBytes(StandardCharsets.UTF_8));
   }
 
   @Test
-  void aSubmissionIsRead() throws UserApiHandler.Malformed {
+  void aSubmissionIsRead() throws MalformedSubmissionException {
     JobSpec spec = parse(GOOD);
     assertEquals(16, spec.tasks());
     assertEquals(Priority.HIGH, spec.priority());
@@ -37,7 +37,7 @@
 
   /** A service has no run time to estimate, so 0 is right and no deadline needed. */
   @Test
-  void aServiceIsRead() throws UserApiHandler.Malformed {
+  void aServiceIsRead() throws MalformedSubmissionException {
     String daemon =
         GOOD.replace("\"batch\"", "\"daemon\"")
             .replace("\"aserrado_s\":240.0", "\"aserrado_s\":0")
@@ -48,10 +48,10 @@
     assertNull(spec.deadlineS());
     assertEquals(JobKind.BATCH, parse(GOOD).kind());
     assertThrows(
-        UserApiHandler.Malformed.class,
+        MalformedSubmissionException.class,
         () -> parse(daemon.replace("\"aserrado_s\":0", "\"aserrado_s\":-1")));
     assertThrows(
-        UserApiHandler.Malformed.class,
+        MalformedSubmissionException.class,
         () -> parse(daemon.replace("\"piezas\":16", "\"piezas\":0")));
   }
 
@@ -77,9 +77,11 @@
       {"[\"g8\"]", "[null]", "calibres is missing"},
     };
     for (String[] c : cases) {
-      UserApiHandler.Malformed malformed =
+      MalformedSubmissionException malformed =
           assertThrows(
-              UserApiHandler.Malformed.class, () -> parse(GOOD.replace(c[0], c[1])), c[0] + c[1]);
+              MalformedSubmissionException.class,
+              () -> parse(GOOD.replace(c[0], c[1])),
+              c[0] + c[1]);
       assertTrue(malformed.getMessage().startsWith(c[2]), c[1] + " -> " + malformed.getMessage());
     }
   }
