--- a/src/main/java/mallowstall/config/SettingsReader.java
+++ b/src/main/java/mallowstall/config/SettingsReader.java
@@ -8,6 +8,7 @@
 final class SettingsReader {
   private SettingsReader() {}
 
+  /** Reads a settings file, unchecked; null: it is null. */
   static Settings settings(JsonReader in) throws IOException {
     if (!in.enterObjectIfPresent()) {
       return null;
@@ -34,7 +35,7 @@
     return new Settings(node, zone, listen, peerListen, peers, endpoints, facts);
   }
 
-  static Settings.Peer peer(JsonReader in) throws IOException {
+  private static Settings.Peer peer(JsonReader in) throws IOException {
     if (!in.enterObjectIfPresent()) {
       return null;
     }
@@ -52,7 +53,7 @@
     return new Settings.Peer(node, zone, addr);
   }
 
-  static Settings.Endpoints endpoints(JsonReader in) throws IOException {
+  private static Settings.Endpoints endpoints(JsonReader in) throws IOException {
     if (!in.enterObjectIfPresent()) {
       return null;
     }
@@ -68,7 +69,7 @@
     return new Settings.Endpoints(cloud, state);
   }
 
-  static Settings.Facts facts(JsonReader in) throws IOException {
+  private static Settings.Facts facts(JsonReader in) throws IOException {
     if (!in.enterObjectIfPresent()) {
       return null;
     }
@@ -94,7 +95,7 @@
     return new Settings.Facts(teams, objectives, workers, state, cloud, limits, skewMs);
   }
 
-  static Settings.Team team(JsonReader in) throws IOException {
+  private static Settings.Team team(JsonReader in) throws IOException {
     if (!in.enterObjectIfPresent()) {
       return null;
     }
@@ -116,7 +117,7 @@
     return new Settings.Team(name, cpus, cpusMax, gpus, gpusMax);
   }
 
-  static Settings.Objective objective(JsonReader in) throws IOException {
+  private static Settings.Objective objective(JsonReader in) throws IOException {
     if (!in.enterObjectIfPresent()) {
       return null;
     }
@@ -134,7 +135,7 @@
     return new Settings.Objective(kind, jobClass, times);
   }
 
-  static Settings.Workers workers(JsonReader in) throws IOException {
+  private static Settings.Workers workers(JsonReader in) throws IOException {
     if (!in.enterObjectIfPresent()) {
       return null;
     }
@@ -152,37 +153,42 @@
     return new Settings.Workers(reportS, leaseS, cancelS);
   }
 
-  static Settings.State state(JsonReader in) throws IOException {
+  private static Settings.State state(JsonReader in) throws IOException {
     if (!in.enterObjectIfPresent()) {
       return null;
     }
-    Double rps = null;
-    Double writeRps = null;
-    Double valueKb = null;
-    Integer txnOps = null;
+    StateLimits limits = new StateLimits();
     Settings.NextState next = null;
     while (in.nextField()) {
-      switch (in.field()) {
-        case "rps" -> rps = in.doubleOrNull();
-        case "write_rps" -> writeRps = in.doubleOrNull();
-        case "value_kb" -> valueKb = in.doubleOrNull();
-        case "txn_ops" -> txnOps = in.intOrNull();
-        case "next" -> next = nextState(in);
-        default -> in.skip();
+      if (in.field().equals("next")) {
+        next = nextState(in);
+      } else {
+        limits.read(in);
       }
     }
-    return new Settings.State(rps, writeRps, valueKb, txnOps, next);
+    return new Settings.State(limits.rps, limits.writeRps, limits.valueKb, limits.txnOps, next);
   }
 
-  static Settings.NextState nextState(JsonReader in) throws IOException {
+  private static Settings.NextState nextState(JsonReader in) throws IOException {
     if (!in.enterObjectIfPresent()) {
       return null;
     }
-    Double rps = null;
-    Double writeRps = null;
-    Double valueKb = null;
-    Integer txnOps = null;
+    StateLimits limits = new StateLimits();
     while (in.nextField()) {
+      limits.read(in);
+    }
+    return new Settings.NextState(limits.rps, limits.writeRps, limits.valueKb, limits.txnOps);
+  }
+
+  /** The limits of the state service that hold now or later; null where the file has none. */
+  private static final class StateLimits {
+    private Double rps;
+    private Double writeRps;
+    private Double valueKb;
+    private Integer txnOps;
+
+    /** Reads the field at which the reader stands, or skips it. */
+    void read(JsonReader in) throws IOException {
       switch (in.field()) {
         case "rps" -> rps = in.doubleOrNull();
         case "write_rps" -> writeRps = in.doubleOrNull();
@@ -191,10 +197,9 @@
         default -> in.skip();
       }
     }
-    return new Settings.NextState(rps, writeRps, valueKb, txnOps);
   }
 
-  static Settings.Cloud cloud(JsonReader in) throws IOException {
+  private static Settings.Cloud cloud(JsonReader in) throws IOException {
     if (!in.enterObjectIfPresent()) {
       return null;
     }
@@ -210,7 +215,7 @@
     return new Settings.Cloud(rps, listLagS);
   }
 
-  static Settings.Limits limits(JsonReader in) throws IOException {
+  private static Settings.Limits limits(JsonReader in) throws IOException {
     if (!in.enterObjectIfPresent()) {
       return null;
     }
