--- a/src/test/java/mallowstall/core/SimulatedController.java
+++ b/src/test/java/mallowstall/core/SimulatedController.java
@@ -126,9 +126,9 @@
                 2_000,
                 Map.of(),
                 running),
-            this,
+            sim.recorder.effects(this, this),
             c -> new Simulation.TestPolicy(c, () -> sim.evaluations++),
-            new Core.Metrics() {
+            new Metrics() {
               @Override
               public void count(String what) {}
 
@@ -143,6 +143,11 @@
     sim.at(5, () -> tick(l));
   }
 
+  /** The simulated time. */
+  long now() {
+    return sim.now;
+  }
+
   String zone() {
     return Simulation.ZONES.get(name);
   }
@@ -155,7 +160,7 @@
   }
 
   boolean knowsServices() {
-    return running >= ClusterVersion.WITH_SERVICES;
+    return running >= ProgramVersion.WITH_SERVICES;
   }
 
   /**
