--- a/src/main/java/mallowstall/AdapterEffects.java
+++ b/src/main/java/mallowstall/AdapterEffects.java
@@ -2,26 +2,26 @@
 
 import java.util.List;
 import java.util.function.Consumer;
-import mallowstall.cloud.CloudAdapter;
+import mallowstall.cloud.CloudClient;
 import mallowstall.core.Effects;
 import mallowstall.core.Model.Command;
 import mallowstall.core.Model.Entry;
 import mallowstall.core.Model.MachineType;
 import mallowstall.core.Model.PeerMessage;
 import mallowstall.core.Model.RentRequest;
-import mallowstall.peers.PeersAdapter;
-import mallowstall.state.StateAdapter;
-import mallowstall.workers.WorkersAdapter;
+import mallowstall.peers.PeerConnections;
+import mallowstall.state.StateServiceClient;
+import mallowstall.workers.WorkerHttpAdapter;
 
 /** The core's effects, each through its adapter. Used on the event loop only. */
 final class AdapterEffects implements Effects {
-  private final StateAdapter state;
-  private final CloudAdapter cloud;
+  private final StateServiceClient state;
+  private final CloudClient cloud;
   private final ControllerMetrics metrics;
-  private PeersAdapter peers;
-  private WorkersAdapter workers;
+  private PeerConnections peers;
+  private WorkerHttpAdapter workers;
 
-  AdapterEffects(StateAdapter state, CloudAdapter cloud, ControllerMetrics metrics) {
+  AdapterEffects(StateServiceClient state, CloudClient cloud, ControllerMetrics metrics) {
     this.state = state;
     this.cloud = cloud;
     this.metrics = metrics;
@@ -31,7 +31,7 @@
    * Adds the adapters that call the core themselves and so are made after it. The core mustn't run
    * an event before.
    */
-  void connect(PeersAdapter peers, WorkersAdapter workers) {
+  void connect(PeerConnections peers, WorkerHttpAdapter workers) {
     this.peers = peers;
     this.workers = workers;
   }
--- a/src/main/java/mallowstall/Controller.java
+++ b/src/main/java/mallowstall/Controller.java
@@ -6,17 +6,18 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import mallowstall.cloud.CloudAdapter;
+import mallowstall.cloud.CloudClient;
 import mallowstall.config.Settings;
 import mallowstall.core.Core;
 import mallowstall.core.Policy;
-import mallowstall.net.Duty;
 import mallowstall.net.HttpClient;
 import mallowstall.net.HttpServer;
-import mallowstall.peers.PeersAdapter;
-import mallowstall.state.StateAdapter;
-import mallowstall.users.UsersAdapter;
-import mallowstall.workers.WorkersAdapter;
+import mallowstall.net.PeriodicTask;
+import mallowstall.net.SocketAddresses;
+import mallowstall.peers.PeerConnections;
+import mallowstall.state.StateServiceClient;
+import mallowstall.users.UserApiHandler;
+import mallowstall.workers.WorkerHttpAdapter;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -32,29 +33,29 @@
   private final Settings settings;
   private final Core core;
   private final CoreEvents events;
-  private final PeersAdapter peers;
+  private final PeerConnections peers;
   private final HttpServer server;
   private final CompletableFuture<InetSocketAddress> address = new CompletableFuture<>();
   private long startedNanos;
   private boolean listening;
-  private Duty tick;
+  private PeriodicTask tick;
 
   /** Wires the core to its adapters; nothing runs before {@link #start}. */
   public Controller(Settings settings, Policy.Book policies) {
     this.settings = settings;
     // adapters report events to the core, which is made after those that it calls
     Consumer<Runnable> runEvent = this::runEvent;
-    InetSocketAddress stateAddress = Settings.address(settings.endpoints().state());
+    InetSocketAddress stateAddress = SocketAddresses.parse(settings.endpoints().state());
     HttpClient stateClient = new HttpClient(loop, stateAddress, Constants.STATE_CONNECTIONS);
     HttpClient watchClient = new HttpClient(loop, stateAddress, Constants.WATCH_CONNECTIONS);
     HttpClient cloudClient =
         new HttpClient(
-            loop, Settings.address(settings.endpoints().cloud()), Constants.CLOUD_CONNECTIONS);
+            loop, SocketAddresses.parse(settings.endpoints().cloud()), Constants.CLOUD_CONNECTIONS);
     ControllerMetrics metrics = new ControllerMetrics();
     AdapterEffects effects =
         new AdapterEffects(
-            new StateAdapter(stateClient, watchClient, runEvent),
-            new CloudAdapter(cloudClient, runEvent),
+            new StateServiceClient(stateClient, watchClient, runEvent),
+            new CloudClient(cloudClient, runEvent),
             metrics);
     this.core =
         new Core(
@@ -65,11 +66,11 @@
             randomSeed(settings.node()));
     this.events = new CoreEvents(core, loop);
     int sockets = maxConnections(settings.facts().limits());
-    this.peers = new PeersAdapter(loop, core, runEvent, Constants.PEER_CONNECTIONS);
-    WorkersAdapter workers =
-        new WorkersAdapter(core, loop, runEvent, (int) (sockets * Constants.ORDER_SOCKET_SHARE));
+    this.peers = new PeerConnections(loop, core, runEvent, Constants.PEER_CONNECTIONS);
+    WorkerHttpAdapter workers =
+        new WorkerHttpAdapter(core, loop, runEvent, (int) (sockets * Constants.ORDER_SOCKET_SHARE));
     effects.connect(peers, workers);
-    RequestRouter router = new RequestRouter(core, new UsersAdapter(core), workers, metrics);
+    RequestRouter router = new RequestRouter(core, new UserApiHandler(core), workers, metrics);
     this.server =
         new HttpServer(
             (request, responder) -> events.run(() -> router.route(request, responder)),
@@ -101,15 +102,15 @@
    */
   public void start() throws InterruptedException {
     startedNanos = System.nanoTime();
-    peers.listen(group, Settings.address(settings.peerListen()));
+    peers.listen(group, SocketAddresses.parse(settings.peerListen()));
     loop.execute(
         () -> {
           if (settings.peers() != null) {
             for (Settings.Peer peer : settings.peers()) {
-              peers.connect(peer.node(), Settings.address(peer.addr()));
+              peers.connect(peer.node(), SocketAddresses.parse(peer.addr()));
             }
           }
-          tick = new Duty("tick", loop, Constants.TICK_MS, this::tick);
+          tick = new PeriodicTask("tick", loop, Constants.TICK_MS, this::tick);
         });
     LOG.info("{} starts", settings.node());
   }
@@ -128,7 +129,7 @@
   private void listen() {
     listening = true;
     server
-        .listen(group, Settings.address(settings.listen()))
+        .listen(group, SocketAddresses.parse(settings.listen()))
         .whenComplete(
             (bound, failure) -> {
               if (failure == null) {
--- a/src/main/java/mallowstall/RequestRouter.java
+++ b/src/main/java/mallowstall/RequestRouter.java
@@ -5,8 +5,8 @@
 import mallowstall.core.Core;
 import mallowstall.net.HttpServer.Request;
 import mallowstall.net.HttpServer.Responder;
-import mallowstall.users.UsersAdapter;
-import mallowstall.workers.WorkersAdapter;
+import mallowstall.users.UserApiHandler;
+import mallowstall.workers.WorkerHttpAdapter;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -19,11 +19,12 @@
   private static final String POST = "POST";
 
   private final Core core;
-  private final UsersAdapter users;
-  private final WorkersAdapter workers;
+  private final UserApiHandler users;
+  private final WorkerHttpAdapter workers;
   private final ControllerMetrics metrics;
 
-  RequestRouter(Core core, UsersAdapter users, WorkersAdapter workers, ControllerMetrics metrics) {
+  RequestRouter(
+      Core core, UserApiHandler users, WorkerHttpAdapter workers, ControllerMetrics metrics) {
     this.core = core;
     this.users = users;
     this.workers = workers;
--- a/src/main/java/mallowstall/config/SettingsReader.java
+++ b/src/main/java/mallowstall/config/SettingsReader.java
@@ -8,8 +8,9 @@
 final class SettingsReader {
   private SettingsReader() {}
 
+  /** Reads a settings file, unchecked; null: it is null. */
   static Settings settings(JsonReader in) throws IOException {
-    if (!in.object()) {
+    if (!in.enterObjectIfPresent()) {
       return null;
     }
     String node = null;
@@ -21,10 +22,10 @@
     Settings.Facts facts = null;
     while (in.nextField()) {
       switch (in.field()) {
-        case "node" -> node = in.text();
-        case "location" -> zone = in.text();
-        case "listen" -> listen = in.text();
-        case "peer_bind" -> peerListen = in.text();
+        case "node" -> node = in.string();
+        case "location" -> zone = in.string();
+        case "listen" -> listen = in.string();
+        case "peer_bind" -> peerListen = in.string();
         case "known" -> peers = in.list(SettingsReader::peer);
         case "endpoints" -> endpoints = endpoints(in);
         case "facts" -> facts = facts(in);
@@ -34,8 +35,8 @@
     return new Settings(node, zone, listen, peerListen, peers, endpoints, facts);
   }
 
-  static Settings.Peer peer(JsonReader in) throws IOException {
-    if (!in.object()) {
+  private static Settings.Peer peer(JsonReader in) throws IOException {
+    if (!in.enterObjectIfPresent()) {
       return null;
     }
     String node = null;
@@ -43,33 +44,33 @@
     String addr = null;
     while (in.nextField()) {
       switch (in.field()) {
-        case "node" -> node = in.text();
-        case "location" -> zone = in.text();
-        case "addr" -> addr = in.text();
+        case "node" -> node = in.string();
+        case "location" -> zone = in.string();
+        case "addr" -> addr = in.string();
         default -> in.skip();
       }
     }
     return new Settings.Peer(node, zone, addr);
   }
 
-  static Settings.Endpoints endpoints(JsonReader in) throws IOException {
-    if (!in.object()) {
+  private static Settings.Endpoints endpoints(JsonReader in) throws IOException {
+    if (!in.enterObjectIfPresent()) {
       return null;
     }
     String cloud = null;
     String state = null;
     while (in.nextField()) {
       switch (in.field()) {
-        case "cloud" -> cloud = in.text();
-        case "state" -> state = in.text();
+        case "cloud" -> cloud = in.string();
+        case "state" -> state = in.string();
         default -> in.skip();
       }
     }
     return new Settings.Endpoints(cloud, state);
   }
 
-  static Settings.Facts facts(JsonReader in) throws IOException {
-    if (!in.object()) {
+  private static Settings.Facts facts(JsonReader in) throws IOException {
+    if (!in.enterObjectIfPresent()) {
       return null;
     }
     List<Settings.Team> teams = null;
@@ -87,15 +88,15 @@
         case "state" -> state = state(in);
         case "cloud" -> cloud = cloud(in);
         case "machine_limits" -> limits = limits(in);
-        case "skew_ms" -> skewMs = in.numberOrNull();
+        case "skew_ms" -> skewMs = in.doubleOrNull();
         default -> in.skip();
       }
     }
     return new Settings.Facts(teams, objectives, workers, state, cloud, limits, skewMs);
   }
 
-  static Settings.Team team(JsonReader in) throws IOException {
-    if (!in.object()) {
+  private static Settings.Team team(JsonReader in) throws IOException {
+    if (!in.enterObjectIfPresent()) {
       return null;
     }
     String name = null;
@@ -105,19 +106,19 @@
     double gpusMax = 0;
     while (in.nextField()) {
       switch (in.field()) {
-        case "name" -> name = in.text();
-        case "cpus" -> cpus = in.number();
-        case "cpus_max" -> cpusMax = in.number();
-        case "gpus" -> gpus = in.number();
-        case "gpus_max" -> gpusMax = in.number();
+        case "name" -> name = in.string();
+        case "cpus" -> cpus = in.doubleOrZero();
+        case "cpus_max" -> cpusMax = in.doubleOrZero();
+        case "gpus" -> gpus = in.doubleOrZero();
+        case "gpus_max" -> gpusMax = in.doubleOrZero();
         default -> in.skip();
       }
     }
     return new Settings.Team(name, cpus, cpusMax, gpus, gpusMax);
   }
 
-  static Settings.Objective objective(JsonReader in) throws IOException {
-    if (!in.object()) {
+  private static Settings.Objective objective(JsonReader in) throws IOException {
+    if (!in.enterObjectIfPresent()) {
       return null;
     }
     String kind = null;
@@ -125,17 +126,17 @@
     Double times = null;
     while (in.nextField()) {
       switch (in.field()) {
-        case "kind" -> kind = in.text();
-        case "class" -> jobClass = in.text();
-        case "times" -> times = in.numberOrNull();
+        case "kind" -> kind = in.string();
+        case "class" -> jobClass = in.string();
+        case "times" -> times = in.doubleOrNull();
         default -> in.skip();
       }
     }
     return new Settings.Objective(kind, jobClass, times);
   }
 
-  static Settings.Workers workers(JsonReader in) throws IOException {
-    if (!in.object()) {
+  private static Settings.Workers workers(JsonReader in) throws IOException {
+    if (!in.enterObjectIfPresent()) {
       return null;
     }
     Double reportS = null;
@@ -143,83 +144,87 @@
     Double cancelS = null;
     while (in.nextField()) {
       switch (in.field()) {
-        case "report_s" -> reportS = in.numberOrNull();
-        case "lease_s" -> leaseS = in.numberOrNull();
-        case "cancel_s" -> cancelS = in.numberOrNull();
+        case "report_s" -> reportS = in.doubleOrNull();
+        case "lease_s" -> leaseS = in.doubleOrNull();
+        case "cancel_s" -> cancelS = in.doubleOrNull();
         default -> in.skip();
       }
     }
     return new Settings.Workers(reportS, leaseS, cancelS);
   }
 
-  static Settings.State state(JsonReader in) throws IOException {
-    if (!in.object()) {
+  private static Settings.State state(JsonReader in) throws IOException {
+    if (!in.enterObjectIfPresent()) {
       return null;
     }
-    Double rps = null;
-    Double writeRps = null;
-    Double valueKb = null;
-    Integer txnOps = null;
+    StateLimits limits = new StateLimits();
     Settings.NextState next = null;
     while (in.nextField()) {
-      switch (in.field()) {
-        case "rps" -> rps = in.numberOrNull();
-        case "write_rps" -> writeRps = in.numberOrNull();
-        case "value_kb" -> valueKb = in.numberOrNull();
-        case "txn_ops" -> txnOps = in.smallWholeOrNull();
-        case "next" -> next = nextState(in);
-        default -> in.skip();
+      if (in.field().equals("next")) {
+        next = nextState(in);
+      } else {
+        limits.read(in);
       }
     }
-    return new Settings.State(rps, writeRps, valueKb, txnOps, next);
+    return new Settings.State(limits.rps, limits.writeRps, limits.valueKb, limits.txnOps, next);
   }
 
-  static Settings.NextState nextState(JsonReader in) throws IOException {
-    if (!in.object()) {
+  private static Settings.NextState nextState(JsonReader in) throws IOException {
+    if (!in.enterObjectIfPresent()) {
       return null;
     }
-    Double rps = null;
-    Double writeRps = null;
-    Double valueKb = null;
-    Integer txnOps = null;
+    StateLimits limits = new StateLimits();
     while (in.nextField()) {
+      limits.read(in);
+    }
+    return new Settings.NextState(limits.rps, limits.writeRps, limits.valueKb, limits.txnOps);
+  }
+
+  /** The limits of the state service that hold now or later; null where the file has none. */
+  private static final class StateLimits {
+    private Double rps;
+    private Double writeRps;
+    private Double valueKb;
+    private Integer txnOps;
+
+    /** Reads the field at which the reader stands, or skips it. */
+    void read(JsonReader in) throws IOException {
       switch (in.field()) {
-        case "rps" -> rps = in.numberOrNull();
-        case "write_rps" -> writeRps = in.numberOrNull();
-        case "value_kb" -> valueKb = in.numberOrNull();
-        case "txn_ops" -> txnOps = in.smallWholeOrNull();
+        case "rps" -> rps = in.doubleOrNull();
+        case "write_rps" -> writeRps = in.doubleOrNull();
+        case "value_kb" -> valueKb = in.doubleOrNull();
+        case "txn_ops" -> txnOps = in.intOrNull();
         default -> in.skip();
       }
     }
-    return new Settings.NextState(rps, writeRps, valueKb, txnOps);
   }
 
-  static Settings.Cloud cloud(JsonReader in) throws IOException {
-    if (!in.object()) {
+  private static Settings.Cloud cloud(JsonReader in) throws IOException {
+    if (!in.enterObjectIfPresent()) {
       return null;
     }
     Double rps = null;
     Double listLagS = null;
     while (in.nextField()) {
       switch (in.field()) {
-        case "rps" -> rps = in.numberOrNull();
-        case "list_lag_s" -> listLagS = in.numberOrNull();
+        case "rps" -> rps = in.doubleOrNull();
+        case "list_lag_s" -> listLagS = in.doubleOrNull();
         default -> in.skip();
       }
     }
     return new Settings.Cloud(rps, listLagS);
   }
 
-  static Settings.Limits limits(JsonReader in) throws IOException {
-    if (!in.object()) {
+  private static Settings.Limits limits(JsonReader in) throws IOException {
+    if (!in.enterObjectIfPresent()) {
       return null;
     }
     Integer maxConnections = null;
     Double memoryMb = null;
     while (in.nextField()) {
       switch (in.field()) {
-        case "fd_limit" -> maxConnections = in.smallWholeOrNull();
-        case "ram_mb" -> memoryMb = in.numberOrNull();
+        case "fd_limit" -> maxConnections = in.intOrNull();
+        case "ram_mb" -> memoryMb = in.doubleOrNull();
         default -> in.skip();
       }
     }
--- a/src/main/java/mallowstall/state/StoredEntries.java
+++ b/src/main/java/mallowstall/state/StoredEntries.java
@@ -38,7 +38,7 @@
       in.skip();
       return null;
     }
-    return in.object() ? fields.read(in) : null;
+    return in.enterObjectIfPresent() ? fields.read(in) : null;
   }
 
   /** What reads the fields of the entries under such a key; null: nothing does. */
@@ -74,62 +74,62 @@
       writeProcess(out, session.node(), session.incarnation());
     } else if (entry instanceof VersionRec version) {
       writeProcess(out, version.node(), version.incarnation());
-      out.writeNumberField("version", version.version());
+      out.writeNumberField(StoredFields.VERSION, version.version());
     } else if (entry instanceof TeamRec team) {
-      out.writeNumberField("cpus", team.cpus());
-      out.writeNumberField("gpus", team.gpus());
+      out.writeNumberField(StoredFields.CPUS, team.cpus());
+      out.writeNumberField(StoredFields.GPUS, team.gpus());
     } else if (entry instanceof DigestRec digest) {
       write(out, digest);
     } else if (entry instanceof BitsRec bits) {
-      out.writeBinaryField("done", bits.done());
+      out.writeBinaryField(StoredFields.COMPLETED_BITS, bits.done());
     } else if (entry instanceof DutyRec duty) {
       writeProcess(out, duty.node(), duty.incarnation());
     } else if (entry instanceof CounterRec counter) {
-      out.writeNumberField("value", counter.value());
+      out.writeNumberField(StoredFields.COUNTER, counter.value());
     }
     out.writeEndObject();
   }
 
   private static void writeProcess(JsonGenerator out, String node, long incarnation)
       throws IOException {
-    out.writeStringField("node", node);
-    out.writeNumberField("incarnation", incarnation);
+    out.writeStringField(StoredFields.NODE, node);
+    out.writeNumberField(StoredFields.INCARNATION, incarnation);
   }
 
   private static void write(JsonGenerator out, MachineRec machine) throws IOException {
     writeProcess(out, machine.node(), machine.incarnation());
-    out.writeNumberField("token", machine.token());
-    out.writeStringField("type", machine.type());
-    out.writeStringField("zone", machine.zone());
-    out.writeBooleanField("spot", machine.spot());
+    out.writeNumberField(StoredFields.TOKEN, machine.token());
+    out.writeStringField(StoredFields.TYPE, machine.type());
+    out.writeStringField(StoredFields.ZONE, machine.zone());
+    out.writeBooleanField(StoredFields.SPOT, machine.spot());
   }
 
   private static void write(JsonGenerator out, GroupRec group) throws IOException {
     writeProcess(out, group.node(), group.incarnation());
-    JsonWriter.list(out, "machines", group.machines(), StoredEntries::writeMember);
+    JsonWriter.list(out, StoredFields.MACHINES, group.machines(), StoredEntries::writeMember);
   }
 
   private static void writeMember(JsonGenerator out, GroupMachine member) throws IOException {
     out.writeStartObject();
-    out.writeStringField("id", member.id());
-    out.writeStringField("type", member.type());
-    out.writeStringField("zone", member.zone());
-    out.writeBooleanField("spot", member.spot());
+    out.writeStringField(StoredFields.ID, member.id());
+    out.writeStringField(StoredFields.TYPE, member.type());
+    out.writeStringField(StoredFields.ZONE, member.zone());
+    out.writeBooleanField(StoredFields.SPOT, member.spot());
     out.writeEndObject();
   }
 
   private static void write(JsonGenerator out, DigestRec digest) throws IOException {
-    out.writeNumberField("incarnation", digest.incarnation());
-    JsonWriter.list(out, "rooms", digest.rooms(), StoredEntries::writeRoom);
-    out.writeNumberField("pendingCpus", digest.pendingCpus());
+    out.writeNumberField(StoredFields.INCARNATION, digest.incarnation());
+    JsonWriter.list(out, StoredFields.FREE_CAPACITY, digest.rooms(), StoredEntries::writeRoom);
+    out.writeNumberField(StoredFields.PENDING_CPUS, digest.pendingCpus());
   }
 
   private static void writeRoom(JsonGenerator out, Room room) throws IOException {
     out.writeStartObject();
-    out.writeStringField("machine", room.machine());
-    out.writeNumberField("cpus", room.cpus());
-    out.writeNumberField("gpus", room.gpus());
-    out.writeNumberField("memoryGb", room.memoryGb());
+    out.writeStringField(StoredFields.MACHINE, room.machine());
+    out.writeNumberField(StoredFields.CPUS, room.cpus());
+    out.writeNumberField(StoredFields.GPUS, room.gpus());
+    out.writeNumberField(StoredFields.MEMORY_GB, room.memoryGb());
     out.writeEndObject();
   }
 
@@ -138,8 +138,8 @@
     long incarnation = 0;
     while (in.nextField()) {
       switch (in.field()) {
-        case "node" -> node = in.text();
-        case "incarnation" -> incarnation = in.whole();
+        case StoredFields.NODE -> node = in.string();
+        case StoredFields.INCARNATION -> incarnation = in.longOrZero();
         default -> in.skip();
       }
     }
@@ -157,9 +157,9 @@
     int version = 0;
     while (in.nextField()) {
       switch (in.field()) {
-        case "node" -> node = in.text();
-        case "incarnation" -> incarnation = in.whole();
-        case "version" -> version = in.smallWhole();
+        case StoredFields.NODE -> node = in.string();
+        case StoredFields.INCARNATION -> incarnation = in.longOrZero();
+        case StoredFields.VERSION -> version = in.intOrZero();
         default -> in.skip();
       }
     }
@@ -175,12 +175,12 @@
     boolean spot = false;
     while (in.nextField()) {
       switch (in.field()) {
-        case "node" -> node = in.text();
-        case "incarnation" -> incarnation = in.whole();
-        case "token" -> token = in.whole();
-        case "type" -> type = in.text();
-        case "zone" -> zone = in.text();
-        case "spot" -> spot = in.flag();
+        case StoredFields.NODE -> node = in.string();
+        case StoredFields.INCARNATION -> incarnation = in.longOrZero();
+        case StoredFields.TOKEN -> token = in.longOrZero();
+        case StoredFields.TYPE -> type = in.string();
+        case StoredFields.ZONE -> zone = in.string();
+        case StoredFields.SPOT -> spot = in.booleanOrFalse();
         default -> in.skip();
       }
     }
@@ -193,9 +193,9 @@
     List<GroupMachine> machines = null;
     while (in.nextField()) {
       switch (in.field()) {
-        case "node" -> node = in.text();
-        case "incarnation" -> incarnation = in.whole();
-        case "machines" -> machines = in.list(StoredEntries::member);
+        case StoredFields.NODE -> node = in.string();
+        case StoredFields.INCARNATION -> incarnation = in.longOrZero();
+        case StoredFields.MACHINES -> machines = in.list(StoredEntries::member);
         default -> in.skip();
       }
     }
@@ -203,7 +203,7 @@
   }
 
   private static GroupMachine member(JsonReader in) throws IOException {
-    if (!in.object()) {
+    if (!in.enterObjectIfPresent()) {
       return null;
     }
     String id = null;
@@ -212,10 +212,10 @@
     boolean spot = false;
     while (in.nextField()) {
       switch (in.field()) {
-        case "id" -> id = in.text();
-        case "type" -> type = in.text();
-        case "zone" -> zone = in.text();
-        case "spot" -> spot = in.flag();
+        case StoredFields.ID -> id = in.string();
+        case StoredFields.TYPE -> type = in.string();
+        case StoredFields.ZONE -> zone = in.string();
+        case StoredFields.SPOT -> spot = in.booleanOrFalse();
         default -> in.skip();
       }
     }
@@ -227,8 +227,8 @@
     double gpus = 0;
     while (in.nextField()) {
       switch (in.field()) {
-        case "cpus" -> cpus = in.number();
-        case "gpus" -> gpus = in.number();
+        case StoredFields.CPUS -> cpus = in.doubleOrZero();
+        case StoredFields.GPUS -> gpus = in.doubleOrZero();
         default -> in.skip();
       }
     }
@@ -241,9 +241,9 @@
     double pendingCpus = 0;
     while (in.nextField()) {
       switch (in.field()) {
-        case "incarnation" -> incarnation = in.whole();
-        case "rooms" -> rooms = in.list(StoredEntries::room);
-        case "pendingCpus" -> pendingCpus = in.number();
+        case StoredFields.INCARNATION -> incarnation = in.longOrZero();
+        case StoredFields.FREE_CAPACITY -> rooms = in.list(StoredEntries::room);
+        case StoredFields.PENDING_CPUS -> pendingCpus = in.doubleOrZero();
         default -> in.skip();
       }
     }
@@ -251,7 +251,7 @@
   }
 
   private static Room room(JsonReader in) throws IOException {
-    if (!in.object()) {
+    if (!in.enterObjectIfPresent()) {
       return null;
     }
     String machine = null;
@@ -260,10 +260,10 @@
     double memoryGb = 0;
     while (in.nextField()) {
       switch (in.field()) {
-        case "machine" -> machine = in.text();
-        case "cpus" -> cpus = in.number();
-        case "gpus" -> gpus = in.number();
-        case "memoryGb" -> memoryGb = in.number();
+        case StoredFields.MACHINE -> machine = in.string();
+        case StoredFields.CPUS -> cpus = in.doubleOrZero();
+        case StoredFields.GPUS -> gpus = in.doubleOrZero();
+        case StoredFields.MEMORY_GB -> memoryGb = in.doubleOrZero();
         default -> in.skip();
       }
     }
@@ -274,7 +274,7 @@
     byte[] done = null;
     while (in.nextField()) {
       switch (in.field()) {
-        case "done" -> done = in.bytes();
+        case StoredFields.COMPLETED_BITS -> done = in.bytes();
         default -> in.skip();
       }
     }
@@ -285,7 +285,7 @@
     long value = 0;
     while (in.nextField()) {
       switch (in.field()) {
-        case "value" -> value = in.whole();
+        case StoredFields.COUNTER -> value = in.longOrZero();
         default -> in.skip();
       }
     }
--- /dev/null
+++ b/src/main/java/mallowstall/workers/WorkerHttpAdapter.java
@@ -0,0 +1,121 @@
+package mallowstall.workers;
+
+import io.netty.channel.EventLoop;
+import io.netty.handler.codec.http.HttpMethod;
+import it.unimi.dsi.fastutil.objects.Object2ObjectLinkedOpenHashMap;
+import java.io.IOException;
+import java.util.List;
+import java.util.function.Consumer;
+import mallowstall.Constants;
+import mallowstall.core.Core;
+import mallowstall.core.Effects.Code;
+import mallowstall.core.Effects.OrderReply;
+import mallowstall.core.Model.Command;
+import mallowstall.core.Model.ReportAnswer;
+import mallowstall.json.JsonWriter;
+import mallowstall.net.HttpClient;
+import mallowstall.net.HttpServer.Request;
+import mallowstall.net.HttpServer.Responder;
+import mallowstall.net.HttpStatus;
+import mallowstall.net.SocketAddresses;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Heartbeats of workers with the commands that answer them, and commands sent to workers' own
+ * addresses (protocol, Workers). Runs on the event loop.
+ */
+public final class WorkerHttpAdapter {
+  private static final byte[] EMPTY = {'{', '}'};
+  private static final Logger LOG = LoggerFactory.getLogger("mallowstall.workers");
+
+  /** Connections kept to workers' own addresses; beyond it they are opened anew. */
+  private final int maxClients;
+
+  private final Core core;
+  private final EventLoop loop;
+  private final Consumer<Runnable> events;
+  private final Object2ObjectLinkedOpenHashMap<String, HttpClient> clients =
+      new Object2ObjectLinkedOpenHashMap<>();
+
+  /** Turns reports into events of the core, and its commands into requests. */
+  public WorkerHttpAdapter(Core core, EventLoop loop, Consumer<Runnable> events, int maxClients) {
+    this.maxClients = maxClients;
+    this.core = core;
+    this.loop = loop;
+    this.events = events;
+  }
+
+  /** POST /hello. */
+  public void report(Request request, Responder responder) throws IOException {
+    core.report(
+        HeartbeatCodec.read(request.body()), reportAnswer -> answer(reportAnswer, responder));
+  }
+
+  /** Commands to the worker's own address. */
+  public void order(
+      String addr, long token, long session, List<Command> commands, Consumer<OrderReply> then) {
+    HttpClient client = clients.getAndMoveToLast(addr);
+    if (client == null) {
+      try {
+        client = new HttpClient(loop, SocketAddresses.parse(addr), 1);
+      } catch (IllegalArgumentException e) {
+        then.accept(new OrderReply(Code.REFUSED, null));
+        return;
+      }
+      // only the least recently used one is retired: the others may have calls under way
+      if (clients.size() >= maxClients) {
+        clients.removeFirst().retire();
+      }
+      clients.put(addr, client);
+    }
+    byte[] body =
+        JsonWriter.object(out -> HeartbeatCodec.writeCommands(out, token, session, commands));
+    client.call(
+        HttpMethod.POST,
+        WorkerProtocol.COMMANDS_PATH,
+        body,
+        Constants.ORDER_TIMEOUT_MS,
+        reply -> events.accept(() -> then.accept(orderReply(reply))));
+  }
+
+  private OrderReply orderReply(HttpClient.Reply reply) {
+    Code code =
+        switch (reply.status()) {
+          case HttpStatus.OK -> Code.OK;
+          case HttpStatus.CONFLICT, HttpStatus.BAD_REQUEST -> Code.CONFLICT;
+          case HttpClient.Reply.NOT_SENT -> Code.REFUSED;
+          default -> Code.UNKNOWN;
+        };
+    if (reply.status() != HttpStatus.OK && reply.status() != HttpStatus.CONFLICT) {
+      return new OrderReply(code, null);
+    }
+    try {
+      return new OrderReply(code, HeartbeatCodec.read(reply.body()));
+    } catch (IOException failure) {
+      LOG.error("unreadable heartbeat in a worker's response reason={}", failure.getMessage());
+      return new OrderReply(code, null);
+    }
+  }
+
+  private static void answer(ReportAnswer answer, Responder responder) {
+    switch (answer.status()) {
+      case HttpStatus.OK ->
+          responder.answer(
+              HttpStatus.OK,
+              JsonWriter.object(
+                  out -> HeartbeatCodec.writeResponse(out, answer.token(), answer.commands())),
+              0);
+      case HttpStatus.MISDIRECTED_REQUEST ->
+          responder.answer(HttpStatus.MISDIRECTED_REQUEST, elsewhere(answer.reportTo()), 0);
+      default -> responder.answer(answer.status(), EMPTY, 1);
+    }
+  }
+
+  /** Names the controller that the worker should report to, if one is known. */
+  private static byte[] elsewhere(String node) {
+    return node == null
+        ? EMPTY
+        : JsonWriter.object(out -> out.writeStringField(WorkerProtocol.REPORT_TO, node));
+  }
+}
--- a/src/test/java/mallowstall/cloud/GoldenCloudTest.java
+++ b/src/test/java/mallowstall/cloud/GoldenCloudTest.java
@@ -21,7 +21,7 @@
   @Test
   void requestsAreSentAsEverAndAnswersUnderstood() throws Exception {
     try (LoopbackServer server = new LoopbackServer()) {
-      CloudAdapter cloud = new CloudAdapter(server.client(), Runnable::run);
+      CloudClient cloud = new CloudClient(server.client(), Runnable::run);
 
       List<MachineType> types = server.answer(200, Fixtures.text("cloud-types.json"), cloud::types);
       List<MachineType> noTypes = server.answer(503, "{}", cloud::types);
@@ -57,7 +57,7 @@
   @Test
   void rentalsAndReturnsAreSentAsEver() throws Exception {
     try (LoopbackServer server = new LoopbackServer()) {
-      CloudAdapter cloud = new CloudAdapter(server.client(), Runnable::run);
+      CloudClient cloud = new CloudClient(server.client(), Runnable::run);
 
       RentReply rented =
           server.answer(200, "{\"sierras\":[\"m-1\",\"m-2\"]}", then -> cloud.rent(RENTAL, then));
--- a/src/test/java/mallowstall/state/GoldenStateServiceTest.java
+++ b/src/test/java/mallowstall/state/GoldenStateServiceTest.java
@@ -31,14 +31,14 @@
           List.of("c/d/n9", "c/t/old"));
   private static final Txn NOTHING = new Txn(List.of(), List.of(), List.of());
 
-  private static StateAdapter adapter(LoopbackServer server) {
-    return new StateAdapter(server.client(), server.client(), Runnable::run);
+  private static StateServiceClient adapter(LoopbackServer server) {
+    return new StateServiceClient(server.client(), server.client(), Runnable::run);
   }
 
   @Test
   void changesAreSentAsEverAndTheirAnswersUnderstood() throws Exception {
     try (LoopbackServer server = new LoopbackServer()) {
-      StateAdapter state = adapter(server);
+      StateServiceClient state = adapter(server);
       Object[][] cases = {
         {200, "{\"tirada\":512}", new TxnReply(Code.OK, 512)},
         {200, "no JSON", new TxnReply(Code.UNKNOWN, 0)},
@@ -63,7 +63,7 @@
   @Test
   void readsAreSentAsEverAndTheirAnswersUnderstood() throws Exception {
     try (LoopbackServer server = new LoopbackServer()) {
-      StateAdapter state = adapter(server);
+      StateServiceClient state = adapter(server);
       String item = "{\"key\":\"c/n/n1\",\"data\":{\"node\":\"n1\",\"incarnation\":9},\"sello\":4}";
 
       GetReply found = server.answer(200, item, then -> state.get("c/n/n1", then));
@@ -91,7 +91,8 @@
   @Test
   void watchesAndLeasesAreSentAsEverAndTheirAnswersUnderstood() throws Exception {
     try (LoopbackServer server = new LoopbackServer()) {
-      StateAdapter state = new StateAdapter(server.client(), server.client(), Runnable::run);
+      StateServiceClient state =
+          new StateServiceClient(server.client(), server.client(), Runnable::run);
       WatchReply news =
           server.answer(
               200, Fixtures.text("state-events.json"), then -> state.watch(600, 5_000, then));
@@ -106,7 +107,7 @@
       assertEquals(new WatchReply(Code.REFUSED, List.of(), 0), failed);
     }
     try (LoopbackServer server = new LoopbackServer()) {
-      StateAdapter state = adapter(server);
+      StateServiceClient state = adapter(server);
       LeaseReply granted =
           server.answer(200, "{\"permiso\":77}", then -> state.grantLease(10_000, then));
       LeaseReply refused = server.answer(503, "{}", then -> state.grantLease(10_000, then));
--- a/src/test/java/mallowstall/users/GoldenAnswersTest.java
+++ b/src/test/java/mallowstall/users/GoldenAnswersTest.java
@@ -34,8 +34,8 @@
             .append('\n');
   }
 
-  private UsersAdapter users() {
-    return new UsersAdapter(controller.core());
+  private UserApiHandler users() {
+    return new UserApiHandler(controller.core());
   }
 
   private void submit(String what, String job) {
--- a/src/test/java/mallowstall/workers/GoldenOrdersTest.java
+++ b/src/test/java/mallowstall/workers/GoldenOrdersTest.java
@@ -55,7 +55,8 @@
   @Test
   void ordersAreSentAsEverAndTheirAnswersUnderstood() throws Exception {
     try (LoopbackServer server = new LoopbackServer()) {
-      WorkersAdapter workers = new WorkersAdapter(null, server.group().next(), Runnable::run, 10);
+      WorkerHttpAdapter workers =
+          new WorkerHttpAdapter(null, server.group().next(), Runnable::run, 10);
       String to = server.address();
       String report = Fixtures.text("worker-report.json");
 
--- a/src/test/java/mallowstall/workers/GoldenReportAnswersTest.java
+++ b/src/test/java/mallowstall/workers/GoldenReportAnswersTest.java
@@ -10,7 +10,7 @@
 import mallowstall.net.HttpServer.Request;
 import mallowstall.net.HttpServer.Responder;
 import mallowstall.users.Examples;
-import mallowstall.users.UsersAdapter;
+import mallowstall.users.UserApiHandler;
 import org.junit.jupiter.api.Test;
 
 /** What workers' reports are answered: status, seconds to wait, and the exact body. */
@@ -30,7 +30,7 @@
   }
 
   private void report(OneController controller, String what, String fields) throws IOException {
-    WorkersAdapter workers = new WorkersAdapter(controller.core(), null, Runnable::run, 1);
+    WorkerHttpAdapter workers = new WorkerHttpAdapter(controller.core(), null, Runnable::run, 1);
     String json = "{\"calibre\":\"g8\",\"patio\":\"a\",\"turno\":1," + fields + "}";
     byte[] body = json.getBytes(StandardCharsets.UTF_8);
     workers.report(new Request("POST", "/hello", body), note(what));
@@ -48,7 +48,7 @@
     String me = "\"sierra\":\"m-000001\",\"addr\":\"10.0.0.1:90\",\"folio\":";
     String job =
         Examples.JOB.replace("\"piezas\":16", "\"piezas\":1").replace("\"gpus\":1.0", "\"gpus\":0");
-    UsersAdapter users = new UsersAdapter(controller.core());
+    UserApiHandler users = new UserApiHandler(controller.core());
     report(controller, "not ready", me + 1);
     controller.pass(2_000);
 
