--- a/src/main/java/mallowstall/RequestRouter.java
+++ b/src/main/java/mallowstall/RequestRouter.java
@@ -5,6 +5,7 @@
 import mallowstall.core.Core;
 import mallowstall.net.HttpServer.Request;
 import mallowstall.net.HttpServer.Responder;
+import mallowstall.net.HttpStatus;
 import mallowstall.users.UserApiHandler;
 import mallowstall.workers.WorkerHttpAdapter;
 import org.slf4j.Logger;
@@ -50,7 +51,7 @@
       }
     } catch (RuntimeException failure) {
       LOG.error("request failed method={} path={}", request.method(), path, failure);
-      respondError(responder, 500, "internal error");
+      respondError(responder, HttpStatus.INTERNAL_ERROR, "internal error");
     }
   }
 
@@ -69,7 +70,7 @@
       workers.report(request, responder);
     } catch (IOException failure) {
       LOG.info("heartbeat rejected reason={}", failure.getMessage());
-      respondError(responder, 400, "not a valid report");
+      respondError(responder, HttpStatus.BAD_REQUEST, "not a valid report");
     }
   }
 
@@ -79,12 +80,12 @@
     }
     boolean ready = core.ready();
     byte[] body = ("{\"ready\":" + ready + "}").getBytes(StandardCharsets.UTF_8);
-    responder.answer(ready ? 200 : 503, body, ready ? 0 : 1);
+    responder.answer(ready ? HttpStatus.OK : HttpStatus.SERVICE_UNAVAILABLE, body, ready ? 0 : 1);
   }
 
   private void metrics(Request request, Responder responder) {
     if (requireMethod(GET, request, responder)) {
-      responder.answer(200, metrics.text().getBytes(StandardCharsets.UTF_8), 0);
+      responder.answer(HttpStatus.OK, metrics.text().getBytes(StandardCharsets.UTF_8), 0);
     }
   }
 
@@ -121,12 +122,12 @@
     if (request.method().equals(method)) {
       return true;
     }
-    respondError(responder, 405, "the method must be " + method);
+    respondError(responder, HttpStatus.METHOD_NOT_ALLOWED, "the method must be " + method);
     return false;
   }
 
   private static void noSuchPath(Responder responder) {
-    respondError(responder, 404, "no such path");
+    respondError(responder, HttpStatus.NOT_FOUND, "no such path");
   }
 
   private static void respondError(Responder responder, int status, String message) {
--- a/src/main/java/mallowstall/cli/CannedWorld.java
+++ b/src/main/java/mallowstall/cli/CannedWorld.java
@@ -4,6 +4,7 @@
 import mallowstall.net.HttpServer.Handler;
 import mallowstall.net.HttpServer.Request;
 import mallowstall.net.HttpServer.Responder;
+import mallowstall.net.HttpStatus;
 
 /**
  * Canned answers of the state service, the cloud and one worker, for {@link WarmUp}: an empty state
@@ -27,23 +28,23 @@
     String path = request.path();
     if (path.equals("/multi")) {
       revision++;
-      answer(responder, 200, "{\"tirada\":" + revision + "}");
+      answer(responder, HttpStatus.OK, "{\"tirada\":" + revision + "}");
     } else if (path.startsWith("/leases")) {
-      answer(responder, 200, "{\"permiso\":1}");
+      answer(responder, HttpStatus.OK, "{\"permiso\":1}");
     } else if (path.startsWith("/keys?")) {
-      answer(responder, 200, NO_KEYS + revision + "}");
+      answer(responder, HttpStatus.OK, NO_KEYS + revision + "}");
     } else if (path.startsWith("/keys/")) {
-      answer(responder, 404, "{\"tirada\":" + revision + "}");
+      answer(responder, HttpStatus.NOT_FOUND, "{\"tirada\":" + revision + "}");
     } else if (path.startsWith("/changes")) {
-      answer(responder, 200, "{\"tirada\":" + revision + ",\"events\":[]}");
+      answer(responder, HttpStatus.OK, "{\"tirada\":" + revision + ",\"events\":[]}");
     } else if (path.equals("/flavors")) {
-      answer(responder, 200, MACHINE_TYPES);
+      answer(responder, HttpStatus.OK, MACHINE_TYPES);
     } else if (path.startsWith("/machines?")) {
-      answer(responder, 200, NO_MACHINES);
+      answer(responder, HttpStatus.OK, NO_MACHINES);
     } else if (path.equals("/orders")) {
-      answer(responder, 409, HEARTBEAT);
+      answer(responder, HttpStatus.CONFLICT, HEARTBEAT);
     } else {
-      answer(responder, 200, NONE_RENTED);
+      answer(responder, HttpStatus.OK, NONE_RENTED);
     }
   }
 
