--- a/src/main/java/mallowstall/AdapterEffects.java
+++ b/src/main/java/mallowstall/AdapterEffects.java
@@ -3,12 +3,21 @@
 import java.util.List;
 import java.util.function.Consumer;
 import mallowstall.cloud.CloudClient;
-import mallowstall.core.Effects;
-import mallowstall.core.Model.Command;
-import mallowstall.core.Model.Entry;
-import mallowstall.core.Model.MachineType;
-import mallowstall.core.Model.PeerMessage;
-import mallowstall.core.Model.RentRequest;
+import mallowstall.core.kernel.CommandResult;
+import mallowstall.core.kernel.Effects;
+import mallowstall.core.kernel.GetResult;
+import mallowstall.core.kernel.InventoryPage;
+import mallowstall.core.kernel.LeaseResult;
+import mallowstall.core.kernel.ListResult;
+import mallowstall.core.kernel.ScaleOutResult;
+import mallowstall.core.kernel.Transaction;
+import mallowstall.core.kernel.TransactionResult;
+import mallowstall.core.kernel.WatchResult;
+import mallowstall.core.model.MachineType;
+import mallowstall.core.model.PeerMessage;
+import mallowstall.core.model.ScaleOutRequest;
+import mallowstall.core.model.StoredEntry;
+import mallowstall.core.model.WorkerCommand;
 import mallowstall.peers.PeerConnections;
 import mallowstall.state.StateServiceClient;
 import mallowstall.workers.WorkerHttpAdapter;
@@ -37,7 +46,7 @@
   }
 
   @Override
-  public void transact(Txn txn, Consumer<TxnReply> then) {
+  public void transact(Transaction txn, Consumer<TransactionResult> then) {
     long sentNanos = System.nanoTime();
     state.transact(
         txn,
@@ -48,32 +57,32 @@
   }
 
   @Override
-  public int encodedSize(Entry value) {
+  public int encodedSizeBytes(StoredEntry value) {
     return state.encodedSize(value);
   }
 
   @Override
-  public void get(String key, Consumer<GetReply> then) {
+  public void get(String key, Consumer<GetResult> then) {
     state.get(key, then);
   }
 
   @Override
-  public void list(String after, Consumer<ListReply> then) {
+  public void list(String after, Consumer<ListResult> then) {
     state.list(after, then);
   }
 
   @Override
-  public void watch(long after, long holdMs, Consumer<WatchReply> then) {
+  public void watch(long after, long holdMs, Consumer<WatchResult> then) {
     state.watch(after, holdMs, then);
   }
 
   @Override
-  public void grantLease(long ttlMs, Consumer<LeaseReply> then) {
+  public void grantLease(long ttlMs, Consumer<LeaseResult> then) {
     state.grantLease(ttlMs, then);
   }
 
   @Override
-  public void renewLease(long lease, Consumer<LeaseReply> then) {
+  public void renewLease(long lease, Consumer<LeaseResult> then) {
     state.renewLease(lease, then);
   }
 
@@ -83,18 +92,22 @@
   }
 
   @Override
-  public void order(
-      String addr, long token, long session, List<Command> commands, Consumer<OrderReply> then) {
+  public void sendCommands(
+      String addr,
+      long token,
+      long session,
+      List<WorkerCommand> commands,
+      Consumer<CommandResult> then) {
     workers.order(addr, token, session, commands, then);
   }
 
   @Override
-  public void types(Consumer<List<MachineType>> then) {
+  public void fetchMachineTypes(Consumer<List<MachineType>> then) {
     cloud.types(then);
   }
 
   @Override
-  public void rent(RentRequest request, Consumer<RentReply> then) {
+  public void scaleOut(ScaleOutRequest request, Consumer<ScaleOutResult> then) {
     long sentNanos = System.nanoTime();
     cloud.rent(
         request,
@@ -105,12 +118,12 @@
   }
 
   @Override
-  public void returnMachines(List<String> machines, Consumer<Boolean> then) {
+  public void scaleIn(List<String> machines, Consumer<Boolean> then) {
     cloud.returnMachines(machines, then);
   }
 
   @Override
-  public void listMachines(String after, Consumer<ListedReply> then) {
+  public void listMachines(String after, Consumer<InventoryPage> then) {
     cloud.listMachines(after, then);
   }
 }
--- a/src/main/java/mallowstall/Controller.java
+++ b/src/main/java/mallowstall/Controller.java
@@ -8,8 +8,8 @@
 import java.util.function.Consumer;
 import mallowstall.cloud.CloudClient;
 import mallowstall.config.Settings;
-import mallowstall.core.Core;
-import mallowstall.core.Policy;
+import mallowstall.core.ControllerCore;
+import mallowstall.core.placement.Policy;
 import mallowstall.net.HttpClient;
 import mallowstall.net.HttpServer;
 import mallowstall.net.PeriodicTask;
@@ -31,7 +31,7 @@
   private final NioEventLoopGroup group = new NioEventLoopGroup(1);
   private final EventLoop loop = group.next();
   private final Settings settings;
-  private final Core core;
+  private final ControllerCore core;
   private final CoreEvents events;
   private final PeerConnections peers;
   private final HttpServer server;
@@ -41,7 +41,7 @@
   private PeriodicTask tick;
 
   /** Wires the core to its adapters; nothing runs before {@link #start}. */
-  public Controller(Settings settings, Policy.Book policies) {
+  public Controller(Settings settings, Policy.PolicyRegistry policies) {
     this.settings = settings;
     // adapters report events to the core, which is made after those that it calls
     Consumer<Runnable> runEvent = this::runEvent;
@@ -58,7 +58,7 @@
             new CloudClient(cloudClient, runEvent),
             metrics);
     this.core =
-        new Core(
+        new ControllerCore(
             CoreSettingsFactory.create(settings),
             effects,
             policies,
@@ -68,13 +68,14 @@
     int sockets = maxConnections(settings.facts().limits());
     this.peers = new PeerConnections(loop, core, runEvent, Constants.PEER_CONNECTIONS);
     WorkerHttpAdapter workers =
-        new WorkerHttpAdapter(core, loop, runEvent, (int) (sockets * Constants.ORDER_SOCKET_SHARE));
+        new WorkerHttpAdapter(
+            core, loop, runEvent, (int) (sockets * Constants.WORKER_CLIENT_SOCKET_FRACTION));
     effects.connect(peers, workers);
     RequestRouter router = new RequestRouter(core, new UserApiHandler(core), workers, metrics);
     this.server =
         new HttpServer(
             (request, responder) -> events.run(() -> router.route(request, responder)),
-            (int) (sockets * Constants.SOCKET_SHARE));
+            (int) (sockets * Constants.SERVER_SOCKET_FRACTION));
   }
 
   /** Controllers draw differently, and each one the same after a restart. */
@@ -94,9 +95,9 @@
 
   /**
    * Connects to peers and begins to tick. Users and workers are listened to once requests can be
-   * taken, or at the latest after {@link Constants#LISTEN_LATEST_MS}: refusing hundreds of workers
-   * one by one takes all the processor time that getting ready needs, and a closed port sends them
-   * on as well. Call it once.
+   * taken, or at the latest after {@link Constants#LISTEN_DELAY_MAX_MS}: refusing hundreds of
+   * workers one by one takes all the processor time that getting ready needs, and a closed port
+   * sends them on as well. Call it once.
    *
    * @throws InterruptedException if interrupted before peers can connect
    */
@@ -121,7 +122,7 @@
       return;
     }
     long waitedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedNanos);
-    if (core.ready() || waitedMs >= Constants.LISTEN_LATEST_MS) {
+    if (core.isReady() || waitedMs >= Constants.LISTEN_DELAY_MAX_MS) {
       listen();
     }
   }
--- a/src/main/java/mallowstall/ControllerMetrics.java
+++ b/src/main/java/mallowstall/ControllerMetrics.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
-import mallowstall.core.Metrics;
+import mallowstall.core.kernel.Metrics;
 import org.HdrHistogram.Histogram;
 
 /**
@@ -35,7 +35,7 @@
   private final Map<String, Histogram> latencies = new TreeMap<>();
 
   @Override
-  public void count(String name) {
+  public void increment(String name) {
     counters.computeIfAbsent(name, this::counter).increment();
   }
 
@@ -47,7 +47,7 @@
   }
 
   @Override
-  public void time(String name, long ms) {
+  public void recordDuration(String name, long ms) {
     timeNanos(name, TimeUnit.MILLISECONDS.toNanos(ms));
   }
 
--- a/src/main/java/mallowstall/CoreEvents.java
+++ b/src/main/java/mallowstall/CoreEvents.java
@@ -3,7 +3,7 @@
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
-import mallowstall.core.Core;
+import mallowstall.core.ControllerCore;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -17,7 +17,7 @@
   /** Later than every timer. */
   private static final long NEVER = Long.MAX_VALUE;
 
-  private final Core core;
+  private final ControllerCore core;
   private final EventLoop loop;
 
   /** The scheduled wake-up; null before the first one. */
@@ -26,7 +26,7 @@
   /** Steady ms. When it is due; {@link #NEVER} if none is. */
   private long wakeUpAt = NEVER;
 
-  CoreEvents(Core core, EventLoop loop) {
+  CoreEvents(ControllerCore core, EventLoop loop) {
     this.core = core;
     this.loop = loop;
   }
@@ -36,10 +36,10 @@
    * event is logged: the next timer must be scheduled all the same.
    */
   void run(Runnable event) {
-    core.time(steadyMs(), System.currentTimeMillis());
+    core.setTime(steadyMs(), System.currentTimeMillis());
     try {
       event.run();
-      core.settle();
+      core.runDueWork();
     } catch (RuntimeException failure) {
       LOG.error("event failed", failure);
     }
@@ -55,7 +55,7 @@
 
   /** A wake-up that is later than the next timer is replaced; an earlier one does no harm. */
   private void scheduleWakeUp() {
-    long next = core.nextTimer();
+    long next = core.nextTimerMs();
     if (next >= wakeUpAt) {
       return;
     }
--- a/src/main/java/mallowstall/CoreSettingsFactory.java
+++ b/src/main/java/mallowstall/CoreSettingsFactory.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 import mallowstall.config.Settings;
-import mallowstall.core.Model.CoreSettings;
-import mallowstall.core.Model.Team;
-import mallowstall.core.ProgramVersion;
+import mallowstall.core.model.CoreSettings;
+import mallowstall.core.model.ProgramVersion;
+import mallowstall.core.model.Team;
 
 /**
  * Translates the platform's settings into those of the core: names, and seconds and KiB as well.
--- a/src/main/java/mallowstall/RequestRouter.java
+++ b/src/main/java/mallowstall/RequestRouter.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
-import mallowstall.core.Core;
+import mallowstall.core.ControllerCore;
 import mallowstall.net.HttpServer.Request;
 import mallowstall.net.HttpServer.Responder;
 import mallowstall.net.HttpStatus;
@@ -19,13 +19,16 @@
   private static final String GET = "GET";
   private static final String POST = "POST";
 
-  private final Core core;
+  private final ControllerCore core;
   private final UserApiHandler users;
   private final WorkerHttpAdapter workers;
   private final ControllerMetrics metrics;
 
   RequestRouter(
-      Core core, UserApiHandler users, WorkerHttpAdapter workers, ControllerMetrics metrics) {
+      ControllerCore core,
+      UserApiHandler users,
+      WorkerHttpAdapter workers,
+      ControllerMetrics metrics) {
     this.core = core;
     this.users = users;
     this.workers = workers;
@@ -78,7 +81,7 @@
     if (!requireMethod(GET, request, responder)) {
       return;
     }
-    boolean ready = core.ready();
+    boolean ready = core.isReady();
     byte[] body = ("{\"ready\":" + ready + "}").getBytes(StandardCharsets.UTF_8);
     responder.answer(ready ? HttpStatus.OK : HttpStatus.SERVICE_UNAVAILABLE, body, ready ? 0 : 1);
   }
--- a/src/main/java/mallowstall/cloud/CloudClient.java
+++ b/src/main/java/mallowstall/cloud/CloudClient.java
@@ -6,10 +6,11 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import mallowstall.Constants;
-import mallowstall.core.Effects.ListedReply;
-import mallowstall.core.Effects.RentReply;
-import mallowstall.core.Model.MachineType;
-import mallowstall.core.Model.RentRequest;
+import mallowstall.core.kernel.Effects;
+import mallowstall.core.kernel.InventoryPage;
+import mallowstall.core.kernel.ScaleOutResult;
+import mallowstall.core.model.MachineType;
+import mallowstall.core.model.ScaleOutRequest;
 import mallowstall.json.JsonReader;
 import mallowstall.json.JsonWriter;
 import mallowstall.net.HttpClient;
@@ -60,7 +61,7 @@
     LOG.error("unreadable response of the cloud reason={}", failure.getMessage());
   }
 
-  /** See {@link mallowstall.core.Effects#types}. */
+  /** See {@link Effects#fetchMachineTypes}. */
   public void types(Consumer<List<MachineType>> then) {
     call(
         HttpMethod.GET,
@@ -70,8 +71,8 @@
         (status, types) -> then.accept(types));
   }
 
-  /** See {@link mallowstall.core.Effects#rent}. */
-  public void rent(RentRequest request, Consumer<RentReply> then) {
+  /** See {@link Effects#scaleOut}. */
+  public void rent(ScaleOutRequest request, Consumer<ScaleOutResult> then) {
     call(
         HttpMethod.POST,
         CloudProtocol.MACHINES_PATH,
@@ -79,14 +80,14 @@
         CloudCodec::readMachineNames,
         (status, names) ->
             then.accept(
-                new RentReply(
+                new ScaleOutResult(
                     names == null && status == HttpStatus.OK
                         ? HttpClient.Reply.NO_RESPONSE
                         : status,
                     names == null ? List.of() : names)));
   }
 
-  /** See {@link mallowstall.core.Effects#returnMachines}. */
+  /** See {@link Effects#scaleIn}. */
   public void returnMachines(List<String> machines, Consumer<Boolean> then) {
     call(
         HttpMethod.POST,
@@ -96,8 +97,8 @@
         (status, nothing) -> then.accept(status == HttpStatus.OK));
   }
 
-  /** See {@link mallowstall.core.Effects#listMachines}. */
-  public void listMachines(String after, Consumer<ListedReply> then) {
+  /** See {@link Effects#listMachines}. */
+  public void listMachines(String after, Consumer<InventoryPage> then) {
     call(
         HttpMethod.GET,
         CloudProtocol.inventoryPath(after, PAGE_SIZE),
@@ -105,9 +106,9 @@
         CloudCodec::readPage,
         (status, page) -> {
           if (page == null || page.machines() == null) {
-            then.accept(new ListedReply(false, List.of(), false));
+            then.accept(new InventoryPage(false, List.of(), false));
           } else {
-            then.accept(new ListedReply(true, page.machines(), page.more()));
+            then.accept(new InventoryPage(true, page.machines(), page.more()));
           }
         });
   }
--- a/src/main/java/mallowstall/cloud/CloudCodec.java
+++ b/src/main/java/mallowstall/cloud/CloudCodec.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 import java.util.List;
-import mallowstall.core.Model.Listed;
-import mallowstall.core.Model.MachineType;
-import mallowstall.core.Model.RentRequest;
+import mallowstall.core.model.ListedMachine;
+import mallowstall.core.model.MachineType;
+import mallowstall.core.model.ScaleOutRequest;
 import mallowstall.json.JsonReader;
 
 /** Bodies of the cloud's HTTP interface as the core's types; see {@link CloudProtocol}. */
@@ -13,7 +13,7 @@
   private CloudCodec() {}
 
   /** A page of the inventory; {@code machines} null: the response has none. */
-  record Page(List<Listed> machines, boolean more) {}
+  record Page(List<ListedMachine> machines, boolean more) {}
 
   /** The machine types of a response; null if it has none. */
   static List<MachineType> readTypes(JsonReader in) throws IOException {
@@ -61,7 +61,7 @@
   }
 
   /** Writes the fields of a request for machines. */
-  static void writeScaleOut(JsonGenerator out, RentRequest request) throws IOException {
+  static void writeScaleOut(JsonGenerator out, ScaleOutRequest request) throws IOException {
     out.writeStringField(CloudProtocol.REQUEST_NAME, request.name());
     out.writeStringField(CloudProtocol.MACHINE_TYPE, request.type());
     out.writeStringField(CloudProtocol.ZONE, request.zone());
@@ -77,7 +77,7 @@
 
   /** Reads a page of the inventory; null: the response is null. */
   static Page readPage(JsonReader in) throws IOException {
-    List<Listed> machines = null;
+    List<ListedMachine> machines = null;
     boolean more = false;
     if (!in.enterObjectIfPresent()) {
       return null;
@@ -92,7 +92,7 @@
     return new Page(machines, more);
   }
 
-  private static Listed readMachine(JsonReader in) throws IOException {
+  private static ListedMachine readMachine(JsonReader in) throws IOException {
     String id = null;
     String type = null;
     String zone = null;
@@ -111,6 +111,6 @@
         default -> in.skip();
       }
     }
-    return new Listed(id, type, zone, spot, state == null ? "" : state, ageS);
+    return new ListedMachine(id, type, zone, spot, state == null ? "" : state, ageS);
   }
 }
--- a/src/main/java/mallowstall/config/SettingsValidator.java
+++ b/src/main/java/mallowstall/config/SettingsValidator.java
@@ -96,9 +96,9 @@
     if (limits.maxConnections() != null && limits.maxConnections() < MIN_CONNECTIONS) {
       throw new Invalid("facts.machine_limits.fd_limit must be " + MIN_CONNECTIONS + " or more");
     }
-    if (limits.memoryMb() != null && limits.memoryMb() < Constants.MEMORY_LEAST_MB) {
+    if (limits.memoryMb() != null && limits.memoryMb() < Constants.MEMORY_MIN_MB) {
       throw new Invalid(
-          "facts.machine_limits.ram_mb must be " + Constants.MEMORY_LEAST_MB + " or more");
+          "facts.machine_limits.ram_mb must be " + Constants.MEMORY_MIN_MB + " or more");
     }
   }
 
--- /dev/null
+++ b/src/main/java/mallowstall/core/autoscaling/CloudInventory.java
@@ -0,0 +1,82 @@
+package mallowstall.core.autoscaling;
+
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.Map;
+import mallowstall.Constants;
+import mallowstall.core.kernel.Effects;
+import mallowstall.core.kernel.EventClock;
+import mallowstall.core.kernel.InventoryPage;
+import mallowstall.core.kernel.TokenBucket;
+import mallowstall.core.model.ListedMachine;
+
+/** The cloud's list of machines, read page by page. It lags, and may be older than the last. */
+public final class CloudInventory {
+  private final EventClock clock;
+  private final Effects effects;
+  private final TokenBucket apiCallBucket;
+  private Map<String, ListedMachine> machines = new HashMap<>();
+  private long readAtMs = Long.MIN_VALUE / 2;
+  private boolean readInFlight;
+  private long nextReadMs;
+
+  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  public CloudInventory(EventClock clock, Effects effects, TokenBucket apiCallBucket) {
+    this.clock = clock;
+    this.effects = effects;
+    this.apiCallBucket = apiCallBucket;
+  }
+
+  /** The machines of the newest complete list. */
+  Collection<ListedMachine> machines() {
+    return machines.values();
+  }
+
+  boolean contains(String machine) {
+    return machines.containsKey(machine);
+  }
+
+  /** When the newest complete list was read. */
+  long readAtMs() {
+    return readAtMs;
+  }
+
+  /** Forgets a machine that was returned. */
+  public void remove(String machine) {
+    machines.remove(machine);
+  }
+
+  /** Reads the list again when it is time. */
+  void tick(long now) {
+    if (now < nextReadMs || readInFlight || !apiCallBucket.canSpend(now, 1, 0)) {
+      return;
+    }
+    readInFlight = true;
+    nextReadMs = now + Constants.INVENTORY_INTERVAL_MS;
+    readPage(null, new HashMap<>());
+  }
+
+  private void readPage(String after, Map<String, ListedMachine> collected) {
+    apiCallBucket.spend(clock.now(), 1);
+    effects.listMachines(after, reply -> handlePage(after, collected, reply));
+  }
+
+  private void handlePage(String after, Map<String, ListedMachine> collected, InventoryPage reply) {
+    if (!reply.succeeded()) {
+      readInFlight = false;
+      return;
+    }
+    String lastId = after;
+    for (ListedMachine machine : reply.machines()) {
+      collected.put(machine.id(), machine);
+      lastId = machine.id();
+    }
+    if (reply.hasMore() && lastId != null) {
+      readPage(lastId, collected);
+      return;
+    }
+    readInFlight = false;
+    machines = collected;
+    readAtMs = clock.now();
+  }
+}
--- /dev/null
+++ b/src/main/java/mallowstall/core/autoscaling/MachineDemand.java
@@ -0,0 +1,278 @@
+package mallowstall.core.autoscaling;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import mallowstall.Constants;
+import mallowstall.core.cluster.ClusterView;
+import mallowstall.core.cluster.MachineTypeCatalog;
+import mallowstall.core.cluster.MachineView;
+import mallowstall.core.cluster.OpenJobs;
+import mallowstall.core.kernel.EventClock;
+import mallowstall.core.model.CoreSettings;
+import mallowstall.core.model.JobEntry;
+import mallowstall.core.model.JobSpec;
+import mallowstall.core.model.MachineType;
+import mallowstall.core.model.Priority;
+import mallowstall.core.model.Team;
+
+/**
+ * What the open jobs need, by machine type. Every controller counts it, for placement too: which
+ * types are scarce, and which machines are reserved for urgent work. Mutable.
+ */
+public final class MachineDemand {
+  private final EventClock clock;
+  private final CoreSettings settings;
+  private final ClusterView view;
+  private final MachineTypeCatalog types;
+  private final OpenJobs openJobs;
+  private final Map<String, TypeDemand> demandByType = new HashMap<>();
+
+  /** The smallest machine type that holds a task, by job. */
+  private final Map<String, String> minimalTypeByJob = new HashMap<>();
+
+  /** Types that are the smallest for some open job. */
+  private final Set<String> minimalTypesInUse = new HashSet<>();
+
+  private final Set<String> reserved = new HashSet<>();
+  private long computedAtMs;
+
+  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  public MachineDemand(
+      EventClock clock,
+      CoreSettings settings,
+      ClusterView view,
+      MachineTypeCatalog types,
+      OpenJobs openJobs) {
+    this.clock = clock;
+    this.settings = settings;
+    this.view = view;
+    this.types = types;
+    this.openJobs = openJobs;
+  }
+
+  /** The demand for this type. */
+  TypeDemand of(String type) {
+    return demandByType.computeIfAbsent(type, k -> new TypeDemand());
+  }
+
+  /** Whether a machine of this type is larger than the job needs while others need that type. */
+  public boolean isScarce(JobSpec spec, String type) {
+    String minimal = minimalType(spec);
+    return minimal != null && !minimal.equals(type) && minimalTypesInUse.contains(type);
+  }
+
+  /** The smallest type that holds a task of the job; null: none does. */
+  public String minimalType(JobSpec spec) {
+    String cached = minimalTypeByJob.get(spec.id());
+    if (cached != null) {
+      return cached;
+    }
+    if (minimalTypeByJob.size() > Constants.SMALLEST_TYPE_CACHE_MAX) {
+      minimalTypeByJob.clear();
+    }
+    String found = findMinimalType(spec);
+    if (found != null) {
+      minimalTypeByJob.put(spec.id(), found);
+    }
+    return found;
+  }
+
+  /** The types have been read anew. */
+  public void onTypesChanged() {
+    minimalTypeByJob.clear();
+  }
+
+  private String findMinimalType(JobSpec spec) {
+    MachineType best = null;
+    for (MachineType type : types.all()) {
+      if (!spec.fits(type)) {
+        continue;
+      }
+      if (best == null
+          || type.cpus() < best.cpus()
+          || (type.cpus() == best.cpus() && type.price() < best.price())) {
+        best = type;
+      }
+    }
+    return best == null ? null : best.name();
+  }
+
+  /** Counts the demand of all open jobs anew. */
+  void recompute(long now) {
+    minimalTypesInUse.clear();
+    demandByType.values().forEach(TypeDemand::resetCurrent);
+    Map<String, Double> urgentByType = new HashMap<>();
+    Map<String, Double> remainingCpusByTeam = teamCpuQuotas();
+    for (JobEntry job : openJobs.all()) {
+      if (!job.isTerminal()) {
+        addJob(job, remainingCpusByTeam, urgentByType);
+      }
+    }
+    updateAverages(urgentByType, now);
+    recomputeReserved();
+  }
+
+  private Map<String, Double> teamCpuQuotas() {
+    Map<String, Double> quotas = new HashMap<>();
+    for (Team team : settings.teams().values()) {
+      quotas.put(team.name(), team.cpuQuota() > 0 ? team.cpuQuota() : Double.MAX_VALUE);
+    }
+    return quotas;
+  }
+
+  private void addJob(
+      JobEntry job, Map<String, Double> remainingCpusByTeam, Map<String, Double> urgentByType) {
+    JobSpec spec = job.spec();
+    String typeName = minimalType(spec);
+    if (typeName == null) {
+      return;
+    }
+    MachineType type = types.find(typeName);
+    double tasks = spec.tasks() - job.completedTaskCount();
+    double remainingCpus = remainingCpusByTeam.getOrDefault(spec.team(), Double.MAX_VALUE);
+    if (spec.cpus() > 0) {
+      tasks = Math.min(tasks, Math.floor(remainingCpus / spec.cpus()));
+    }
+    if (tasks <= 0) {
+      return;
+    }
+    remainingCpusByTeam.put(spec.team(), remainingCpus - tasks * spec.cpus());
+    minimalTypesInUse.add(typeName);
+    double slotsPerMachine = tasksPerMachine(spec, type);
+    if (slotsPerMachine < 1) {
+      return;
+    }
+    double machines = tasks / slotsPerMachine;
+    if (spec.priority().ordinal() >= Priority.HIGH.ordinal()) {
+      urgentByType.merge(typeName, machines, Double::sum);
+    }
+    addToType(of(typeName), job, type, machines);
+  }
+
+  private void addToType(TypeDemand demand, JobEntry job, MachineType type, double machines) {
+    JobSpec spec = job.spec();
+    demand.machines += machines * bootTimeShare(spec, type) / sequentialWaves(job, type);
+    demand.spotAllowed |= spec.spot();
+    if (!spec.spot()) {
+      demand.onDemandMachines += machines;
+    }
+    Map<String, Double> pinnedZones =
+        spec.spot() ? demand.pinnedByZone : demand.onDemandPinnedByZone;
+    if (spec.zone() != null) {
+      pinnedZones.merge(spec.zone(), machines, Double::sum);
+    }
+    // at most half of a spread job may be in one zone: it needs another
+    if (spec.spread()) {
+      for (String zone : type.zones()) {
+        pinnedZones.merge(zone, Constants.DEMAND_MIN_MACHINES, Double::sum);
+      }
+    }
+  }
+
+  private static double tasksPerMachine(JobSpec spec, MachineType type) {
+    double byCpus =
+        spec.cpus() > 0 ? Math.floor(type.cpus() / spec.cpus()) : Constants.TASKS_UNLIMITED;
+    double byMemory =
+        spec.memoryGb() > 0
+            ? Math.floor(type.memoryGb() / spec.memoryGb())
+            : Constants.TASKS_UNLIMITED;
+    double byGpus =
+        spec.gpus() > 0 ? Math.floor(type.gpus() / spec.gpus()) : Constants.TASKS_UNLIMITED;
+    return Math.min(byCpus, Math.min(byMemory, byGpus));
+  }
+
+  private void updateAverages(Map<String, Double> urgentByType, long now) {
+    double weight =
+        computedAtMs == 0
+            ? 1
+            : 1 - Math.exp(-(now - computedAtMs) / Constants.USAGE_TIME_CONSTANT_MS);
+    computedAtMs = now;
+    demandByType.forEach(
+        (type, demand) -> {
+          demand.averageMachines += (demand.machines - demand.averageMachines) * weight;
+          demand.averageUrgentMachines +=
+              (urgentByType.getOrDefault(type, 0.0) - demand.averageUrgentMachines) * weight;
+        });
+  }
+
+  /**
+   * The part of its own machines that a task is worth: what is over before one has booted needs
+   * none. A service has no estimate and stands for good.
+   */
+  private static double bootTimeShare(JobSpec spec, MachineType type) {
+    if (spec.isService()) {
+      return 1;
+    }
+    double lifetimeS = spec.estimatedRunS() + spec.imageGb() / Math.max(1e-3, type.fetchGbPerS());
+    return Math.min(
+        1,
+        lifetimeS
+            / Math.max(
+                Constants.SHORT_RUN_MIN_S, Constants.SHORT_RUN_BOOT_FRACTION * type.bootS()));
+  }
+
+  /**
+   * How many of the job's tasks may run one after the other in one place and still be on time, on a
+   * machine that must first be rented and fetch the image. A machine for every two tasks of a job
+   * with minutes to spare cost more than it was worth. Whole ones only: a wave and a half rented
+   * too few machines for jobs of which only one wave is on time.
+   */
+  private double sequentialWaves(JobEntry job, MachineType type) {
+    JobSpec spec = job.spec();
+    if (spec.deadlineS() == null || spec.priority().ordinal() >= Priority.HIGH.ordinal()) {
+      return 1;
+    }
+    double remainingS = spec.deadlineS() - (clock.wallClockMs() - job.submittedMs()) / 1000.0;
+    double readyS = type.bootS() + spec.imageGb() / Math.max(1e-3, type.fetchGbPerS());
+    double taskS = Math.max(1, spec.estimatedRunS() * Constants.ESTIMATE_FACTOR);
+    return Math.max(1, Math.min(Constants.WAVES_MAX, Math.floor((remainingS - readyS) / taskS)));
+  }
+
+  /**
+   * Keeps as many machines from lower work as urgent jobs use on average, so that these needn't
+   * stop anybody. The oldest ordinary ones: they are not taken back, and every controller names the
+   * same.
+   */
+  private void recomputeReserved() {
+    reserved.clear();
+    List<MachineView> available = new ArrayList<>();
+    for (MachineView machine : view.machines.values()) {
+      if (machine.isSchedulable()) {
+        available.add(machine);
+      }
+    }
+    available.sort(
+        Comparator.comparing((MachineView candidateView) -> candidateView.status.spot())
+            .thenComparing(candidate -> candidate.id));
+    for (Map.Entry<String, TypeDemand> entry : demandByType.entrySet()) {
+      long total =
+          available.stream()
+              .filter(machineView -> machineView.status.type().equals(entry.getKey()))
+              .count();
+      long remaining =
+          Math.min(
+              (long) Math.ceil(entry.getValue().averageUrgentMachines * Constants.RESERVE_FACTOR),
+              (long) (total * Constants.RESERVE_MAX_FRACTION));
+      for (MachineView machineView : available) {
+        if (remaining <= 0) {
+          break;
+        }
+        if (!machineView.status.type().equals(entry.getKey())) {
+          continue;
+        }
+        reserved.add(machineView.id);
+        remaining--;
+      }
+    }
+  }
+
+  /** Whether the machine is kept for urgent work. */
+  public boolean reserved(String machine) {
+    return reserved.contains(machine);
+  }
+}
--- a/src/main/java/mallowstall/core/TypeDemand.java
+++ b/src/main/java/mallowstall/core/autoscaling/TypeDemand.java
@@ -1,4 +1,4 @@
-package mallowstall.core;
+package mallowstall.core.autoscaling;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -9,29 +9,29 @@
   double machines;
 
   /** The same, averaged over time. */
-  double average;
+  double averageMachines;
 
   /** Average machines' worth of urgent work. */
-  double urgent;
+  double averageUrgentMachines;
 
   /** Whether spot machines can serve some of it; what they can't is rented before the rest. */
   boolean spotAllowed;
 
   /** The part that spot machines can't serve. */
-  double ordinary;
+  double onDemandMachines;
 
   /** The part that only one zone can serve, by zone. */
-  final Map<String, Double> pinned = new HashMap<>();
+  final Map<String, Double> pinnedByZone = new HashMap<>();
 
   /** The part that only ordinary machines of one zone can serve, by zone. */
-  final Map<String, Double> pinnedOrdinary = new HashMap<>();
+  final Map<String, Double> onDemandPinnedByZone = new HashMap<>();
 
   /** Forgets what is needed now; the averages stay. */
-  void restart() {
+  void resetCurrent() {
     machines = 0;
     spotAllowed = false;
-    ordinary = 0;
-    pinned.clear();
-    pinnedOrdinary.clear();
+    onDemandMachines = 0;
+    pinnedByZone.clear();
+    onDemandPinnedByZone.clear();
   }
 }
--- /dev/null
+++ b/src/main/java/mallowstall/core/cluster/ClusterVersion.java
@@ -0,0 +1,58 @@
+package mallowstall.core.cluster;
+
+import mallowstall.core.kv.StateStore;
+import mallowstall.core.model.CoreSettings;
+import mallowstall.core.model.ProgramVersion;
+import mallowstall.core.model.SessionEntry;
+import mallowstall.core.model.VersionEntry;
+
+/**
+ * The lowest program version that every configured controller has shown in the state service. What
+ * an older version would misread is stored or sent only once this is high enough.
+ */
+public final class ClusterVersion {
+  private final CoreSettings settings;
+  private final StateStore store;
+
+  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  public ClusterVersion(CoreSettings settings, StateStore store) {
+    this.settings = settings;
+    this.store = store;
+  }
+
+  /** Whether every controller knows services. */
+  public boolean allowsServices() {
+    return lowestVersion() >= ProgramVersion.WITH_SERVICES;
+  }
+
+  /** Whether every controller reads done bits in small pieces. */
+  public boolean allowsSmallPieces() {
+    return lowestVersion() >= ProgramVersion.WITH_SERVICES;
+  }
+
+  private int lowestVersion() {
+    int lowest = publishedVersion(settings.node());
+    for (String peer : settings.peers()) {
+      lowest = Math.min(lowest, publishedVersion(peer));
+    }
+    return lowest;
+  }
+
+  /**
+   * A process of an older version leaves its predecessor's entry as it is, but takes a session of
+   * its own: an entry that doesn't belong to the present session says nothing. Without a session
+   * the node is down and comes back with the version it had.
+   */
+  private int publishedVersion(String node) {
+    StateStore.Held stored = store.entry(StateStore.VERSION_PREFIX + node);
+    if (stored == null) {
+      return ProgramVersion.UNKNOWN;
+    }
+    VersionEntry versionEntry = (VersionEntry) stored.value();
+    StateStore.Held session = store.entry(StateStore.SESSION_PREFIX + node);
+    boolean isCurrent =
+        session == null
+            || ((SessionEntry) session.value()).incarnation() == versionEntry.incarnation();
+    return isCurrent ? versionEntry.programVersion() : ProgramVersion.UNKNOWN;
+  }
+}
--- /dev/null
+++ b/src/main/java/mallowstall/core/cluster/DigestPublisher.java
@@ -0,0 +1,76 @@
+package mallowstall.core.cluster;
+
+import java.util.List;
+import java.util.function.DoubleSupplier;
+import java.util.function.Supplier;
+import mallowstall.Constants;
+import mallowstall.core.kernel.Effects;
+import mallowstall.core.kernel.EventClock;
+import mallowstall.core.kernel.PutOperation;
+import mallowstall.core.kernel.RetryDelay;
+import mallowstall.core.kernel.Transaction;
+import mallowstall.core.kv.StateStore;
+import mallowstall.core.kv.ValueSize;
+import mallowstall.core.model.CoreSettings;
+import mallowstall.core.model.DigestEntry;
+import mallowstall.core.model.FreeCapacity;
+
+/** Writes this controller's free capacity and pending work to the state service now and then. */
+public final class DigestPublisher {
+  private final EventClock clock;
+  private final CoreSettings settings;
+  private final Effects effects;
+  private final StateStore store;
+  private final Supplier<List<FreeCapacity>> freeCapacity;
+  private final DoubleSupplier pendingCpus;
+  private final RetryDelay retry = new RetryDelay();
+  private long nextPublishMs;
+
+  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  public DigestPublisher(
+      EventClock clock,
+      CoreSettings settings,
+      Effects effects,
+      StateStore store,
+      Supplier<List<FreeCapacity>> freeCapacity,
+      DoubleSupplier pendingCpus) {
+    this.clock = clock;
+    this.settings = settings;
+    this.effects = effects;
+    this.store = store;
+    this.freeCapacity = freeCapacity;
+    this.pendingCpus = pendingCpus;
+  }
+
+  /** Writes the digest when that is due. */
+  public void tick() {
+    if (clock.now() < nextPublishMs || !store.synced() || !store.isSessionValid()) {
+      return;
+    }
+    nextPublishMs = clock.now() + Constants.DIGEST_INTERVAL_MS;
+    store.transact(
+        StateStore.Urgency.BACKGROUND,
+        new Transaction(
+            List.of(),
+            List.of(
+                new PutOperation(
+                    StateStore.DIGEST_PREFIX + settings.node(), digest(), store.leaseId())),
+            List.of()),
+        reply -> {
+          retry.recordResult(clock.now(), reply.code());
+          nextPublishMs = Math.max(nextPublishMs, retry.retryAtMs());
+        });
+  }
+
+  /** The digest with as many of the machines with most free capacity as fit one value. */
+  private DigestEntry digest() {
+    double pending = pendingCpus.getAsDouble();
+    long incarnation = store.incarnation();
+    List<FreeCapacity> free =
+        ValueSize.longestFittingPrefix(
+            freeCapacity.get(),
+            some -> effects.encodedSizeBytes(new DigestEntry(incarnation, some, pending)),
+            settings.maxValueBytes());
+    return new DigestEntry(incarnation, free, pending);
+  }
+}
--- a/src/main/java/mallowstall/core/MachineTypeCatalog.java
+++ b/src/main/java/mallowstall/core/cluster/MachineTypeCatalog.java
@@ -1,14 +1,16 @@
-package mallowstall.core;
+package mallowstall.core.cluster;
 
 import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import mallowstall.core.Model.MachineType;
+import mallowstall.core.kernel.Effects;
+import mallowstall.core.kernel.EventClock;
+import mallowstall.core.model.MachineType;
 
 /** The machine types that the cloud offers, read again once in a while. Mutable. */
-final class MachineTypeCatalog {
+public final class MachineTypeCatalog {
   private static final long RETRY_MS = 1_000;
   private static final long REFRESH_MS = 60_000;
 
@@ -19,31 +21,32 @@
   /** Called whenever the types have been read. */
   private Runnable subscriber = () -> {};
 
-  private long nextRefresh;
+  private long nextRefreshMs;
   private boolean refreshing;
 
-  MachineTypeCatalog(EventClock clock, Effects effects) {
+  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  public MachineTypeCatalog(EventClock clock, Effects effects) {
     this.clock = clock;
     this.effects = effects;
   }
 
   /** Sets who is told whenever the types have been read; set once, before the first event. */
-  void subscribe(Runnable typesRead) {
+  public void subscribe(Runnable typesRead) {
     subscriber = typesRead;
   }
 
   /** Reads the types when that is due. */
-  void tick() {
-    if (clock.now() >= nextRefresh && !refreshing) {
+  public void tick() {
+    if (clock.now() >= nextRefreshMs && !refreshing) {
       refreshing = true;
-      effects.types(this::refreshed);
+      effects.fetchMachineTypes(this::applyOffered);
     }
   }
 
   /** Types that are no longer offered stay known; {@code offered} is null if the read failed. */
-  private void refreshed(List<MachineType> offered) {
+  private void applyOffered(List<MachineType> offered) {
     refreshing = false;
-    nextRefresh = clock.now() + (offered == null || offered.isEmpty() ? RETRY_MS : REFRESH_MS);
+    nextRefreshMs = clock.now() + (offered == null || offered.isEmpty() ? RETRY_MS : REFRESH_MS);
     if (offered == null) {
       return;
     }
@@ -54,22 +57,22 @@
   }
 
   /** Whether no types have been read yet. */
-  boolean isEmpty() {
+  public boolean isEmpty() {
     return types.isEmpty();
   }
 
   /** The type of this name; null if unknown. */
-  MachineType find(String name) {
+  public MachineType find(String name) {
     return types.get(name);
   }
 
   /** All types, in the order in which they became known. */
-  Collection<MachineType> all() {
+  public Collection<MachineType> all() {
     return types.values();
   }
 
   /** The names of all types, in the same order. */
-  Set<String> names() {
+  public Set<String> names() {
     return types.keySet();
   }
 }
--- a/src/main/java/mallowstall/core/Membership.java
+++ b/src/main/java/mallowstall/core/cluster/Membership.java
@@ -1,30 +1,32 @@
-package mallowstall.core;
+package mallowstall.core.cluster;
 
 import java.util.ArrayList;
 import java.util.List;
-import mallowstall.core.Model.CoreSettings;
+import mallowstall.core.kv.StateStore;
+import mallowstall.core.model.CoreSettings;
 
 /** Which controllers are live, and which of them a new machine should report to. */
-final class Membership {
+public final class Membership {
   private final CoreSettings settings;
-  private final Store store;
+  private final StateStore store;
 
-  Membership(CoreSettings settings, Store store) {
+  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  public Membership(CoreSettings settings, StateStore store) {
     this.settings = settings;
     this.store = store;
   }
 
   /** Controllers with a session, sorted; this one is among them once its own stands. */
-  List<String> liveNodes() {
+  public List<String> liveNodes() {
     List<String> live = new ArrayList<>();
-    for (String key : store.under(Store.SESSIONS).keySet()) {
-      live.add(key.substring(Store.SESSIONS.length()));
+    for (String key : store.entriesUnder(StateStore.SESSION_PREFIX).keySet()) {
+      live.add(key.substring(StateStore.SESSION_PREFIX.length()));
     }
     return live;
   }
 
   /** The controller a new machine should report to: by hash among live ones, its own zone first. */
-  String preferredLeader(String machine, String zone) {
+  public String preferredLeader(String machine, String zone) {
     List<String> all = liveNodes();
     List<String> near = new ArrayList<>();
     for (String node : all) {
--- a/src/main/java/mallowstall/core/OpenJobs.java
+++ b/src/main/java/mallowstall/core/cluster/OpenJobs.java
@@ -1,18 +1,18 @@
-package mallowstall.core;
+package mallowstall.core.cluster;
 
 import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import mallowstall.core.Model.JobRec;
+import mallowstall.core.model.JobEntry;
 
 /** Index of the jobs that some controller must still look after, whoever leads them. Mutable. */
-final class OpenJobs {
-  private final Map<String, JobRec> open = new LinkedHashMap<>();
+public final class OpenJobs {
+  private final Map<String, JobEntry> open = new LinkedHashMap<>();
 
   /** A job's entry has changed; {@code before} is null if it is new. */
-  void jobChanged(JobRec before, JobRec after) {
+  public void jobChanged(JobEntry before, JobEntry after) {
     String id = after.spec().id();
-    if (after.open()) {
+    if (after.needsLeader()) {
       open.put(id, after);
     } else {
       open.remove(id);
@@ -20,7 +20,7 @@
   }
 
   /** The open jobs in the order in which they became known; a live view. */
-  Collection<JobRec> all() {
+  public Collection<JobEntry> all() {
     return open.values();
   }
 }
--- a/src/main/java/mallowstall/core/PeerMessenger.java
+++ b/src/main/java/mallowstall/core/cluster/PeerMessenger.java
@@ -1,33 +1,35 @@
-package mallowstall.core;
+package mallowstall.core.cluster;
 
 import java.util.List;
 import java.util.function.Consumer;
-import mallowstall.core.Model.CoreSettings;
-import mallowstall.core.Model.Starts;
-import mallowstall.core.Model.StopOrder;
-import mallowstall.core.Model.Stops;
+import mallowstall.core.kernel.Effects;
+import mallowstall.core.kv.StateStore;
+import mallowstall.core.model.CoreSettings;
+import mallowstall.core.model.StartBatch;
+import mallowstall.core.model.StopBatch;
+import mallowstall.core.model.StopRequest;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Sends requests to the controllers that lead machines; those to itself are delivered at once. */
-final class PeerMessenger {
+public final class PeerMessenger {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.core");
 
   private final CoreSettings settings;
   private final Effects effects;
-  private final Store store;
-  private final View view;
-  private final Consumer<Starts> ownStarts;
-  private final Consumer<Stops> ownStops;
+  private final StateStore store;
+  private final ClusterView view;
+  private final Consumer<StartBatch> ownStarts;
+  private final Consumer<StopBatch> ownStops;
 
   /** {@code ownStarts} and {@code ownStops} receive what this controller sends to itself. */
-  PeerMessenger(
+  public PeerMessenger(
       CoreSettings settings,
       Effects effects,
-      Store store,
-      View view,
-      Consumer<Starts> ownStarts,
-      Consumer<Stops> ownStops) {
+      StateStore store,
+      ClusterView view,
+      Consumer<StartBatch> ownStarts,
+      Consumer<StopBatch> ownStops) {
     this.settings = settings;
     this.effects = effects;
     this.store = store;
@@ -37,43 +39,43 @@
   }
 
   /** A new connection to the peer stands; numbers only grow within a process. */
-  void connected(String node, long connection) {
-    View.Peer peer = view.peer(node);
+  public void peerConnected(String node, long connection) {
+    PeerState peer = view.peer(node);
     peer.connection = connection;
     // perhaps another process, which knows nothing yet
-    peer.takenInSerial = 0;
+    peer.acknowledgedSerial = 0;
     // says which connection counts from now on, so that starts lost with the last one are resolved
     effects.send(
         node,
-        new Starts(
+        new StartBatch(
             settings.node(), store.incarnation(), connection, peer.nextSequence++, List.of()));
   }
 
   /** Sends starts to the controller that leads their machines. */
-  void sendStarts(String node, Starts starts) {
+  public void sendStarts(String node, StartBatch startBatch) {
     if (node.equals(settings.node())) {
-      ownStarts.accept(starts);
+      ownStarts.accept(startBatch);
     } else {
-      effects.send(node, starts);
+      effects.send(node, startBatch);
     }
   }
 
   /** Asks the controller to stop a task on one of its machines. */
-  void stop(String node, StopOrder stop) {
-    sendStops(node, new Stops(settings.node(), store.incarnation(), List.of(stop), List.of()));
+  public void sendStop(String node, StopRequest stop) {
+    sendStops(node, new StopBatch(settings.node(), store.incarnation(), List.of(stop), List.of()));
   }
 
   /** Asks the controller to start nothing more on these machines of its own. */
-  void drain(String node, List<String> machines) {
+  public void sendDrain(String node, List<String> machines) {
     LOG.info("drain {} through {}", machines, node);
-    sendStops(node, new Stops(settings.node(), store.incarnation(), List.of(), machines));
+    sendStops(node, new StopBatch(settings.node(), store.incarnation(), List.of(), machines));
   }
 
-  private void sendStops(String node, Stops stops) {
+  private void sendStops(String node, StopBatch stopBatch) {
     if (node.equals(settings.node())) {
-      ownStops.accept(stops);
+      ownStops.accept(stopBatch);
     } else {
-      effects.send(node, stops);
+      effects.send(node, stopBatch);
     }
   }
 }
--- a/src/main/java/mallowstall/core/EventClock.java
+++ b/src/main/java/mallowstall/core/kernel/EventClock.java
@@ -1,4 +1,4 @@
-package mallowstall.core;
+package mallowstall.core.kernel;
 
 import java.util.PriorityQueue;
 
@@ -6,63 +6,66 @@
  * The time of the event being handled, and what is scheduled for later. Time doesn't advance while
  * an event is handled. Not thread-safe.
  */
-final class EventClock {
+public final class EventClock {
   /** Bounds the timers run for one event, should one keep scheduling itself without delay. */
   private static final int TIMERS_PER_EVENT = 10_000;
 
   /** A scheduled action; of those due at the same time the first one scheduled runs first. */
-  private record Timer(long at, long order, Runnable action) {}
+  private record Timer(long dueMs, long sequence, Runnable action) {}
 
   private final PriorityQueue<Timer> timers =
       new PriorityQueue<>(
-          (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
+          (a, b) ->
+              a.dueMs != b.dueMs
+                  ? Long.compare(a.dueMs, b.dueMs)
+                  : Long.compare(a.sequence, b.sequence));
   private long now;
-  private long wallClock;
-  private long timerOrder;
-  private long startedAt;
+  private long wallClockMs;
+  private long nextTimerSequence;
+  private long startedAtMs;
 
   /** Sets the steady time and the time of day, both in ms; steady time never goes back. */
-  void advance(long steadyMs, long wallMs) {
+  public void advance(long steadyMs, long wallMs) {
     now = Math.max(now, steadyMs);
-    wallClock = wallMs;
+    wallClockMs = wallMs;
   }
 
   /** Steady time in ms. */
-  long now() {
+  public long now() {
     return now;
   }
 
   /** Time of day in ms since 1970. */
-  long wallClock() {
-    return wallClock;
+  public long wallClockMs() {
+    return wallClockMs;
   }
 
   /** Runs the action after so many ms of steady time. */
-  void schedule(long delayMs, Runnable action) {
-    timers.add(new Timer(now + delayMs, timerOrder++, action));
+  public void schedule(long delayMs, Runnable action) {
+    timers.add(new Timer(now + delayMs, nextTimerSequence++, action));
   }
 
   /** Runs the timers that are due. */
-  void runDue() {
-    for (int i = 0; i < TIMERS_PER_EVENT && !timers.isEmpty() && timers.peek().at <= now; i++) {
+  public void runDue() {
+    for (int i = 0; i < TIMERS_PER_EVENT && !timers.isEmpty() && timers.peek().dueMs <= now; i++) {
       timers.poll().action.run();
     }
   }
 
   /** Steady time at which the next timer is due; {@code Long.MAX_VALUE} if there is none. */
-  long nextTimer() {
-    return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().at;
+  public long nextTimerMs() {
+    return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().dueMs;
   }
 
   /** Notes that the process has begun its regular work; only the first call counts. */
-  void started() {
-    if (startedAt == 0) {
-      startedAt = now;
+  public void markStarted() {
+    if (startedAtMs == 0) {
+      startedAtMs = now;
     }
   }
 
   /** When this process began; whatever answered in its name before was dead by then. */
-  long startedAt() {
-    return startedAt;
+  public long startedAtMs() {
+    return startedAtMs;
   }
 }
--- a/src/main/java/mallowstall/core/Metrics.java
+++ b/src/main/java/mallowstall/core/kernel/Metrics.java
@@ -1,10 +1,10 @@
-package mallowstall.core;
+package mallowstall.core.kernel;
 
 /** Receives counts and durations of notable events. */
 public interface Metrics {
   /** Counts one more event of this name. */
-  void count(String what);
+  void increment(String what);
 
   /** Records a duration in ms. */
-  void time(String what, long ms);
+  void recordDuration(String what, long ms);
 }
--- a/src/main/java/mallowstall/core/PlacementTrigger.java
+++ b/src/main/java/mallowstall/core/kernel/PlacementTrigger.java
@@ -1,23 +1,24 @@
-package mallowstall.core;
+package mallowstall.core.kernel;
 
 import mallowstall.Constants;
 
 /** When the next placement round is due, and whether capacity has changed since. Mutable. */
-final class PlacementTrigger {
+public final class PlacementTrigger {
   private final EventClock clock;
-  private final OwnLag lag;
+  private final EventLoopLag lag;
   private boolean requested;
-  private long nextRound;
+  private long nextPassMs;
   private long capacityVersion = 1;
-  private long capacityReportedAt;
+  private long capacityReportedAtMs;
 
-  PlacementTrigger(EventClock clock, OwnLag lag) {
+  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  public PlacementTrigger(EventClock clock, EventLoopLag lag) {
     this.clock = clock;
     this.lag = lag;
   }
 
   /** Something has changed that a placement round should consider. */
-  void request() {
+  public void request() {
     requested = true;
   }
 
@@ -25,27 +26,27 @@
    * A status update has been taken in; {@code news} tells whether it said anything new. One that
    * only restates counts once in a while, since what policies ask may change with time alone.
    */
-  void capacityReported(boolean news) {
+  public void capacityReported(boolean news) {
     long now = clock.now();
-    if (news || now - capacityReportedAt >= Constants.RESTATED_NEWS_MS) {
-      capacityReportedAt = now;
+    if (news || now - capacityReportedAtMs >= Constants.REFRESH_CAPACITY_CHANGE_INTERVAL_MS) {
+      capacityReportedAtMs = now;
       capacityVersion++;
       requested = true;
     }
   }
 
   /** Grows whenever capacity may have changed, so that jobs that back off try again. */
-  long capacityVersion() {
+  public long capacityVersion() {
     return capacityVersion;
   }
 
   /** Whether a round is to be run now; the next one is due after the usual gap at the earliest. */
-  boolean takeDue() {
-    if (!requested || clock.now() < nextRound) {
+  public boolean takeDue() {
+    if (!requested || clock.now() < nextPassMs) {
       return false;
     }
     requested = false;
-    nextRound = clock.now() + lag.stretched(Constants.ROUND_GAP_MS);
+    nextPassMs = clock.now() + lag.stretchedGapMs(Constants.PLACEMENT_PASS_INTERVAL_MIN_MS);
     return true;
   }
 }
--- /dev/null
+++ b/src/main/java/mallowstall/core/kv/StateChangeDispatcher.java
@@ -0,0 +1,93 @@
+package mallowstall.core.kv;
+
+import java.util.List;
+import java.util.function.BiConsumer;
+import java.util.function.Consumer;
+import java.util.function.LongConsumer;
+import mallowstall.core.model.JobEntry;
+import mallowstall.core.model.MachineEntry;
+import mallowstall.core.model.StoredEntry;
+
+/** Hands each change of the replica, typed, to the modules it concerns, in their fixed order. */
+public final class StateChangeDispatcher implements StateStore.Listener {
+  /** Is told of changes of jobs; their entries are never deleted. */
+  public interface JobSubscriber {
+    /** A job's entry has changed; {@code before} is null if it is new. */
+    void jobChanged(JobEntry before, JobEntry after);
+  }
+
+  private final List<JobSubscriber> jobSubscribers;
+  private final Consumer<String> completionBits;
+  private final BiConsumer<String, MachineEntry> machineChanged;
+  private final List<Consumer<String>> machineRemoved;
+  private final BiConsumer<String, MachineEntry> machineEntrySuperseded;
+  private final Runnable advanced;
+  private final LongConsumer synced;
+
+  /**
+   * Subscribers are called in the order of their lists; {@code machineChanged} hears of removals
+   * too, by a null record, before {@code machineRemoved}.
+   */
+  public StateChangeDispatcher(
+      List<JobSubscriber> jobs,
+      Consumer<String> completionBits,
+      BiConsumer<String, MachineEntry> machineChanged,
+      List<Consumer<String>> machineRemoved,
+      BiConsumer<String, MachineEntry> machineOvertaken,
+      Runnable advanced,
+      LongConsumer synced) {
+    this.jobSubscribers = jobs;
+    this.completionBits = completionBits;
+    this.machineChanged = machineChanged;
+    this.machineRemoved = machineRemoved;
+    this.machineEntrySuperseded = machineOvertaken;
+    this.advanced = advanced;
+    this.synced = synced;
+  }
+
+  @Override
+  public void machineEntrySuperseded(String machine, MachineEntry record) {
+    machineEntrySuperseded.accept(machine, record);
+  }
+
+  @Override
+  public void entryChanged(String key, StoredEntry before, StoredEntry after) {
+    if (key.startsWith(StateStore.JOB_PREFIX)) {
+      if (after != null) {
+        jobChanged((JobEntry) before, (JobEntry) after);
+      }
+    } else if (key.startsWith(StateStore.COMPLETION_BITS_PREFIX)) {
+      if (after != null) {
+        completionBits.accept(JobBitmaps.jobFromBitsKey(key));
+      }
+    } else if (key.startsWith(StateStore.MACHINE_PREFIX)) {
+      machineChanged(key.substring(StateStore.MACHINE_PREFIX.length()), (MachineEntry) after);
+    }
+  }
+
+  private void jobChanged(JobEntry before, JobEntry after) {
+    for (int i = 0; i < jobSubscribers.size(); i++) {
+      jobSubscribers.get(i).jobChanged(before, after);
+    }
+  }
+
+  private void machineChanged(String id, MachineEntry after) {
+    machineChanged.accept(id, after);
+    if (after != null) {
+      return;
+    }
+    for (int i = 0; i < machineRemoved.size(); i++) {
+      machineRemoved.get(i).accept(id);
+    }
+  }
+
+  @Override
+  public void advanced() {
+    advanced.run();
+  }
+
+  @Override
+  public void replicaSynced(long revision) {
+    synced.accept(revision);
+  }
+}
--- /dev/null
+++ b/src/main/java/mallowstall/core/machines/HeartbeatRouter.java
@@ -0,0 +1,86 @@
+package mallowstall.core.machines;
+
+import java.util.List;
+import java.util.function.Consumer;
+import mallowstall.core.cluster.Connectivity;
+import mallowstall.core.cluster.MachineTypeCatalog;
+import mallowstall.core.kernel.EventClock;
+import mallowstall.core.kv.StateStore;
+import mallowstall.core.model.Heartbeat;
+import mallowstall.core.model.HeartbeatResponse;
+
+/**
+ * Decides who answers a worker's report: this controller, because it leads the machine or takes it
+ * over, another one, or nobody if the report may be a late copy.
+ */
+public final class HeartbeatRouter {
+  private final EventClock clock;
+  private final StateStore store;
+  private final MachineTypeCatalog types;
+  private final Connectivity connectivity;
+  private final ManagedMachines machines;
+  private final HeartbeatHandler heartbeatHandler;
+  private final MachineRegistration registration;
+
+  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  public HeartbeatRouter(
+      EventClock clock,
+      StateStore store,
+      MachineTypeCatalog types,
+      Connectivity connectivity,
+      ManagedMachines machines,
+      HeartbeatHandler heartbeatHandler,
+      MachineRegistration registration) {
+    this.clock = clock;
+    this.store = store;
+    this.types = types;
+    this.connectivity = connectivity;
+    this.machines = machines;
+    this.heartbeatHandler = heartbeatHandler;
+    this.registration = registration;
+  }
+
+  /** A worker has reported; {@code reply} is called once, perhaps later. */
+  public void route(Heartbeat heartbeat, Consumer<HeartbeatResponse> reply) {
+    long now = clock.now();
+    if (!store.synced()
+        || store.incarnation() == 0
+        || types.isEmpty()
+        || !connectivity.mayRenewWorkerLeases()) {
+      reply.accept(HeartbeatResponse.unavailable());
+      return;
+    }
+    if (connectivity.isIsolatedFromStateService()) {
+      // New jobs aren't known here, so these machines would stand idle: send them where they are.
+      reply.accept(HeartbeatResponse.redirect(connectivity.peerWithStateAccess()));
+      return;
+    }
+    ManagedMachine machine = machines.get(heartbeat.machine());
+    if (machine != null && heartbeat.fencingToken() <= machine.fencingToken) {
+      if (machine.leaseExpired && heartbeat.session() <= machine.workerSession) {
+        // sent before its lease ran out and delivered late: the tasks it lists are gone for certain
+        reply.accept(HeartbeatResponse.unavailable());
+        return;
+      }
+      if (heartbeat.session() < machine.workerSession
+          || (heartbeat.session() == machine.workerSession
+              && heartbeat.sequence() <= machine.handledHeartbeatSequence)) {
+        // A late copy: reports of a worker come one at a time. It renews nothing.
+        reply.accept(HeartbeatResponse.unavailable());
+        return;
+      }
+      if (heartbeat.session() == machine.workerSession
+          && heartbeat.sequence() <= machine.latestHeartbeatSequence) {
+        // Overtaken by the answer of a direct command: it says nothing new. To refuse it would
+        // send a healthy worker to another controller.
+        machine.handledHeartbeatSequence = heartbeat.sequence();
+        machine.lastResponseMs = now;
+        reply.accept(HeartbeatResponse.accepted(machine.fencingToken, List.of()));
+        return;
+      }
+      reply.accept(heartbeatHandler.handle(machine, heartbeat));
+      return;
+    }
+    registration.register(heartbeat, reply);
+  }
+}
--- a/src/main/java/mallowstall/core/OwnedMachine.java
+++ b/src/main/java/mallowstall/core/machines/ManagedMachine.java
@@ -1,4 +1,4 @@
-package mallowstall.core;
+package mallowstall.core.machines;
 
 import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap;
 import it.unimi.dsi.fastutil.objects.Object2ObjectLinkedOpenHashMap;
@@ -12,23 +12,25 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.ToDoubleFunction;
-import mallowstall.core.Model.JobSpec;
-import mallowstall.core.Model.MachineType;
-import mallowstall.core.Model.RosterMachine;
-import mallowstall.core.Model.StartOrder;
-import mallowstall.core.Model.StopOrder;
-import mallowstall.core.Model.TaskReport;
+import mallowstall.core.model.JobSpec;
+import mallowstall.core.model.MachineStatus;
+import mallowstall.core.model.MachineType;
+import mallowstall.core.model.StartRequest;
+import mallowstall.core.model.StopRequest;
+import mallowstall.core.model.TaskAttempt;
+import mallowstall.core.model.TaskKey;
+import mallowstall.core.model.TaskReport;
 
 /** One machine of this controller. Mutable. */
-final class OwnedMachine {
+final class ManagedMachine {
   /** A start accepted and not yet seen in a report. */
   static final class Reservation {
-    final StartOrder order;
+    final StartRequest request;
     final JobSpec spec;
     boolean sent;
 
-    Reservation(StartOrder order, JobSpec spec) {
-      this.order = order;
+    Reservation(StartRequest request, JobSpec spec) {
+      this.request = request;
       this.spec = spec;
     }
   }
@@ -37,84 +39,85 @@
   final MachineType type;
   final String zone;
   final boolean spot;
-  long term;
-  long version;
+  long fencingToken;
+  long modRevision;
   String address;
-  long session;
-  long newestReport;
+  long workerSession;
+  long latestHeartbeatSequence;
 
   /** When the last 200 left; the machine's lease can't run on longer than from here. */
-  long answeredAt;
-
-  long heardAt;
-  boolean confirmed;
-  boolean lost;
-  long noticeUntil = Long.MAX_VALUE;
-  long drainUntil;
-  long quarantineUntil;
-  int errorsInRow;
+  long lastResponseMs;
+
+  long lastHeartbeatMs;
+  boolean tokenAcknowledged;
+  boolean leaseExpired;
+  long terminationDeadlineMs = Long.MAX_VALUE;
+  long drainUntilMs;
+  long quarantineUntilMs;
+  int consecutiveErrors;
   boolean faulty;
-  long idleSince;
+  long idleSinceMs;
   final Map<TaskAttempt, TaskReport> tasks = new LinkedHashMap<>();
   final Map<TaskKey, Reservation> reservations = new Object2ObjectLinkedOpenHashMap<>();
-  final Map<TaskKey, StopOrder> stops = new HashMap<>();
+  final Map<TaskKey, StopRequest> pendingStops = new HashMap<>();
 
   /**
    * Tasks stopped for others that were accepted in their place. Their stop goes out before or with
    * any start that follows, so their room counts as free.
    */
-  final Set<TaskAttempt> replaced = new HashSet<>();
+  final Set<TaskAttempt> preempted = new HashSet<>();
 
   /** Ends other than done that a roster has told. */
-  final Object2LongOpenHashMap<TaskKey> announcedEnds = new Object2LongOpenHashMap<>();
+  final Object2LongOpenHashMap<TaskKey> publishedExits = new Object2LongOpenHashMap<>();
 
   /**
    * Starts sent to the worker's own address whose outcome is open. Until the answer is there, or
    * the worker shows a larger term, they may be executed at any time: they count as possibly
    * running, and their attempts are not forgotten, since a late copy would start them again.
    */
-  final Map<TaskKey, Long> openStarts = new HashMap<>();
+  final Map<TaskKey, Long> unacknowledgedStarts = new HashMap<>();
 
-  boolean commandOpen;
-  boolean commandLost;
-  boolean termChanging;
+  boolean commandInFlight;
+  boolean commandOutcomeUnknown;
+  boolean tokenWriteInFlight;
 
   /** Somebody else may have answered it after this controller's former process had ended. */
-  boolean disputed;
+  boolean interveningLeader;
 
   /** Taken over from this controller's own former process, which is dead. */
-  boolean reclaimed;
+  boolean recovered;
 
   /** The term was raised after the last start went astray. */
-  boolean termRaised;
+  boolean tokenRaised;
 
-  long commandSentAt;
+  long commandSentAtMs;
 
-  final LinkedHashSet<String> images = new LinkedHashSet<>();
+  final LinkedHashSet<String> cachedImages = new LinkedHashSet<>();
 
   /** The newest report handled; an answer of a direct command may be newer. */
-  long handledReport;
+  long handledHeartbeatSequence;
 
   /** Something that statements tell may have changed since the last one. */
-  boolean changed;
+  boolean statusChanged;
 
   /** What the last statement said of it, in which, and when. */
-  RosterMachine published;
+  MachineStatus publishedStatus;
 
-  long publishedSerial;
-  long publishedAt;
+  long publishedUpdateNumber;
+  long publishedAtMs;
 
-  OwnedMachine(String id, MachineType type, String zone, boolean spot, long token, long version) {
+  ManagedMachine(
+      String id, MachineType type, String zone, boolean spot, long fencingToken, long modRevision) {
     this.id = id;
     this.type = type;
     this.zone = zone;
     this.spot = spot;
-    this.term = token;
-    this.version = version;
+    this.fencingToken = fencingToken;
+    this.modRevision = modRevision;
   }
 
   /** Whether any attempt of the task is here, or a start of it was accepted. */
-  boolean holds(TaskKey key) {
+  boolean hasTask(TaskKey key) {
     if (reservations.containsKey(key)) {
       return true;
     }
@@ -132,23 +135,23 @@
   }
 
   /** The outcome of all commands that went to the worker's own address is known. */
-  void clearOpenStarts() {
-    openStarts.clear();
-    commandLost = false;
-    termRaised = false;
+  void clearUnacknowledgedStarts() {
+    unacknowledgedStarts.clear();
+    commandOutcomeUnknown = false;
+    tokenRaised = false;
   }
 
   /** The worker's lease is over: nothing is left on the machine. */
-  void writeOff(long now) {
-    lost = true;
-    confirmed = true;
+  void expireLease(long now) {
+    leaseExpired = true;
+    tokenAcknowledged = true;
     tasks.clear();
     reservations.clear();
-    stops.clear();
-    replaced.clear();
-    clearOpenStarts();
-    idleSince = now;
-    changed = true;
+    pendingStops.clear();
+    preempted.clear();
+    clearUnacknowledgedStarts();
+    idleSinceMs = now;
+    statusChanged = true;
   }
 
   /** The image is there: it becomes the newest, and what no longer fits the cache is forgotten. */
@@ -156,15 +159,15 @@
     if (image == null) {
       return;
     }
-    images.remove(image);
-    images.add(image);
-    List<String> newestFirst = new ArrayList<>(images);
+    cachedImages.remove(image);
+    cachedImages.add(image);
+    List<String> newestFirst = new ArrayList<>(cachedImages);
     Collections.reverse(newestFirst);
-    double sum = 0;
-    for (String other : newestFirst) {
-      sum += sizeGb.applyAsDouble(other);
-      if (sum > type.cacheGb() && !other.equals(image)) {
-        images.remove(other);
+    double totalGb = 0;
+    for (String cached : newestFirst) {
+      totalGb += sizeGb.applyAsDouble(cached);
+      if (totalGb > type.cacheGb() && !cached.equals(image)) {
+        cachedImages.remove(cached);
       }
     }
   }
--- /dev/null
+++ b/src/main/java/mallowstall/core/machines/StopRequestHandler.java
@@ -0,0 +1,86 @@
+package mallowstall.core.machines;
+
+import mallowstall.Constants;
+import mallowstall.core.kernel.EventClock;
+import mallowstall.core.machines.ManagedMachine.Reservation;
+import mallowstall.core.model.StopBatch;
+import mallowstall.core.model.StopRequest;
+import mallowstall.core.model.TaskAttempt;
+import mallowstall.core.model.TaskKey;
+import mallowstall.core.model.TaskReport;
+import mallowstall.core.model.TaskState;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Stops tasks on machines led here: as job leaders ask, or since their job is cancelled. */
+public final class StopRequestHandler {
+  private static final Logger LOG = LoggerFactory.getLogger("mallowstall.owner");
+
+  private final EventClock clock;
+  private final ManagedMachines machines;
+  private final StatusPublisher statusPublisher;
+  private final DirectCommands commands;
+
+  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  public StopRequestHandler(
+      EventClock clock,
+      ManagedMachines machines,
+      StatusPublisher statusPublisher,
+      DirectCommands commands) {
+    this.clock = clock;
+    this.machines = machines;
+    this.statusPublisher = statusPublisher;
+    this.commands = commands;
+  }
+
+  /** Stops and drains from holders and from the fleet. */
+  public void handle(StopBatch stopBatch) {
+    for (StopRequest stop : stopBatch.stops()) {
+      ManagedMachine machine = machines.get(stop.machine());
+      if (machine == null) {
+        continue;
+      }
+      TaskKey key = new TaskKey(stop.job(), stop.task());
+      Reservation reservation = machine.reservations.get(key);
+      if (machine.tasks.containsKey(new TaskAttempt(stop.job(), stop.task(), stop.attempt()))
+          || (reservation != null && reservation.request.attempt() == stop.attempt())) {
+        LOG.info(
+            "stop {}/{} attempt {} on {} asked by {}",
+            stop.job(),
+            stop.task(),
+            stop.attempt(),
+            stop.machine(),
+            stopBatch.node());
+        machine.pendingStops.put(key, stop);
+        commands.enqueue(machine);
+      }
+    }
+    for (String id : stopBatch.machinesToDrain()) {
+      ManagedMachine machine = machines.get(id);
+      if (machine != null) {
+        machine.drainUntilMs = clock.now() + Constants.DRAIN_EXPIRY_MS;
+        statusPublisher.requestPublish();
+      }
+    }
+  }
+
+  /**
+   * The job is cancelled: its tasks that wait for their image are stopped at once, at the worker's
+   * own address, since they would begin before the next report's answer. Those that run are stopped
+   * by that answer, as are these if the command goes astray.
+   */
+  public void stopCancelled(String job) {
+    statusPublisher.requestPublish(); // peers hear of it soon
+    for (ManagedMachine machine : machines.all()) {
+      for (TaskReport task : machine.tasks.values()) {
+        if (task.state() != TaskState.FETCHING || !task.job().equals(job)) {
+          continue;
+        }
+        machine.pendingStops.put(
+            new TaskKey(job, task.task()),
+            new StopRequest(machine.id, job, task.task(), task.attempt(), 0));
+        commands.enqueue(machine);
+      }
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/mallowstall/core/model/Capacity.java
@@ -0,0 +1,23 @@
+package mallowstall.core.model;
+
+import mallowstall.Constants;
+
+/** How many like tasks a given amount of room holds. */
+public final class Capacity {
+  private Capacity() {}
+
+  /** Tasks that fit into so much room; a resource of which they take nothing doesn't count. */
+  public static int fittingTasks(double cpus, double gpus, double memoryGb, JobSpec spec) {
+    double fitting = Constants.TASKS_PER_MACHINE_MAX;
+    if (spec.cpus() > 0) {
+      fitting = Math.min(fitting, cpus / spec.cpus());
+    }
+    if (spec.gpus() > 0) {
+      fitting = Math.min(fitting, gpus / spec.gpus());
+    }
+    if (spec.memoryGb() > 0) {
+      fitting = Math.min(fitting, memoryGb / spec.memoryGb());
+    }
+    return (int) Math.floor(fitting + 1e-9);
+  }
+}
--- /dev/null
+++ b/src/main/java/mallowstall/core/model/CommandKind.java
@@ -0,0 +1,8 @@
+package mallowstall.core.model;
+
+/** What a worker is told to do with a task. */
+public enum CommandKind {
+  START,
+  STOP,
+  REMOVE
+}
--- /dev/null
+++ b/src/main/java/mallowstall/core/model/IncarnationCounterEntry.java
@@ -0,0 +1,4 @@
+package mallowstall.core.model;
+
+/** The counter of incarnations. */
+public record IncarnationCounterEntry(long value) implements StoredEntry {}
--- /dev/null
+++ b/src/main/java/mallowstall/core/model/PeerMessage.java
@@ -0,0 +1,4 @@
+package mallowstall.core.model;
+
+/** Messages between controllers. */
+public sealed interface PeerMessage permits StatusUpdate, StartBatch, StopBatch {}
--- /dev/null
+++ b/src/main/java/mallowstall/core/model/Priority.java
@@ -0,0 +1,9 @@
+package mallowstall.core.model;
+
+/** Priorities, lowest first. */
+public enum Priority {
+  LOW,
+  NORMAL,
+  HIGH,
+  PRODUCTION
+}
--- a/src/main/java/mallowstall/core/ProgramVersion.java
+++ b/src/main/java/mallowstall/core/model/ProgramVersion.java
@@ -1,4 +1,4 @@
-package mallowstall.core;
+package mallowstall.core.model;
 
 /** Versions of this program, as controllers show them to each other in the state service. */
 public final class ProgramVersion {
--- a/src/main/java/mallowstall/core/TaskAttempt.java
+++ b/src/main/java/mallowstall/core/model/TaskAttempt.java
@@ -1,27 +1,26 @@
-package mallowstall.core;
-
-import mallowstall.core.Model.TaskRef;
-import mallowstall.core.Model.TaskReport;
+package mallowstall.core.model;
 
 /**
  * One attempt of a task: a worker may list a refused attempt beside the one that it runs. Compared
  * by hand for the reason that {@link TaskKey} gives.
  */
-record TaskAttempt(String job, int task, long attempt) {
-  static TaskAttempt of(TaskReport report) {
+public record TaskAttempt(String job, int task, long attempt) {
+  /** The attempt that is named there. */
+  public static TaskAttempt of(TaskReport report) {
     return new TaskAttempt(report.job(), report.task(), report.attempt());
   }
 
-  static TaskAttempt of(TaskRef ref) {
+  /** The attempt that is named there. */
+  public static TaskAttempt of(TaskRef ref) {
     return new TaskAttempt(ref.job(), ref.task(), ref.attempt());
   }
 
   @Override
   public boolean equals(Object other) {
-    return other instanceof TaskAttempt one
-        && task == one.task
-        && attempt == one.attempt
-        && job.equals(one.job);
+    return other instanceof TaskAttempt that
+        && task == that.task
+        && attempt == that.attempt
+        && job.equals(that.job);
   }
 
   @Override
@@ -29,7 +28,8 @@
     return 31 * (31 * job.hashCode() + task) + Long.hashCode(attempt);
   }
 
-  TaskKey key() {
+  /** The task, whatever the attempt. */
+  public TaskKey key() {
     return new TaskKey(job, task);
   }
 }
--- a/src/main/java/mallowstall/core/TaskKey.java
+++ b/src/main/java/mallowstall/core/model/TaskKey.java
@@ -1,10 +1,10 @@
-package mallowstall.core;
+package mallowstall.core.model;
 
 /**
  * One task of a job, whatever the attempt. Compared by hand: what the compiler makes for records
  * goes through method handles, which the one compiler level used here doesn't inline.
  */
-record TaskKey(String job, int task) {
+public record TaskKey(String job, int task) {
   @Override
   public boolean equals(Object other) {
     return other instanceof TaskKey key && task == key.task && job.equals(key.job);
--- /dev/null
+++ b/src/main/java/mallowstall/core/placement/JobRanking.java
@@ -0,0 +1,145 @@
+package mallowstall.core.placement;
+
+import it.unimi.dsi.fastutil.objects.Object2DoubleOpenHashMap;
+import mallowstall.Constants;
+import mallowstall.core.autoscaling.MachineDemand;
+import mallowstall.core.cluster.ClusterView;
+import mallowstall.core.cluster.MachineTypeCatalog;
+import mallowstall.core.cluster.MachineView;
+import mallowstall.core.jobs.LedJob;
+import mallowstall.core.kernel.EventClock;
+import mallowstall.core.model.CoreSettings;
+import mallowstall.core.model.JobEntry;
+import mallowstall.core.model.JobSpec;
+import mallowstall.core.model.MachineType;
+import mallowstall.core.model.Priority;
+
+/** In which order jobs are served: by starving, priority, hope of their deadline, slack and age. */
+public final class JobRanking {
+  private final EventClock clock;
+  private final CoreSettings settings;
+  private final ClusterView view;
+  private final MachineTypeCatalog types;
+  private final MachineDemand demand;
+
+  /** Processors of usable machines, by machine type. */
+  private final Object2DoubleOpenHashMap<String> totalCpusByType = new Object2DoubleOpenHashMap<>();
+
+  /** The part of them that is free. */
+  private final Object2DoubleOpenHashMap<String> freeCpusByType = new Object2DoubleOpenHashMap<>();
+
+  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  public JobRanking(
+      EventClock clock,
+      CoreSettings settings,
+      ClusterView view,
+      MachineTypeCatalog types,
+      MachineDemand demand) {
+    this.clock = clock;
+    this.settings = settings;
+    this.view = view;
+    this.types = types;
+    this.demand = demand;
+  }
+
+  /** Free processors of usable machines of this type. */
+  double freeCpus(String type) {
+    return freeCpusByType.getDouble(type);
+  }
+
+  /**
+   * A job of which nothing is on a machine and nothing ran for so long: whatever its priority, size
+   * and hope, it is next, with a tenth of its tasks. Smaller and still hopeful jobs before it would
+   * otherwise keep it waiting as long as the overload lasts.
+   */
+  boolean isStarving(LedJob ledJob) {
+    return ledJob.activeAttempts.isEmpty()
+        && ledJob.pending() > 0
+        && clock.wallClockMs() - ledJob.entry.submittedMs() > Constants.STARVATION_MS
+        // not since the last try: a start that an owner refused once cost the job another wait
+        && (ledJob.lastRunningMs == 0
+            || clock.now() - ledJob.lastRunningMs > Constants.STARVATION_MS);
+  }
+
+  /**
+   * Starving jobs first, the longest waiting before others. Then priority before deadline before
+   * age. Jobs that can't meet their deadline any more come after those that can: serving them first
+   * would only make more of them. Among the rest slack decides, and of like slack the smaller job,
+   * since each job counts once.
+   */
+  public int compare(LedJob first, LedJob second) {
+    int comparison = Boolean.compare(isStarving(second), isStarving(first));
+    if (comparison != 0) {
+      return comparison;
+    }
+    if (isStarving(first)) {
+      return Long.compare(first.entry.submittedMs(), second.entry.submittedMs());
+    }
+    comparison = Integer.compare(second.spec.priority().ordinal(), first.spec.priority().ordinal());
+    if (comparison != 0) {
+      return comparison;
+    }
+    comparison =
+        Integer.compare(
+            deadlineTier(first.entry, first.spec), deadlineTier(second.entry, second.spec));
+    if (comparison != 0) {
+      return comparison;
+    }
+    comparison = Double.compare(weightedSlackS(first), weightedSlackS(second));
+    return comparison != 0
+        ? comparison
+        : Long.compare(first.entry.submittedMs(), second.entry.submittedMs());
+  }
+
+  /** 0: the deadline can be met; 1: only a later one that the operators count; 2: neither. */
+  private int deadlineTier(JobEntry job, JobSpec spec) {
+    if (spec.deadlineS() == null) {
+      return 0;
+    }
+    double expectedEndS =
+        (clock.wallClockMs() - job.submittedMs()) / 1000.0
+            + spec.estimatedRunS() * Constants.ESTIMATE_REMAINING_FRACTION;
+    if (expectedEndS <= spec.deadlineS()) {
+      return 0;
+    }
+    double deadlineFactor = settings.deadlineFactors().getOrDefault(spec.jobClass(), 1.0);
+    return expectedEndS <= spec.deadlineS() * deadlineFactor ? 1 : 2;
+  }
+
+  private double weightedSlackS(LedJob ledJob) {
+    JobSpec spec = ledJob.spec;
+    double slots =
+        Math.max(
+            1, totalCpusByType.getDouble(demand.minimalType(spec)) / Math.max(0.01, spec.cpus()));
+    double workS = ledJob.pending() * spec.estimatedRunS() / slots;
+    double slackS =
+        spec.deadlineS() == null
+            ? 600 + (ledJob.entry.submittedMs() - clock.wallClockMs()) / 1000.0
+            : spec.deadlineS()
+                - (clock.wallClockMs() - ledJob.entry.submittedMs()) / 1000.0
+                - spec.estimatedRunS();
+    return slackS + Constants.SLACK_PER_WORK_FACTOR * workS;
+  }
+
+  /** Smaller for jobs that come first, whoever holds them; those that starve have 0. */
+  int rank(JobEntry job, JobSpec spec) {
+    return (Priority.values().length - spec.priority().ordinal()) * 4 + deadlineTier(job, spec);
+  }
+
+  /** Processors of usable machines, all and free, by machine type. */
+  void recomputeCapacity() {
+    totalCpusByType.clear();
+    freeCpusByType.clear();
+    for (MachineView machine : view.machines.values()) {
+      if (!machine.isSchedulable()) {
+        continue;
+      }
+      MachineType type = types.find(machine.status.type());
+      if (type == null) {
+        continue;
+      }
+      totalCpusByType.addTo(type.name(), type.cpus());
+      freeCpusByType.addTo(type.name(), Math.max(0, machine.freeCpus()));
+    }
+  }
+}
--- a/src/main/java/mallowstall/core/Policy.java
+++ b/src/main/java/mallowstall/core/placement/Policy.java
@@ -1,4 +1,4 @@
-package mallowstall.core;
+package mallowstall.core.placement;
 
 import java.util.List;
 
@@ -13,15 +13,15 @@
     public String type;
     public String image;
     public boolean spot;
-    public boolean own;
+    public boolean locallyManaged;
     public boolean imagePresent;
-    public boolean scarce;
+    public boolean scarceType;
     public double freeCpus;
     public double freeGpus;
-    public double freeMemory;
+    public double freeMemoryGb;
 
     /** Fraction of the machine's processors in use. */
-    public double used;
+    public double cpuUtilization;
 
     /** Seconds until the image would be there. */
     public double fetchS;
@@ -33,12 +33,12 @@
     public double otherDrainS;
 
     /** The machine is kept for jobs of high priority. */
-    public boolean reserved;
+    public boolean reservedForUrgent;
 
-    public double fetches;
+    public double imageFetches;
     public double taskCpus;
     public double taskGpus;
-    public double taskMemory;
+    public double taskMemoryGb;
 
     /** Since submission, or since a task of the job was started last. */
     public double waitedS;
@@ -48,7 +48,7 @@
 
     public double estimateS;
     public double priority;
-    public double pending;
+    public double pendingTasks;
     public double price;
 
     /** The job is a service: its replicas stand until it is cancelled. */
@@ -84,8 +84,8 @@
   String name();
 
   /** Policies by class of jobs. */
-  interface Book {
+  interface PolicyRegistry {
     /** The policy of a class of jobs; that of the default class if it has none. */
-    Policy forClass(String jobClass);
+    Policy forJobClass(String jobClass);
   }
 }
--- /dev/null
+++ b/src/main/java/mallowstall/core/placement/PolicyFacts.java
@@ -0,0 +1,111 @@
+package mallowstall.core.placement;
+
+import mallowstall.core.autoscaling.MachineDemand;
+import mallowstall.core.cluster.ClusterView;
+import mallowstall.core.cluster.MachineTypeCatalog;
+import mallowstall.core.cluster.MachineView;
+import mallowstall.core.jobs.LedJob;
+import mallowstall.core.kernel.EventClock;
+import mallowstall.core.model.CoreSettings;
+import mallowstall.core.model.JobSpec;
+import mallowstall.core.model.MachineType;
+
+/** Gathers what policies may ask about a machine and a job. Mutable. */
+public final class PolicyFacts {
+  private final EventClock clock;
+  private final CoreSettings settings;
+  private final ClusterView view;
+  private final MachineTypeCatalog types;
+  private final MachineDemand demand;
+  private final QueuedWork queuedWork;
+  private final Policy.Facts facts = new Policy.Facts();
+
+  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  public PolicyFacts(
+      EventClock clock,
+      CoreSettings settings,
+      ClusterView view,
+      MachineTypeCatalog types,
+      MachineDemand demand,
+      QueuedWork queuedWork) {
+    this.clock = clock;
+    this.settings = settings;
+    this.view = view;
+    this.types = types;
+    this.demand = demand;
+    this.queuedWork = queuedWork;
+  }
+
+  /** The facts on this pair; they stand until the next call. */
+  Policy.Facts evaluate(MachineView machine, LedJob ledJob, long now) {
+    JobSpec spec = ledJob.spec;
+    MachineType type = types.find(machine.status.type());
+    facts.zone = machine.status.zone();
+    facts.type = machine.status.type();
+    facts.image = spec.image();
+    facts.spot = machine.status.spot();
+    facts.locallyManaged = settings.node().equals(machine.leader);
+    facts.freeCpus = machine.freeCpus();
+    facts.freeGpus = machine.freeGpus();
+    facts.freeMemoryGb = machine.freeMemoryGb();
+    facts.cpuUtilization =
+        type == null || type.cpus() <= 0 ? 0 : 1 - machine.freeCpus() / type.cpus();
+    facts.imagePresent = machine.status.images().contains(spec.image());
+    int fetching = 0;
+    boolean fetchingSameImage = false;
+    view.updateDerivedState(machine);
+    for (String other : machine.fetchingImages) {
+      if (other.equals(spec.image())) {
+        fetchingSameImage = true;
+      } else if (!machine.status.images().contains(other)) {
+        fetching++;
+      }
+    }
+    facts.imageFetches = fetching;
+    double fetchGbPerS = type == null ? 1 : Math.max(1e-3, type.fetchGbPerS());
+    facts.fetchS =
+        facts.imagePresent
+            ? 0
+            : spec.imageGb() / fetchGbPerS * (fetchingSameImage ? 0.6 : 1 + fetching);
+    facts.drainS = queuedWork.drainS(spec.image());
+    facts.otherDrainS = queuedWork.maxOtherDrainS(spec.image(), machine.status.images());
+    facts.reservedForUrgent = demand.reserved(machine.id);
+    facts.scarceType = demand.isScarce(spec, machine.status.type());
+    facts.taskCpus = spec.cpus();
+    facts.taskGpus = spec.gpus();
+    facts.taskMemoryGb = spec.memoryGb();
+    facts.waitedS = waitedS(ledJob, now);
+    facts.slackS =
+        spec.deadlineS() == null
+            ? Policy.Facts.NEVER_S
+            : spec.deadlineS()
+                - spec.estimatedRunS()
+                - (clock.wallClockMs() - ledJob.entry.submittedMs()) / 1000.0;
+    facts.estimateS = spec.estimatedRunS();
+    facts.priority = spec.priority().ordinal();
+    facts.pendingTasks = ledJob.pending();
+    facts.service = spec.isService();
+    facts.price = type == null ? 0 : machine.status.spot() ? type.spotPrice() : type.price();
+    return facts;
+  }
+
+  /**
+   * Since the job was submitted, or since a task of it was started last: what is being served,
+   * however slowly, doesn't starve.
+   */
+  private double waitedS(LedJob ledJob, long now) {
+    double ageS = (clock.wallClockMs() - ledJob.entry.submittedMs()) / 1000.0;
+    return ledJob.lastStartMs == 0 ? ageS : Math.min(ageS, (now - ledJob.lastStartMs) / 1000.0);
+  }
+
+  /** Whether some block of the policy takes the machine for the job. */
+  boolean accepts(Policy policy, MachineView machine, LedJob ledJob, long now) {
+    evaluate(machine, ledJob, now);
+    for (Policy.Block block : policy.blocks()) {
+      if (block.workers(facts) && !block.invalidate(facts)) {
+        return true;
+      }
+    }
+    return false;
+  }
+}
--- /dev/null
+++ b/src/main/java/mallowstall/core/placement/QueuedWork.java
@@ -0,0 +1,218 @@
+package mallowstall.core.placement;
+
+import it.unimi.dsi.fastutil.objects.Object2DoubleOpenHashMap;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import mallowstall.Constants;
+import mallowstall.core.autoscaling.MachineDemand;
+import mallowstall.core.cluster.ClusterView;
+import mallowstall.core.cluster.MachineTypeCatalog;
+import mallowstall.core.cluster.MachineView;
+import mallowstall.core.cluster.OpenJobs;
+import mallowstall.core.jobs.LedJob;
+import mallowstall.core.kernel.EventClock;
+import mallowstall.core.kv.StateStore;
+import mallowstall.core.model.Capacity;
+import mallowstall.core.model.CoreSettings;
+import mallowstall.core.model.JobEntry;
+import mallowstall.core.model.JobSpec;
+import mallowstall.core.model.MachineType;
+
+/**
+ * The waiting tasks of all open jobs, whoever holds them: by image, for the policies, and by rank,
+ * so that free room is left to those that come first. Mutable.
+ */
+public final class QueuedWork {
+  /** Waiting work of one job, as far as it matters to others. */
+  private record QueuedJob(
+      String jobId, int rank, String minimalType, String leader, double cpus) {}
+
+  private final EventClock clock;
+  private final CoreSettings settings;
+  private final ClusterView view;
+  private final MachineTypeCatalog types;
+  private final OpenJobs openJobs;
+  private final MachineDemand demand;
+  private final StateStore store;
+  private final JobRanking ranking;
+
+  /** Jobs that starve, whoever holds them, and since when that is known here. */
+  private final Map<String, Long> starvingSinceMs = new HashMap<>();
+
+  private final List<QueuedJob> queuedJobs = new ArrayList<>();
+
+  /** Seconds of work that wait, by image. */
+  private final Object2DoubleOpenHashMap<String> queuedSecondsByImage =
+      new Object2DoubleOpenHashMap<>();
+
+  /** Tasks that machines with the image can run at a time, by image. */
+  private final Object2DoubleOpenHashMap<String> warmSlotsByImage =
+      new Object2DoubleOpenHashMap<>();
+
+  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  public QueuedWork(
+      EventClock clock,
+      CoreSettings settings,
+      StateStore store,
+      ClusterView view,
+      MachineTypeCatalog types,
+      OpenJobs openJobs,
+      MachineDemand demand,
+      JobRanking ranking) {
+    this.clock = clock;
+    this.settings = settings;
+    this.view = view;
+    this.types = types;
+    this.openJobs = openJobs;
+    this.demand = demand;
+    this.store = store;
+    this.ranking = ranking;
+  }
+
+  /** Seconds in which the machines that have the image could serve all tasks that wait for it. */
+  double drainS(String image) {
+    double slots = warmSlotsByImage.getDouble(image);
+    return slots <= 0 ? Policy.Facts.NEVER_S : queuedSecondsByImage.getDouble(image) / slots;
+  }
+
+  /** The longest such time of the other images among these, if any of them is on a machine. */
+  double maxOtherDrainS(String image, Collection<String> others) {
+    double longestS = 0;
+    for (String other : others) {
+      double slots = warmSlotsByImage.getDouble(other);
+      if (slots > 0 && !other.equals(image)) {
+        longestS = Math.max(longestS, queuedSecondsByImage.getDouble(other) / slots);
+      }
+    }
+    return longestS;
+  }
+
+  /** One more machine will have the image. */
+  void addWarmMachine(MachineView machine, JobSpec spec) {
+    warmSlotsByImage.mergeDouble(spec.image(), taskSlots(machine, spec), Double::sum);
+  }
+
+  /**
+   * Whether the free room is owed to waiting tasks of other controllers' jobs that come first. It
+   * holds a job back only for a while, since those may have reasons of their own to wait.
+   */
+  boolean mustYield(LedJob ledJob, long now) {
+    String type = demand.minimalType(ledJob.spec);
+    if (type == null) {
+      return false;
+    }
+    int ownRank = ranking.rank(ledJob.entry, ledJob.spec);
+    // by turns, since it may have reasons of its own to wait
+    double starvingCpus = 0;
+    for (QueuedJob starvingJob : queuedJobs) {
+      long sinceMs =
+          starvingJob.rank > 0 ? now : starvingSinceMs.getOrDefault(starvingJob.jobId, now);
+      boolean yieldTurn =
+          (now - sinceMs) % (4 * Constants.STARVATION_YIELD_MS) < Constants.STARVATION_YIELD_MS;
+      if (starvingJob.rank == 0
+          && yieldTurn
+          && type.equals(starvingJob.minimalType)
+          && !settings.node().equals(starvingJob.leader)) {
+        starvingCpus += starvingJob.cpus;
+      }
+    }
+    if (starvingCpus > 0 && starvingCpus >= ranking.freeCpus(type)) {
+      return true;
+    }
+    double aheadCpus = 0;
+    for (QueuedJob queuedJob : queuedJobs) {
+      if (queuedJob.rank < ownRank
+          && type.equals(queuedJob.minimalType)
+          && !settings.node().equals(queuedJob.leader)) {
+        aheadCpus += queuedJob.cpus;
+      }
+    }
+    if (aheadCpus <= 0 || aheadCpus < ranking.freeCpus(type)) {
+      ledJob.outrankedSinceMs = 0;
+      return false;
+    }
+    if (ledJob.outrankedSinceMs == 0) {
+      ledJob.outrankedSinceMs = now;
+    }
+    return now - ledJob.outrankedSinceMs < Constants.OUTRANKED_YIELD_MS;
+  }
+
+  /**
+   * Per image: tasks waiting for a machine, over all holders, and slots on machines that have it.
+   */
+  void recompute() {
+    queuedSecondsByImage.clear();
+    queuedJobs.clear();
+    warmSlotsByImage.clear();
+    starvingSinceMs.keySet().removeIf(id -> store.job(id) == null || store.job(id).isTerminal());
+    Map<String, JobSpec> specByImage = new HashMap<>();
+    for (JobEntry job : openJobs.all()) {
+      if (!job.isTerminal()) {
+        specByImage.put(job.spec().image(), job.spec());
+        addQueuedJob(job);
+      }
+    }
+    for (MachineView machine : view.machines.values()) {
+      if (machine.isSchedulable()) {
+        addWarmSlots(machine, specByImage);
+      }
+    }
+  }
+
+  private void addQueuedJob(JobEntry job) {
+    JobSpec spec = job.spec();
+    int placed = view.placedTasks(spec.id());
+    int tasks = Math.max(0, spec.tasks() - job.completedTaskCount() - placed);
+    if (tasks == 0) {
+      return;
+    }
+    if (spec.estimatedRunS() > 0) {
+      queuedSecondsByImage.addTo(spec.image(), tasks * spec.estimatedRunS());
+    }
+    if (!store.isLive(job.leader(), job.incarnation())) {
+      return;
+    }
+    boolean starves =
+        placed == 0 && clock.wallClockMs() - job.submittedMs() > Constants.STARVATION_MS;
+    if (starves) {
+      starvingSinceMs.putIfAbsent(spec.id(), clock.now());
+    } else {
+      starvingSinceMs.remove(spec.id());
+    }
+    int rank = starves ? 0 : ranking.rank(job, spec);
+    double cpus = (starves ? Math.max(1, spec.tasks() / 10) : tasks) * spec.cpus();
+    queuedJobs.add(new QueuedJob(spec.id(), rank, demand.minimalType(spec), job.leader(), cpus));
+  }
+
+  /** A machine with several images that are waited for serves each of them only in part. */
+  private void addWarmSlots(MachineView machine, Map<String, JobSpec> specByImage) {
+    view.updateDerivedState(machine);
+    int queuedImages = 0;
+    for (String image : machine.images) {
+      if (queuedSecondsByImage.containsKey(image)) {
+        queuedImages++;
+      }
+    }
+    if (queuedImages == 0) {
+      return;
+    }
+    for (String image : machine.images) {
+      JobSpec spec = queuedSecondsByImage.containsKey(image) ? specByImage.get(image) : null;
+      if (spec != null && machine.allows(spec)) {
+        warmSlotsByImage.addTo(image, taskSlots(machine, spec) / queuedImages);
+      }
+    }
+  }
+
+  /** How many tasks like this one an empty machine would hold. */
+  private double taskSlots(MachineView machine, JobSpec spec) {
+    MachineType type = types.find(machine.status.type());
+    if (type == null) {
+      return 0;
+    }
+    return Capacity.fittingTasks(type.cpus(), type.gpus(), type.memoryGb(), spec);
+  }
+}
--- /dev/null
+++ b/src/main/java/mallowstall/core/placement/StartSender.java
@@ -0,0 +1,111 @@
+package mallowstall.core.placement;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import mallowstall.Constants;
+import mallowstall.core.cluster.ClusterView;
+import mallowstall.core.cluster.MachineView;
+import mallowstall.core.cluster.PeerMessenger;
+import mallowstall.core.cluster.PeerState;
+import mallowstall.core.jobs.ActiveAttempt;
+import mallowstall.core.jobs.JobLeader;
+import mallowstall.core.jobs.LedJob;
+import mallowstall.core.kernel.EventClock;
+import mallowstall.core.kernel.Metrics;
+import mallowstall.core.kv.StateStore;
+import mallowstall.core.model.CoreSettings;
+import mallowstall.core.model.StartBatch;
+import mallowstall.core.model.StartRequest;
+import mallowstall.core.model.TaskRef;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Sends starts to the owners of machines, those of one round together. Mutable. */
+public final class StartSender {
+  private static final Logger LOG = LoggerFactory.getLogger("mallowstall.placement");
+
+  private final EventClock clock;
+  private final CoreSettings settings;
+  private final Metrics metrics;
+  private final ClusterView view;
+  private final PeerMessenger messenger;
+  private final StateStore store;
+  private final JobLeader jobLeader;
+
+  /** Starts that have gathered, by owner. */
+  private final Map<String, List<StartRequest>> queuedByLeader = new LinkedHashMap<>();
+
+  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  public StartSender(
+      EventClock clock,
+      CoreSettings settings,
+      Metrics metrics,
+      StateStore store,
+      ClusterView view,
+      PeerMessenger messenger,
+      JobLeader jobLeader) {
+    this.clock = clock;
+    this.settings = settings;
+    this.metrics = metrics;
+    this.view = view;
+    this.messenger = messenger;
+    this.store = store;
+    this.jobLeader = jobLeader;
+  }
+
+  /** Starts a task on the machine, in the place of these others. */
+  void enqueue(LedJob ledJob, int task, MachineView machine, List<TaskRef> victims) {
+    PeerState peer = view.peer(machine.leader);
+    long attempt = (ledJob.entry.epoch() << Constants.ATTEMPT_BITS) + ++ledJob.attemptCounter;
+    long lifetimeMs = Math.min(Constants.START_EXPIRY_MS, store.sessionRemainingMs());
+    long expiryMs = clock.wallClockMs() + lifetimeMs - 2 * settings.maxClockSkewMs();
+    if (ledJob.activeAttempts.isEmpty() && ledJob.completedCount == 0) {
+      metrics.recordDuration("job_wait", clock.wallClockMs() - ledJob.entry.submittedMs());
+    }
+    jobLeader.trackAttempt(
+        new ActiveAttempt(
+            ledJob,
+            task,
+            attempt,
+            machine.id,
+            machine.status.zone(),
+            machine.status.type(),
+            machine.leader,
+            machine.leaderIncarnation,
+            peer.connection,
+            peer.nextSequence));
+    ledJob.lastStartMs = clock.now();
+    machine.reserve(ledJob.spec, 1);
+    queuedByLeader
+        .computeIfAbsent(machine.leader, k -> new ArrayList<>())
+        .add(
+            new StartRequest(
+                machine.id, ledJob.id, task, attempt, ledJob.entry.epoch(), expiryMs, victims));
+    LOG.debug(
+        "start {}/{} attempt {} on {} through {}, image {}",
+        ledJob.id,
+        task,
+        attempt,
+        machine.id,
+        machine.leader,
+        machine.status.images().contains(ledJob.spec.image()) ? "there" : "missing");
+  }
+
+  /** Sends the starts that have gathered, through the owners of their machines. */
+  void flush() {
+    for (Map.Entry<String, List<StartRequest>> entry : queuedByLeader.entrySet()) {
+      PeerState peer = view.peer(entry.getKey());
+      messenger.sendStarts(
+          entry.getKey(),
+          new StartBatch(
+              settings.node(),
+              store.incarnation(),
+              peer.connection,
+              peer.nextSequence++,
+              entry.getValue()));
+    }
+    queuedByLeader.clear();
+  }
+}
--- a/src/main/java/mallowstall/net/HttpServer.java
+++ b/src/main/java/mallowstall/net/HttpServer.java
@@ -72,9 +72,9 @@
         handler,
         maxConnections,
         new Timeouts(
-            Constants.SLOW_REQUEST_S * 1_000L,
-            Constants.IDLE_CONNECTION_S * 1_000L,
-            Constants.IDLE_SWEEP_MS));
+            Constants.REQUEST_READ_TIMEOUT_S * 1_000L,
+            Constants.IDLE_CONNECTION_TIMEOUT_S * 1_000L,
+            Constants.CONNECTION_SWEEP_INTERVAL_MS));
   }
 
   HttpServer(Handler handler, int maxConnections, Timeouts timeouts) {
@@ -140,14 +140,15 @@
   /** Collects a request's body; one over the limit is answered with 400, as the protocol says. */
   private static final class BodyAggregator extends HttpObjectAggregator {
     BodyAggregator() {
-      super(Constants.BODY_MAX);
+      super(Constants.BODY_MAX_BYTES);
     }
 
     @Override
     protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage message) {
       write(ctx, HttpStatus.BAD_REQUEST, BODY_TOO_LARGE, 0, false, false);
       // closing with unread bytes resets the connection, and the sender may never see the answer
-      ctx.executor().schedule((Runnable) ctx::close, Constants.LINGER_MS, TimeUnit.MILLISECONDS);
+      ctx.executor()
+          .schedule((Runnable) ctx::close, Constants.BODY_DISCARD_MS, TimeUnit.MILLISECONDS);
     }
   }
 
--- a/src/main/java/mallowstall/peers/PeerCodec.java
+++ b/src/main/java/mallowstall/peers/PeerCodec.java
@@ -5,18 +5,18 @@
 import java.util.ArrayList;
 import java.util.List;
 import mallowstall.Constants;
-import mallowstall.core.Model.ExitReason;
-import mallowstall.core.Model.PeerMessage;
-import mallowstall.core.Model.Refusal;
-import mallowstall.core.Model.Roster;
-import mallowstall.core.Model.RosterMachine;
-import mallowstall.core.Model.RosterTask;
-import mallowstall.core.Model.StartOrder;
-import mallowstall.core.Model.Starts;
-import mallowstall.core.Model.StopOrder;
-import mallowstall.core.Model.Stops;
-import mallowstall.core.Model.TaskRef;
-import mallowstall.core.Model.TaskState;
+import mallowstall.core.model.ExitReason;
+import mallowstall.core.model.MachineStatus;
+import mallowstall.core.model.PeerMessage;
+import mallowstall.core.model.StartBatch;
+import mallowstall.core.model.StartRejection;
+import mallowstall.core.model.StartRequest;
+import mallowstall.core.model.StatusUpdate;
+import mallowstall.core.model.StopBatch;
+import mallowstall.core.model.StopRequest;
+import mallowstall.core.model.TaskRef;
+import mallowstall.core.model.TaskState;
+import mallowstall.core.model.TaskStatus;
 import org.apache.avro.io.BinaryDecoder;
 import org.apache.avro.io.BinaryEncoder;
 import org.apache.avro.io.DecoderFactory;
@@ -58,7 +58,7 @@
   static {
     // without this limit a few bytes can make the decoder allocate two gigabytes
     System.setProperty(
-        "org.apache.avro.limits.string.maxLength", String.valueOf(Constants.PEER_TEXT_MAX));
+        "org.apache.avro.limits.string.maxLength", String.valueOf(Constants.PEER_TEXT_MAX_BYTES));
   }
 
   private PeerCodec() {}
@@ -68,22 +68,22 @@
     ByteArrayOutputStream out = new ByteArrayOutputStream(1024);
     BinaryEncoder encoder = EncoderFactory.get().binaryEncoder(out, null);
     try {
-      if (message instanceof Roster update) {
+      if (message instanceof StatusUpdate update) {
         encoder.writeIndex(STATUS_UPDATE);
         writeStatusUpdate(encoder, update);
-      } else if (message instanceof Starts starts) {
+      } else if (message instanceof StartBatch startBatch) {
         encoder.writeIndex(START_BATCH);
-        encoder.writeString(starts.node());
-        encoder.writeLong(starts.incarnation());
-        encoder.writeLong(starts.connection());
-        encoder.writeLong(starts.seq());
-        writeList(encoder, starts.starts(), PeerCodec::writeStart);
-      } else if (message instanceof Stops stops) {
+        encoder.writeString(startBatch.node());
+        encoder.writeLong(startBatch.incarnation());
+        encoder.writeLong(startBatch.connection());
+        encoder.writeLong(startBatch.sequence());
+        writeList(encoder, startBatch.starts(), PeerCodec::writeStart);
+      } else if (message instanceof StopBatch stopBatch) {
         encoder.writeIndex(STOP_BATCH);
-        encoder.writeString(stops.node());
-        encoder.writeLong(stops.incarnation());
-        writeList(encoder, stops.stops(), PeerCodec::writeStop);
-        writeList(encoder, stops.drains(), BinaryEncoder::writeString);
+        encoder.writeString(stopBatch.node());
+        encoder.writeLong(stopBatch.incarnation());
+        writeList(encoder, stopBatch.stops(), PeerCodec::writeStop);
+        writeList(encoder, stopBatch.machinesToDrain(), BinaryEncoder::writeString);
       }
       encoder.flush();
     } catch (IOException impossible) {
@@ -107,14 +107,14 @@
     return switch (kind) {
       case STATUS_UPDATE -> readStatusUpdate(decoder);
       case START_BATCH ->
-          new Starts(
+          new StartBatch(
               decoder.readString(),
               decoder.readLong(),
               decoder.readLong(),
               decoder.readLong(),
               readList(decoder, PeerCodec::readStart));
       case STOP_BATCH ->
-          new Stops(
+          new StopBatch(
               decoder.readString(),
               decoder.readLong(),
               readList(decoder, PeerCodec::readStop),
@@ -145,26 +145,27 @@
     return out;
   }
 
-  private static void writeStatusUpdate(BinaryEncoder encoder, Roster update) throws IOException {
+  private static void writeStatusUpdate(BinaryEncoder encoder, StatusUpdate update)
+      throws IOException {
     encoder.writeString(update.node());
     encoder.writeLong(update.incarnation());
     encoder.writeLong(update.serial());
-    encoder.writeLong(update.since());
-    encoder.writeLong(update.heardIncarnation());
-    encoder.writeLong(update.heardSerial());
-    encoder.writeLong(update.mirrorRevision());
-    encoder.writeLong(update.ackedIncarnation());
-    encoder.writeLong(update.ackedConnection());
-    encoder.writeLong(update.ackedSeq());
-    encoder.writeLong(update.sinceMirrorMs());
-    writeList(encoder, update.cancelled(), BinaryEncoder::writeString);
+    encoder.writeLong(update.baseSerial());
+    encoder.writeLong(update.acknowledgedIncarnation());
+    encoder.writeLong(update.acknowledgedSerial());
+    encoder.writeLong(update.replicaRevision());
+    encoder.writeLong(update.acknowledgedStartsIncarnation());
+    encoder.writeLong(update.acknowledgedStartsConnection());
+    encoder.writeLong(update.acknowledgedStartsSequence());
+    encoder.writeLong(update.replicaAgeMs());
+    writeList(encoder, update.cancelledJobs(), BinaryEncoder::writeString);
     writeList(encoder, update.machines(), PeerCodec::writeMachineStatus);
-    writeList(encoder, update.gone(), BinaryEncoder::writeString);
-    writeList(encoder, update.refusals(), PeerCodec::writeRejection);
+    writeList(encoder, update.releasedMachines(), BinaryEncoder::writeString);
+    writeList(encoder, update.rejections(), PeerCodec::writeRejection);
   }
 
-  private static Roster readStatusUpdate(BinaryDecoder decoder) throws IOException {
-    return new Roster(
+  private static StatusUpdate readStatusUpdate(BinaryDecoder decoder) throws IOException {
+    return new StatusUpdate(
         decoder.readString(),
         decoder.readLong(),
         decoder.readLong(),
@@ -182,25 +183,25 @@
         readList(decoder, PeerCodec::readRejection));
   }
 
-  private static void writeMachineStatus(BinaryEncoder encoder, RosterMachine state)
+  private static void writeMachineStatus(BinaryEncoder encoder, MachineStatus state)
       throws IOException {
     encoder.writeString(state.machine());
-    encoder.writeString(state.addr() == null ? "" : state.addr());
-    encoder.writeLong(state.token());
-    encoder.writeLong(state.version());
+    encoder.writeString(state.address() == null ? "" : state.address());
+    encoder.writeLong(state.fencingToken());
+    encoder.writeLong(state.entryRevision());
     encoder.writeLong(state.session());
-    encoder.writeLong(state.seq());
+    encoder.writeLong(state.heartbeatSequence());
     encoder.writeInt(
-        (state.confirmed() ? CONFIRMED : 0)
+        (state.tokenAcknowledged() ? CONFIRMED : 0)
             | (state.usable() ? USABLE : 0)
             | (state.draining() ? DRAINING : 0)
-            | (state.replace() ? REPLACE : 0)
-            | (state.silent() ? UNRESPONSIVE : 0)
+            | (state.needsReplacement() ? REPLACE : 0)
+            | (state.unresponsive() ? UNRESPONSIVE : 0)
             | (state.spot() ? SPOT : 0)
-            | (state.lost() ? LEASE_EXPIRED : 0));
+            | (state.leaseExpired() ? LEASE_EXPIRED : 0));
     encoder.writeString(state.type());
     encoder.writeString(state.zone());
-    encoder.writeDouble(state.noticeS());
+    encoder.writeDouble(state.interruptionNoticeS());
     encoder.writeDouble(state.freeCpus());
     encoder.writeDouble(state.freeGpus());
     encoder.writeDouble(state.freeMemoryGb());
@@ -209,7 +210,7 @@
     writeList(encoder, state.tasks(), PeerCodec::writeTaskStatus);
   }
 
-  private static RosterMachine readMachineStatus(BinaryDecoder decoder) throws IOException {
+  private static MachineStatus readMachineStatus(BinaryDecoder decoder) throws IOException {
     String id = decoder.readString();
     String addr = decoder.readString();
     long token = decoder.readLong();
@@ -219,7 +220,7 @@
     int flags = decoder.readInt();
     String type = decoder.readString();
     String zone = decoder.readString();
-    return new RosterMachine(
+    return new MachineStatus(
         id,
         addr.isEmpty() ? null : addr,
         token,
@@ -244,21 +245,21 @@
         readList(decoder, PeerCodec::readTaskStatus));
   }
 
-  private static void writeTaskStatus(BinaryEncoder encoder, RosterTask task) throws IOException {
+  private static void writeTaskStatus(BinaryEncoder encoder, TaskStatus task) throws IOException {
     encoder.writeString(task.job());
     encoder.writeInt(task.task());
     encoder.writeLong(task.attempt());
     writeEnumOrNull(encoder, task.state());
-    writeEnumOrNull(encoder, task.why());
+    writeEnumOrNull(encoder, task.exitReason());
   }
 
-  private static RosterTask readTaskStatus(BinaryDecoder decoder) throws IOException {
+  private static TaskStatus readTaskStatus(BinaryDecoder decoder) throws IOException {
     String job = decoder.readString();
     int task = decoder.readInt();
     long attempt = decoder.readLong();
     TaskState state = readEnumOrNull(decoder, "task state", STATES);
     ExitReason why = readEnumOrNull(decoder, "exit reason", EXIT_REASONS);
-    return new RosterTask(job, task, attempt, state, why);
+    return new TaskStatus(job, task, attempt, state, why);
   }
 
   private static void writeEnumOrNull(BinaryEncoder encoder, Enum<?> value) throws IOException {
@@ -274,7 +275,8 @@
     return index == 0 ? null : values[index - 1];
   }
 
-  private static void writeRejection(BinaryEncoder encoder, Refusal rejection) throws IOException {
+  private static void writeRejection(BinaryEncoder encoder, StartRejection rejection)
+      throws IOException {
     encoder.writeString(rejection.machine());
     encoder.writeString(rejection.job());
     encoder.writeInt(rejection.task());
@@ -282,8 +284,8 @@
     encoder.writeString(rejection.reason());
   }
 
-  private static Refusal readRejection(BinaryDecoder decoder) throws IOException {
-    return new Refusal(
+  private static StartRejection readRejection(BinaryDecoder decoder) throws IOException {
+    return new StartRejection(
         decoder.readString(),
         decoder.readString(),
         decoder.readInt(),
@@ -291,14 +293,14 @@
         decoder.readString());
   }
 
-  private static void writeStart(BinaryEncoder encoder, StartOrder start) throws IOException {
+  private static void writeStart(BinaryEncoder encoder, StartRequest start) throws IOException {
     encoder.writeString(start.machine());
     encoder.writeString(start.job());
     encoder.writeInt(start.task());
     encoder.writeLong(start.attempt());
-    encoder.writeLong(start.epoch());
+    encoder.writeLong(start.leaderEpoch());
     encoder.writeLong(start.expiryWallMs());
-    writeList(encoder, start.instead(), PeerCodec::writeTaskRef);
+    writeList(encoder, start.victims(), PeerCodec::writeTaskRef);
   }
 
   private static void writeTaskRef(BinaryEncoder encoder, TaskRef ref) throws IOException {
@@ -311,8 +313,8 @@
     return new TaskRef(decoder.readString(), decoder.readInt(), decoder.readLong());
   }
 
-  private static StartOrder readStart(BinaryDecoder decoder) throws IOException {
-    return new StartOrder(
+  private static StartRequest readStart(BinaryDecoder decoder) throws IOException {
+    return new StartRequest(
         decoder.readString(),
         decoder.readString(),
         decoder.readInt(),
@@ -322,16 +324,16 @@
         readList(decoder, PeerCodec::readTaskRef));
   }
 
-  private static void writeStop(BinaryEncoder encoder, StopOrder stop) throws IOException {
+  private static void writeStop(BinaryEncoder encoder, StopRequest stop) throws IOException {
     encoder.writeString(stop.machine());
     encoder.writeString(stop.job());
     encoder.writeInt(stop.task());
     encoder.writeLong(stop.attempt());
-    encoder.writeDouble(stop.graceS());
+    encoder.writeDouble(stop.gracePeriodS());
   }
 
-  private static StopOrder readStop(BinaryDecoder decoder) throws IOException {
-    return new StopOrder(
+  private static StopRequest readStop(BinaryDecoder decoder) throws IOException {
+    return new StopRequest(
         decoder.readString(),
         decoder.readString(),
         decoder.readInt(),
--- a/src/main/java/mallowstall/peers/PeerConnections.java
+++ b/src/main/java/mallowstall/peers/PeerConnections.java
@@ -21,9 +21,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import mallowstall.Constants;
-import mallowstall.core.Core;
-import mallowstall.core.Model.PeerMessage;
-import mallowstall.core.Model.Roster;
+import mallowstall.core.ControllerCore;
+import mallowstall.core.model.PeerMessage;
+import mallowstall.core.model.StatusUpdate;
 import mallowstall.net.TcpBootstraps;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -42,10 +42,11 @@
 
   private static final int CONNECT_TIMEOUT_MS = 1_500;
   private static final WriteBufferWaterMark BACKLOG =
-      new WriteBufferWaterMark(Constants.PEER_BACKLOG_MAX / 2, Constants.PEER_BACKLOG_MAX);
+      new WriteBufferWaterMark(
+          Constants.PEER_BACKLOG_MAX_BYTES / 2, Constants.PEER_BACKLOG_MAX_BYTES);
 
   private final EventLoop loop;
-  private final Core core;
+  private final ControllerCore core;
   private final Consumer<Runnable> events;
   private final Map<String, OutboundConnection> outbound = new HashMap<>();
   private final int maxInbound;
@@ -55,7 +56,8 @@
   private boolean closed;
 
   /** Connects to peers and accepts so many connections of theirs at most. */
-  public PeerConnections(EventLoop loop, Core core, Consumer<Runnable> events, int maxInbound) {
+  public PeerConnections(
+      EventLoop loop, ControllerCore core, Consumer<Runnable> events, int maxInbound) {
     this.loop = loop;
     this.core = core;
     this.events = events;
@@ -78,7 +80,7 @@
         .pipeline()
         .addLast(
             new LengthFieldBasedFrameDecoder(
-                Constants.PEER_FRAME_MAX, 0, LENGTH_BYTES, 0, LENGTH_BYTES),
+                Constants.PEER_FRAME_MAX_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES),
             new InboundHandler());
   }
 
@@ -96,7 +98,7 @@
       return;
     }
     // the next status update tells what this one does, so one that can't be sent now is dropped
-    if (message instanceof Roster && connection.channel.bytesBeforeUnwritable() <= 0) {
+    if (message instanceof StatusUpdate && connection.channel.bytesBeforeUnwritable() <= 0) {
       return;
     }
     connection.channel.writeAndFlush(Unpooled.wrappedBuffer(PeerCodec.encode(message)));
@@ -122,7 +124,7 @@
       byte[] bytes = new byte[frame.readableBytes()];
       frame.readBytes(bytes);
       PeerMessage message = PeerCodec.decode(bytes);
-      events.accept(() -> core.message(message));
+      events.accept(() -> core.handleMessage(message));
     }
 
     @Override
@@ -183,13 +185,13 @@
       long connectionNumber = ++connections;
       LOG.info("connected to peer={}", node);
       connection.closeFuture().addListener(closeFuture -> reconnect());
-      events.accept(() -> core.connected(node, connectionNumber));
+      events.accept(() -> core.peerConnected(node, connectionNumber));
     }
 
     private void reconnect() {
       channel = null;
       if (!closed) {
-        loop.schedule(this::connect, Constants.PEER_RETRY_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(this::connect, Constants.PEER_RECONNECT_INTERVAL_MS, TimeUnit.MILLISECONDS);
       }
     }
   }
--- a/src/main/java/mallowstall/policy/CompiledPolicy.java
+++ b/src/main/java/mallowstall/policy/CompiledPolicy.java
@@ -1,7 +1,10 @@
 package mallowstall.policy;
 
 import java.util.List;
-import mallowstall.core.Policy;
+import mallowstall.core.placement.Policy;
+import mallowstall.core.placement.Policy.Block;
+import mallowstall.core.placement.Policy.Facts;
+import mallowstall.core.placement.Policy.Strategy;
 import mallowstall.policy.Expression.BooleanExpression;
 import mallowstall.policy.Expression.NumberExpression;
 
--- a/src/main/java/mallowstall/policy/Expression.java
+++ b/src/main/java/mallowstall/policy/Expression.java
@@ -2,7 +2,7 @@
 
 import java.util.function.Predicate;
 import java.util.function.ToDoubleFunction;
-import mallowstall.core.Policy.Facts;
+import mallowstall.core.placement.Policy.Facts;
 
 /**
  * A typed expression, compiled to closures over {@link Facts}. It holds no loops and no recursion,
--- a/src/main/java/mallowstall/policy/ExpressionParser.java
+++ b/src/main/java/mallowstall/policy/ExpressionParser.java
@@ -6,7 +6,7 @@
 import java.util.function.DoubleBinaryOperator;
 import java.util.function.Predicate;
 import java.util.function.ToDoubleFunction;
-import mallowstall.core.Policy.Facts;
+import mallowstall.core.placement.Policy.Facts;
 import mallowstall.policy.Expression.BooleanExpression;
 import mallowstall.policy.Expression.NumberExpression;
 import mallowstall.policy.Expression.TextExpression;
--- a/src/main/java/mallowstall/policy/Policies.java
+++ b/src/main/java/mallowstall/policy/Policies.java
@@ -8,13 +8,13 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
-import mallowstall.core.Policy;
+import mallowstall.core.placement.Policy;
 
 /**
  * The operators' policies by class of jobs; classes without one of their own use {@code default}.
  * Immutable, so safe for any thread.
  */
-public final class Policies implements Policy.Book {
+public final class Policies implements Policy.PolicyRegistry {
   /** Class whose policy applies to all classes without one of their own. */
   static final String DEFAULT_CLASS = "default";
 
@@ -76,7 +76,7 @@
 
   /** The policy of a class of jobs; never null if the policies are usable. */
   @Override
-  public Policy forClass(String jobClass) {
+  public Policy forJobClass(String jobClass) {
     return policies.getOrDefault(jobClass, policies.get(DEFAULT_CLASS));
   }
 }
--- a/src/main/java/mallowstall/policy/TokenStream.java
+++ b/src/main/java/mallowstall/policy/TokenStream.java
@@ -1,13 +1,14 @@
 package mallowstall.policy;
 
 import java.util.List;
+import mallowstall.policy.Token.Kind;
 
 /** The tokens of a file with the position of the reader. Not thread-safe. */
 final class TokenStream {
   private final List<Token> tokens;
   private int position;
 
-  /** Begins at the first token; the last one must be {@link Token.Kind#END}. */
+  /** Begins at the first token; the last one must be {@link Kind#END}. */
   TokenStream(List<Token> tokens) {
     this.tokens = tokens;
   }
--- a/src/main/java/mallowstall/state/StateCodec.java
+++ b/src/main/java/mallowstall/state/StateCodec.java
@@ -4,11 +4,11 @@
 import java.io.IOException;
 import java.util.List;
 import java.util.Objects;
-import mallowstall.core.Effects.Cond;
-import mallowstall.core.Effects.Item;
-import mallowstall.core.Effects.Put;
-import mallowstall.core.Effects.Txn;
-import mallowstall.core.Model.Entry;
+import mallowstall.core.kernel.Condition;
+import mallowstall.core.kernel.KeyValue;
+import mallowstall.core.kernel.PutOperation;
+import mallowstall.core.kernel.Transaction;
+import mallowstall.core.model.StoredEntry;
 import mallowstall.json.JsonReader;
 import mallowstall.json.JsonWriter;
 import org.slf4j.Logger;
@@ -21,7 +21,7 @@
   private StateCodec() {}
 
   /** A page of keys, or the changes since a revision. */
-  record Page(List<Item> items, boolean more, long revision) {}
+  record Page(List<KeyValue> items, boolean more, long revision) {}
 
   /** The revision in a response; 0 if it has none. */
   static Long readRevision(JsonReader in) throws IOException {
@@ -39,14 +39,14 @@
   }
 
   /** Writes the fields of a transaction. */
-  static void write(JsonGenerator out, Txn transaction) throws IOException {
-    JsonWriter.list(out, StateProtocol.CONDITIONS, transaction.when(), StateCodec::write);
+  static void write(JsonGenerator out, Transaction transaction) throws IOException {
+    JsonWriter.list(out, StateProtocol.CONDITIONS, transaction.conditions(), StateCodec::write);
     out.writeFieldName(StateProtocol.OPERATIONS);
     out.writeStartArray();
-    for (Put put : transaction.puts()) {
+    for (PutOperation put : transaction.puts()) {
       write(out, put);
     }
-    for (String key : transaction.drops()) {
+    for (String key : transaction.deletes()) {
       out.writeStartObject();
       out.writeStringField(StateProtocol.DELETE, key);
       out.writeEndObject();
@@ -54,27 +54,27 @@
     out.writeEndArray();
   }
 
-  private static void write(JsonGenerator out, Cond condition) throws IOException {
+  private static void write(JsonGenerator out, Condition condition) throws IOException {
     out.writeStartObject();
     out.writeStringField(StateProtocol.KEY, condition.key());
-    out.writeNumberField(StateProtocol.VERSION, condition.version());
+    out.writeNumberField(StateProtocol.VERSION, condition.modRevision());
     out.writeEndObject();
   }
 
-  private static void write(JsonGenerator out, Put put) throws IOException {
+  private static void write(JsonGenerator out, PutOperation put) throws IOException {
     out.writeStartObject();
     out.writeStringField(StateProtocol.PUT, put.key());
     out.writeFieldName(StateProtocol.VALUE);
     StoredEntries.write(out, put.value());
-    if (put.lease() != 0) {
-      out.writeNumberField(StateProtocol.LEASE, put.lease());
+    if (put.leaseId() != 0) {
+      out.writeNumberField(StateProtocol.LEASE, put.leaseId());
     }
     out.writeEndObject();
   }
 
   /** Reads a page of keys, or of changes. */
   static Page readPage(JsonReader in) throws IOException {
-    List<Item> items = null;
+    List<KeyValue> items = null;
     boolean more = false;
     long revision = 0;
     in.enterObject();
@@ -94,10 +94,10 @@
   }
 
   /** A key with its value, or a change of it; null: its value is of no use here. */
-  static Item readItem(JsonReader in) throws IOException {
+  static KeyValue readItem(JsonReader in) throws IOException {
     String key = null;
     boolean dropped = false;
-    Entry value = null;
+    StoredEntry value = null;
     JsonReader.Deferred unread = null;
     long version = 0;
     if (!in.enterObjectIfPresent()) {
@@ -125,11 +125,11 @@
       String name = key;
       value = unread.read(later -> readEntry(name, later));
     }
-    return key != null && (dropped || value != null) ? new Item(key, value, version) : null;
+    return key != null && (dropped || value != null) ? new KeyValue(key, value, version) : null;
   }
 
   /** The value of the key; null if there is none, or if it can't be read. */
-  private static Entry readEntry(String key, JsonReader in) throws IOException {
+  private static StoredEntry readEntry(String key, JsonReader in) throws IOException {
     return in.readOrSkip(
         value -> StoredEntries.read(key, value),
         failure -> LOG.error("unreadable value of {} reason={}", key, failure.getMessage()));
--- a/src/main/java/mallowstall/state/StateServiceClient.java
+++ b/src/main/java/mallowstall/state/StateServiceClient.java
@@ -6,15 +6,16 @@
 import java.util.List;
 import java.util.function.Consumer;
 import mallowstall.Constants;
-import mallowstall.core.Effects.Code;
-import mallowstall.core.Effects.GetReply;
-import mallowstall.core.Effects.Item;
-import mallowstall.core.Effects.LeaseReply;
-import mallowstall.core.Effects.ListReply;
-import mallowstall.core.Effects.Txn;
-import mallowstall.core.Effects.TxnReply;
-import mallowstall.core.Effects.WatchReply;
-import mallowstall.core.Model.Entry;
+import mallowstall.core.kernel.Effects;
+import mallowstall.core.kernel.GetResult;
+import mallowstall.core.kernel.KeyValue;
+import mallowstall.core.kernel.LeaseResult;
+import mallowstall.core.kernel.ListResult;
+import mallowstall.core.kernel.ResultCode;
+import mallowstall.core.kernel.Transaction;
+import mallowstall.core.kernel.TransactionResult;
+import mallowstall.core.kernel.WatchResult;
+import mallowstall.core.model.StoredEntry;
 import mallowstall.json.JsonReader;
 import mallowstall.json.JsonWriter;
 import mallowstall.net.HttpClient;
@@ -40,14 +41,14 @@
     this.events = events;
   }
 
-  private static Code code(int status) {
+  private static ResultCode code(int status) {
     return switch (status) {
-      case HttpStatus.OK -> Code.OK;
-      case HttpStatus.CONFLICT -> Code.CONFLICT;
-      case HttpStatus.NOT_FOUND, HttpStatus.GONE -> Code.GONE;
-      case HttpStatus.BAD_REQUEST -> Code.MALFORMED;
-      case HttpClient.Reply.NO_RESPONSE -> Code.UNKNOWN;
-      default -> Code.REFUSED;
+      case HttpStatus.OK -> ResultCode.OK;
+      case HttpStatus.CONFLICT -> ResultCode.CONFLICT;
+      case HttpStatus.NOT_FOUND, HttpStatus.GONE -> ResultCode.EXPIRED;
+      case HttpStatus.BAD_REQUEST -> ResultCode.INVALID;
+      case HttpClient.Reply.NO_RESPONSE -> ResultCode.OUTCOME_UNKNOWN;
+      default -> ResultCode.REJECTED;
     };
   }
 
@@ -74,77 +75,79 @@
   }
 
   /** Bytes of the value as it is sent. */
-  public int encodedSize(Entry value) {
+  public int encodedSize(StoredEntry value) {
     return StoredEntries.encode(value).length;
   }
 
-  /** See {@link mallowstall.core.Effects#transact}. */
-  public void transact(Txn transaction, Consumer<TxnReply> then) {
+  /** See {@link Effects#transact}. */
+  public void transact(Transaction transaction, Consumer<TransactionResult> then) {
     call(
         HttpMethod.POST,
         StateProtocol.TRANSACTION_PATH,
         JsonWriter.object(out -> StateCodec.write(out, transaction)),
         reply -> {
-          Code code = code(reply.status());
+          ResultCode code = code(reply.status());
           if (reply.status() == HttpStatus.BAD_REQUEST) {
             String text = new String(reply.body(), StandardCharsets.UTF_8);
             if (text.contains(StateProtocol.NO_SUCH_LEASE)) {
-              code = Code.NO_LEASE;
+              code = ResultCode.LEASE_NOT_FOUND;
             } else {
               LOG.error("transaction malformed for the state service reason={}", text);
             }
           }
           Long revision =
-              code == Code.OK || code == Code.CONFLICT
+              code == ResultCode.OK || code == ResultCode.CONFLICT
                   ? read(reply.body(), StateCodec::readRevision)
                   : null;
-          if (revision == null && code == Code.OK) {
-            code = Code.UNKNOWN;
+          if (revision == null && code == ResultCode.OK) {
+            code = ResultCode.OUTCOME_UNKNOWN;
           }
-          then.accept(new TxnReply(code, revision == null ? 0 : revision));
+          then.accept(new TransactionResult(code, revision == null ? 0 : revision));
         });
   }
 
-  /** See {@link mallowstall.core.Effects#get}. */
-  public void get(String key, Consumer<GetReply> then) {
+  /** See {@link Effects#get}. */
+  public void get(String key, Consumer<GetResult> then) {
     call(
         HttpMethod.GET,
         StateProtocol.keyPath(key),
         null,
         reply -> {
           if (reply.status() == HttpStatus.NOT_FOUND) {
-            then.accept(new GetReply(Code.OK, new Item(key, null, 0)));
+            then.accept(new GetResult(ResultCode.OK, new KeyValue(key, null, 0)));
             return;
           }
-          Item item = content(reply, StateCodec::readItem);
+          KeyValue item = content(reply, StateCodec::readItem);
           if (item == null || item.value() == null) {
             then.accept(
-                new GetReply(
-                    reply.status() == HttpStatus.OK ? Code.REFUSED : code(reply.status()), null));
+                new GetResult(
+                    reply.status() == HttpStatus.OK ? ResultCode.REJECTED : code(reply.status()),
+                    null));
           } else {
-            then.accept(new GetReply(Code.OK, new Item(key, item.value(), item.version())));
+            then.accept(
+                new GetResult(ResultCode.OK, new KeyValue(key, item.value(), item.modRevision())));
           }
         });
   }
 
-  /** See {@link mallowstall.core.Effects#list}. */
-  public void list(String after, Consumer<ListReply> then) {
+  /** See {@link Effects#list}. */
+  public void list(String after, Consumer<ListResult> then) {
     call(
         HttpMethod.GET,
-        StateProtocol.listPath(after, Constants.LIST_PAGE),
+        StateProtocol.listPath(after, Constants.LIST_PAGE_SIZE),
         null,
         reply -> {
           StateCodec.Page page = content(reply, StateCodec::readPage);
           if (page == null) {
-            then.accept(new ListReply(Code.REFUSED, List.of(), false, 0));
+            then.accept(new ListResult(ResultCode.REJECTED, List.of(), false, 0));
             return;
           }
-          then.accept(new ListReply(Code.OK, page.items(), page.more(), page.revision()));
+          then.accept(new ListResult(ResultCode.OK, page.items(), page.more(), page.revision()));
         });
   }
 
-  /** See {@link mallowstall.core.Effects#watch}. */
-  public void watch(long after, long holdMs, Consumer<WatchReply> then) {
+  /** See {@link Effects#watch}. */
+  public void watch(long after, long holdMs, Consumer<WatchResult> then) {
     watches.call(
         HttpMethod.GET,
         StateProtocol.changesPath(after, holdMs),
@@ -155,19 +158,21 @@
                 () -> {
                   StateCodec.Page page = content(reply, StateCodec::readPage);
                   if (page != null) {
-                    then.accept(new WatchReply(Code.OK, page.items(), page.revision()));
+                    then.accept(new WatchResult(ResultCode.OK, page.items(), page.revision()));
                   } else {
                     then.accept(
-                        new WatchReply(
-                            reply.status() == HttpStatus.GONE ? Code.GONE : Code.REFUSED,
+                        new WatchResult(
+                            reply.status() == HttpStatus.GONE
+                                ? ResultCode.EXPIRED
+                                : ResultCode.REJECTED,
                             List.of(),
                             0));
                   }
                 }));
   }
 
-  /** See {@link mallowstall.core.Effects#grantLease}. */
-  public void grantLease(long ttlMs, Consumer<LeaseReply> then) {
+  /** See {@link Effects#grantLease}. */
+  public void grantLease(long ttlMs, Consumer<LeaseResult> then) {
     call(
         HttpMethod.POST,
         StateProtocol.LEASES_PATH,
@@ -175,22 +180,23 @@
         reply -> {
           Long lease = content(reply, StateCodec::readLease);
           then.accept(
-              new LeaseReply(lease == null ? Code.REFUSED : Code.OK, lease == null ? 0 : lease));
+              new LeaseResult(
+                  lease == null ? ResultCode.REJECTED : ResultCode.OK, lease == null ? 0 : lease));
         });
   }
 
-  /** See {@link mallowstall.core.Effects#renewLease}. */
-  public void renewLease(long lease, Consumer<LeaseReply> then) {
+  /** See {@link Effects#renewLease}. */
+  public void renewLease(long lease, Consumer<LeaseResult> then) {
     call(
         HttpMethod.POST,
         StateProtocol.renewPath(lease),
         null,
         reply ->
             then.accept(
-                new LeaseReply(
+                new LeaseResult(
                     reply.status() == HttpStatus.NOT_FOUND
-                        ? Code.GONE
-                        : reply.status() == HttpStatus.OK ? Code.OK : Code.REFUSED,
+                        ? ResultCode.EXPIRED
+                        : reply.status() == HttpStatus.OK ? ResultCode.OK : ResultCode.REJECTED,
                     lease)));
   }
 }
--- a/src/main/java/mallowstall/state/StoredEntries.java
+++ b/src/main/java/mallowstall/state/StoredEntries.java
@@ -3,19 +3,19 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 import java.util.List;
-import mallowstall.core.Model.BitsRec;
-import mallowstall.core.Model.CounterRec;
-import mallowstall.core.Model.DigestRec;
-import mallowstall.core.Model.DutyRec;
-import mallowstall.core.Model.Entry;
-import mallowstall.core.Model.GroupMachine;
-import mallowstall.core.Model.GroupRec;
-import mallowstall.core.Model.JobRec;
-import mallowstall.core.Model.MachineRec;
-import mallowstall.core.Model.Room;
-import mallowstall.core.Model.SessionRec;
-import mallowstall.core.Model.TeamRec;
-import mallowstall.core.Model.VersionRec;
+import mallowstall.core.model.AutoscalerLeaderEntry;
+import mallowstall.core.model.CompletionBitsEntry;
+import mallowstall.core.model.DigestEntry;
+import mallowstall.core.model.FreeCapacity;
+import mallowstall.core.model.IncarnationCounterEntry;
+import mallowstall.core.model.JobEntry;
+import mallowstall.core.model.MachineEntry;
+import mallowstall.core.model.MachineGroupEntry;
+import mallowstall.core.model.MachineGroupMember;
+import mallowstall.core.model.SessionEntry;
+import mallowstall.core.model.StoredEntry;
+import mallowstall.core.model.TeamUsageEntry;
+import mallowstall.core.model.VersionEntry;
 import mallowstall.json.JsonReader;
 import mallowstall.json.JsonWriter;
 
@@ -27,13 +27,13 @@
   private StoredEntries() {}
 
   /** The entry as it is sent. */
-  public static byte[] encode(Entry entry) {
+  public static byte[] encode(StoredEntry entry) {
     return JsonWriter.document(out -> write(out, entry));
   }
 
   /** Reads the entry that stands under this key; null: there is none, or the key isn't known. */
-  public static Entry read(String key, JsonReader in) throws IOException {
-    JsonReader.ValueReader<? extends Entry> fields = reader(key);
+  public static StoredEntry read(String key, JsonReader in) throws IOException {
+    JsonReader.ValueReader<? extends StoredEntry> fields = reader(key);
     if (fields == null) {
       in.skip();
       return null;
@@ -42,7 +42,7 @@
   }
 
   /** What reads the fields of the entries under such a key; null: nothing does. */
-  private static JsonReader.ValueReader<? extends Entry> reader(String key) {
+  private static JsonReader.ValueReader<? extends StoredEntry> reader(String key) {
     return switch (key.length() < 4 ? "" : key.substring(0, 4)) {
       case "c/j/" -> StoredJobs::read;
       case "c/m/" -> StoredEntries::machine;
@@ -62,29 +62,29 @@
   }
 
   /** Writes the entry as one JSON object. */
-  static void write(JsonGenerator out, Entry entry) throws IOException {
+  static void write(JsonGenerator out, StoredEntry entry) throws IOException {
     out.writeStartObject();
-    if (entry instanceof JobRec job) {
+    if (entry instanceof JobEntry job) {
       StoredJobs.write(out, job);
-    } else if (entry instanceof MachineRec machine) {
+    } else if (entry instanceof MachineEntry machine) {
       write(out, machine);
-    } else if (entry instanceof GroupRec group) {
+    } else if (entry instanceof MachineGroupEntry group) {
       write(out, group);
-    } else if (entry instanceof SessionRec session) {
+    } else if (entry instanceof SessionEntry session) {
       writeProcess(out, session.node(), session.incarnation());
-    } else if (entry instanceof VersionRec version) {
+    } else if (entry instanceof VersionEntry version) {
       writeProcess(out, version.node(), version.incarnation());
-      out.writeNumberField(StoredFields.VERSION, version.version());
-    } else if (entry instanceof TeamRec team) {
-      out.writeNumberField(StoredFields.CPUS, team.cpus());
-      out.writeNumberField(StoredFields.GPUS, team.gpus());
-    } else if (entry instanceof DigestRec digest) {
+      out.writeNumberField(StoredFields.VERSION, version.programVersion());
+    } else if (entry instanceof TeamUsageEntry team) {
+      out.writeNumberField(StoredFields.CPUS, team.reservedCpus());
+      out.writeNumberField(StoredFields.GPUS, team.reservedGpus());
+    } else if (entry instanceof DigestEntry digest) {
       write(out, digest);
-    } else if (entry instanceof BitsRec bits) {
-      out.writeBinaryField(StoredFields.COMPLETED_BITS, bits.done());
-    } else if (entry instanceof DutyRec duty) {
+    } else if (entry instanceof CompletionBitsEntry bits) {
+      out.writeBinaryField(StoredFields.COMPLETED_BITS, bits.bits());
+    } else if (entry instanceof AutoscalerLeaderEntry duty) {
       writeProcess(out, duty.node(), duty.incarnation());
-    } else if (entry instanceof CounterRec counter) {
+    } else if (entry instanceof IncarnationCounterEntry counter) {
       out.writeNumberField(StoredFields.COUNTER, counter.value());
     }
     out.writeEndObject();
@@ -96,20 +96,20 @@
     out.writeNumberField(StoredFields.INCARNATION, incarnation);
   }
 
-  private static void write(JsonGenerator out, MachineRec machine) throws IOException {
+  private static void write(JsonGenerator out, MachineEntry machine) throws IOException {
     writeProcess(out, machine.node(), machine.incarnation());
-    out.writeNumberField(StoredFields.TOKEN, machine.token());
+    out.writeNumberField(StoredFields.TOKEN, machine.fencingToken());
     out.writeStringField(StoredFields.TYPE, machine.type());
     out.writeStringField(StoredFields.ZONE, machine.zone());
     out.writeBooleanField(StoredFields.SPOT, machine.spot());
   }
 
-  private static void write(JsonGenerator out, GroupRec group) throws IOException {
+  private static void write(JsonGenerator out, MachineGroupEntry group) throws IOException {
     writeProcess(out, group.node(), group.incarnation());
     JsonWriter.list(out, StoredFields.MACHINES, group.machines(), StoredEntries::writeMember);
   }
 
-  private static void writeMember(JsonGenerator out, GroupMachine member) throws IOException {
+  private static void writeMember(JsonGenerator out, MachineGroupMember member) throws IOException {
     out.writeStartObject();
     out.writeStringField(StoredFields.ID, member.id());
     out.writeStringField(StoredFields.TYPE, member.type());
@@ -118,22 +118,23 @@
     out.writeEndObject();
   }
 
-  private static void write(JsonGenerator out, DigestRec digest) throws IOException {
+  private static void write(JsonGenerator out, DigestEntry digest) throws IOException {
     out.writeNumberField(StoredFields.INCARNATION, digest.incarnation());
-    JsonWriter.list(out, StoredFields.FREE_CAPACITY, digest.rooms(), StoredEntries::writeRoom);
+    JsonWriter.list(
+        out, StoredFields.FREE_CAPACITY, digest.freeCapacities(), StoredEntries::writeRoom);
     out.writeNumberField(StoredFields.PENDING_CPUS, digest.pendingCpus());
   }
 
-  private static void writeRoom(JsonGenerator out, Room room) throws IOException {
+  private static void writeRoom(JsonGenerator out, FreeCapacity room) throws IOException {
     out.writeStartObject();
     out.writeStringField(StoredFields.MACHINE, room.machine());
-    out.writeNumberField(StoredFields.CPUS, room.cpus());
-    out.writeNumberField(StoredFields.GPUS, room.gpus());
-    out.writeNumberField(StoredFields.MEMORY_GB, room.memoryGb());
+    out.writeNumberField(StoredFields.CPUS, room.freeCpus());
+    out.writeNumberField(StoredFields.GPUS, room.freeGpus());
+    out.writeNumberField(StoredFields.MEMORY_GB, room.freeMemoryGb());
     out.writeEndObject();
   }
 
-  private static SessionRec session(JsonReader in) throws IOException {
+  private static SessionEntry session(JsonReader in) throws IOException {
     String node = null;
     long incarnation = 0;
     while (in.nextField()) {
@@ -143,15 +144,15 @@
         default -> in.skip();
       }
     }
-    return new SessionRec(node, incarnation);
+    return new SessionEntry(node, incarnation);
   }
 
-  private static DutyRec duty(JsonReader in) throws IOException {
-    SessionRec process = session(in);
-    return new DutyRec(process.node(), process.incarnation());
+  private static AutoscalerLeaderEntry duty(JsonReader in) throws IOException {
+    SessionEntry process = session(in);
+    return new AutoscalerLeaderEntry(process.node(), process.incarnation());
   }
 
-  private static VersionRec version(JsonReader in) throws IOException {
+  private static VersionEntry version(JsonReader in) throws IOException {
     String node = null;
     long incarnation = 0;
     int version = 0;
@@ -163,10 +164,10 @@
         default -> in.skip();
       }
     }
-    return new VersionRec(node, incarnation, version);
+    return new VersionEntry(node, incarnation, version);
   }
 
-  private static MachineRec machine(JsonReader in) throws IOException {
+  private static MachineEntry machine(JsonReader in) throws IOException {
     String node = null;
     long incarnation = 0;
     long token = 0;
@@ -184,13 +185,13 @@
         default -> in.skip();
       }
     }
-    return new MachineRec(node, incarnation, token, type, zone, spot);
+    return new MachineEntry(node, incarnation, token, type, zone, spot);
   }
 
-  private static GroupRec group(JsonReader in) throws IOException {
+  private static MachineGroupEntry group(JsonReader in) throws IOException {
     String node = null;
     long incarnation = 0;
-    List<GroupMachine> machines = null;
+    List<MachineGroupMember> machines = null;
     while (in.nextField()) {
       switch (in.field()) {
         case StoredFields.NODE -> node = in.string();
@@ -199,10 +200,10 @@
         default -> in.skip();
       }
     }
-    return new GroupRec(node, incarnation, machines);
+    return new MachineGroupEntry(node, incarnation, machines);
   }
 
-  private static GroupMachine member(JsonReader in) throws IOException {
+  private static MachineGroupMember member(JsonReader in) throws IOException {
     if (!in.enterObjectIfPresent()) {
       return null;
     }
@@ -219,10 +220,10 @@
         default -> in.skip();
       }
     }
-    return new GroupMachine(id, type, zone, spot);
+    return new MachineGroupMember(id, type, zone, spot);
   }
 
-  private static TeamRec team(JsonReader in) throws IOException {
+  private static TeamUsageEntry team(JsonReader in) throws IOException {
     double cpus = 0;
     double gpus = 0;
     while (in.nextField()) {
@@ -232,12 +233,12 @@
         default -> in.skip();
       }
     }
-    return new TeamRec(cpus, gpus);
+    return new TeamUsageEntry(cpus, gpus);
   }
 
-  private static DigestRec digest(JsonReader in) throws IOException {
+  private static DigestEntry digest(JsonReader in) throws IOException {
     long incarnation = 0;
-    List<Room> rooms = null;
+    List<FreeCapacity> rooms = null;
     double pendingCpus = 0;
     while (in.nextField()) {
       switch (in.field()) {
@@ -247,10 +248,10 @@
         default -> in.skip();
       }
     }
-    return new DigestRec(incarnation, rooms, pendingCpus);
+    return new DigestEntry(incarnation, rooms, pendingCpus);
   }
 
-  private static Room room(JsonReader in) throws IOException {
+  private static FreeCapacity room(JsonReader in) throws IOException {
     if (!in.enterObjectIfPresent()) {
       return null;
     }
@@ -267,10 +268,10 @@
         default -> in.skip();
       }
     }
-    return new Room(machine, cpus, gpus, memoryGb);
+    return new FreeCapacity(machine, cpus, gpus, memoryGb);
   }
 
-  private static BitsRec bits(JsonReader in) throws IOException {
+  private static CompletionBitsEntry bits(JsonReader in) throws IOException {
     byte[] done = null;
     while (in.nextField()) {
       switch (in.field()) {
@@ -278,10 +279,10 @@
         default -> in.skip();
       }
     }
-    return new BitsRec(done);
+    return new CompletionBitsEntry(done);
   }
 
-  private static CounterRec counter(JsonReader in) throws IOException {
+  private static IncarnationCounterEntry counter(JsonReader in) throws IOException {
     long value = 0;
     while (in.nextField()) {
       switch (in.field()) {
@@ -289,6 +290,6 @@
         default -> in.skip();
       }
     }
-    return new CounterRec(value);
+    return new IncarnationCounterEntry(value);
   }
 }
--- a/src/main/java/mallowstall/state/StoredJobs.java
+++ b/src/main/java/mallowstall/state/StoredJobs.java
@@ -3,11 +3,11 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 import java.util.List;
-import mallowstall.core.Model.Final;
-import mallowstall.core.Model.JobKind;
-import mallowstall.core.Model.JobRec;
-import mallowstall.core.Model.JobSpec;
-import mallowstall.core.Model.Priority;
+import mallowstall.core.model.JobEntry;
+import mallowstall.core.model.JobKind;
+import mallowstall.core.model.JobOutcome;
+import mallowstall.core.model.JobSpec;
+import mallowstall.core.model.Priority;
 import mallowstall.json.JsonReader;
 import mallowstall.json.JsonWriter;
 
@@ -16,19 +16,19 @@
   private StoredJobs() {}
 
   /** Writes the fields of the entry. */
-  static void write(JsonGenerator out, JobRec job) throws IOException {
+  static void write(JsonGenerator out, JobEntry job) throws IOException {
     out.writeFieldName(StoredFields.SPEC);
     out.writeStartObject();
     write(out, job.spec());
     out.writeEndObject();
     out.writeNumberField(StoredFields.SUBMITTED_MS, job.submittedMs());
-    out.writeStringField(StoredFields.LEADER, job.holder());
+    out.writeStringField(StoredFields.LEADER, job.leader());
     out.writeNumberField(StoredFields.INCARNATION, job.incarnation());
     out.writeNumberField(StoredFields.EPOCH, job.epoch());
-    out.writeBinaryField(StoredFields.COMPLETED_BITS, job.done());
-    out.writeNumberField(StoredFields.COMPLETED_COUNT, job.doneCount());
-    out.writeNumberField(StoredFields.QUOTA_RESERVATION, job.grant());
-    out.writeStringField(StoredFields.OUTCOME, job.fin().name());
+    out.writeBinaryField(StoredFields.COMPLETED_BITS, job.completionBits());
+    out.writeNumberField(StoredFields.COMPLETED_COUNT, job.completedTaskCount());
+    out.writeNumberField(StoredFields.QUOTA_RESERVATION, job.quotaReservedTasks());
+    out.writeStringField(StoredFields.OUTCOME, job.outcome().name());
   }
 
   private static void write(JsonGenerator out, JobSpec spec) throws IOException {
@@ -42,14 +42,14 @@
     out.writeNumberField(StoredFields.MEMORY_GB, spec.memoryGb());
     out.writeStringField(StoredFields.IMAGE, spec.image());
     out.writeNumberField(StoredFields.IMAGE_GB, spec.imageGb());
-    JsonWriter.strings(out, StoredFields.TYPES, spec.types());
+    JsonWriter.strings(out, StoredFields.TYPES, spec.machineTypes());
     out.writeStringField(StoredFields.ZONE, spec.zone());
-    out.writeBooleanField(StoredFields.ONE_ZONE, spec.oneZone());
+    out.writeBooleanField(StoredFields.ONE_ZONE, spec.singleZone());
     out.writeBooleanField(StoredFields.SPREAD, spec.spread());
     out.writeBooleanField(StoredFields.SPOT, spec.spot());
-    out.writeNumberField(StoredFields.ESTIMATE_S, spec.estimateS());
-    out.writeNumberField(StoredFields.CHECKPOINT_S, spec.checkpointS());
-    out.writeNumberField(StoredFields.SAVE_S, spec.saveS());
+    out.writeNumberField(StoredFields.ESTIMATE_S, spec.estimatedRunS());
+    out.writeNumberField(StoredFields.CHECKPOINT_S, spec.checkpointIntervalS());
+    out.writeNumberField(StoredFields.SAVE_S, spec.checkpointSaveS());
     JsonWriter.doubleOrNull(out, StoredFields.DEADLINE_S, spec.deadlineS());
     // only where it isn't the usual one: entries of batch jobs equal those of versions without
     // services, byte for byte
@@ -59,7 +59,7 @@
   }
 
   /** Reads the fields of an entry. */
-  static JobRec read(JsonReader in) throws IOException {
+  static JobEntry read(JsonReader in) throws IOException {
     JobSpec spec = null;
     long submittedMs = 0;
     String holder = null;
@@ -68,7 +68,7 @@
     byte[] done = null;
     int doneCount = 0;
     int grant = 0;
-    Final fin = null;
+    JobOutcome fin = null;
     while (in.nextField()) {
       switch (in.field()) {
         case StoredFields.SPEC ->
@@ -80,11 +80,11 @@
         case StoredFields.COMPLETED_BITS -> done = in.bytes();
         case StoredFields.COMPLETED_COUNT -> doneCount = in.intOrZero();
         case StoredFields.QUOTA_RESERVATION -> grant = in.intOrZero();
-        case StoredFields.OUTCOME -> fin = in.enumConstant(Final.class);
+        case StoredFields.OUTCOME -> fin = in.enumConstant(JobOutcome.class);
         default -> in.skip();
       }
     }
-    return new JobRec(spec, submittedMs, holder, incarnation, epoch, done, doneCount, grant, fin);
+    return new JobEntry(spec, submittedMs, holder, incarnation, epoch, done, doneCount, grant, fin);
   }
 
   /** A description as its fields come in. Mutable. */
--- a/src/main/java/mallowstall/users/Submission.java
+++ b/src/main/java/mallowstall/users/Submission.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.regex.Pattern;
 import mallowstall.Constants;
-import mallowstall.core.Model.JobKind;
-import mallowstall.core.Model.JobSpec;
-import mallowstall.core.Model.Priority;
+import mallowstall.core.model.JobKind;
+import mallowstall.core.model.JobSpec;
+import mallowstall.core.model.Priority;
 import mallowstall.json.JsonReader;
 import mallowstall.json.WrongTypeException;
 
--- a/src/main/java/mallowstall/users/UserApiHandler.java
+++ b/src/main/java/mallowstall/users/UserApiHandler.java
@@ -2,9 +2,9 @@
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
-import mallowstall.core.Core;
-import mallowstall.core.Model.JobSpec;
-import mallowstall.core.Model.UserAnswer;
+import mallowstall.core.ControllerCore;
+import mallowstall.core.model.ApiResponse;
+import mallowstall.core.model.JobSpec;
 import mallowstall.json.JsonWriter;
 import mallowstall.net.HttpServer.Request;
 import mallowstall.net.HttpServer.Responder;
@@ -12,10 +12,10 @@
 
 /** Submissions, queries and cancellations of users (protocol, Users). Runs on the event loop. */
 public final class UserApiHandler {
-  private final Core core;
+  private final ControllerCore core;
 
   /** Turns users' requests into events of the core. */
-  public UserApiHandler(Core core) {
+  public UserApiHandler(ControllerCore core) {
     this.core = core;
   }
 
@@ -28,7 +28,7 @@
       if (malformed.job() == null) {
         error(responder, HttpStatus.BAD_REQUEST, malformed.getMessage());
       } else {
-        core.refuse(
+        core.rejectSubmission(
             malformed.job(),
             malformed.getMessage(),
             userAnswer -> answer(userAnswer, responder, true));
@@ -70,7 +70,7 @@
     return JsonWriter.object(out -> out.writeStringField(UserProtocol.ERROR, message));
   }
 
-  private static void answer(UserAnswer answer, Responder responder, boolean brief) {
+  private static void answer(ApiResponse answer, Responder responder, boolean brief) {
     if (answer.state() == null) {
       responder.answer(answer.status(), error(answer.message()), answer.retryAfterS());
     } else {
@@ -80,13 +80,13 @@
   }
 
   /** A job's state as it is told. */
-  private static void writeState(JsonGenerator out, UserAnswer answer, boolean brief)
+  private static void writeState(JsonGenerator out, ApiResponse answer, boolean brief)
       throws IOException {
     out.writeStringField(UserProtocol.JOB, answer.id());
     out.writeStringField(UserProtocol.STATE, answer.state());
     if (!brief) {
-      out.writeNumberField(UserProtocol.DONE, answer.done());
-      out.writeNumberField(UserProtocol.RUNNING, answer.running());
+      out.writeNumberField(UserProtocol.DONE, answer.completedTaskCount());
+      out.writeNumberField(UserProtocol.RUNNING, answer.runningTaskCount());
     }
   }
 }
--- a/src/main/java/mallowstall/workers/HeartbeatCodec.java
+++ b/src/main/java/mallowstall/workers/HeartbeatCodec.java
@@ -3,12 +3,12 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 import java.util.List;
-import mallowstall.core.Model.Command;
-import mallowstall.core.Model.CommandKind;
-import mallowstall.core.Model.ExitReason;
-import mallowstall.core.Model.Report;
-import mallowstall.core.Model.TaskReport;
-import mallowstall.core.Model.TaskState;
+import mallowstall.core.model.CommandKind;
+import mallowstall.core.model.ExitReason;
+import mallowstall.core.model.Heartbeat;
+import mallowstall.core.model.TaskReport;
+import mallowstall.core.model.TaskState;
+import mallowstall.core.model.WorkerCommand;
 import mallowstall.json.JsonReader;
 import mallowstall.json.JsonWriter;
 
@@ -17,19 +17,19 @@
   private HeartbeatCodec() {}
 
   /** Reads a heartbeat; an {@link IOException} says which field is wrong. */
-  static Report read(byte[] body) throws IOException {
-    Report report = JsonReader.read(body, HeartbeatCodec::readFields);
-    if (report == null) {
+  static Heartbeat read(byte[] body) throws IOException {
+    Heartbeat heartbeat = JsonReader.read(body, HeartbeatCodec::readFields);
+    if (heartbeat == null) {
       throw new IOException("the heartbeat is null: expected an object");
     }
-    require(WorkerProtocol.MACHINE, report.machine());
-    require(WorkerProtocol.MACHINE_TYPE, report.type());
-    require(WorkerProtocol.ZONE, report.zone());
-    if (report.session() < 1) {
+    require(WorkerProtocol.MACHINE, heartbeat.machine());
+    require(WorkerProtocol.MACHINE_TYPE, heartbeat.type());
+    require(WorkerProtocol.ZONE, heartbeat.zone());
+    if (heartbeat.session() < 1) {
       throw new IOException(
-          WorkerProtocol.SESSION + " is " + report.session() + ": expected 1 or more");
+          WorkerProtocol.SESSION + " is " + heartbeat.session() + ": expected 1 or more");
     }
-    return report;
+    return heartbeat;
   }
 
   private static void require(String field, String value) throws IOException {
@@ -38,7 +38,7 @@
     }
   }
 
-  private static Report readFields(JsonReader in) throws IOException {
+  private static Heartbeat readFields(JsonReader in) throws IOException {
     String machine = null;
     String addr = null;
     String type = null;
@@ -67,7 +67,7 @@
         default -> in.skip();
       }
     }
-    return new Report(machine, addr, type, zone, spot, session, seq, token, noticeS, tasks);
+    return new Heartbeat(machine, addr, type, zone, spot, session, seq, token, noticeS, tasks);
   }
 
   private static List<TaskReport> readTasks(JsonReader in) throws IOException {
@@ -121,7 +121,7 @@
   private static TaskState state(String word) {
     return switch (word == null ? "" : word) {
       case WorkerProtocol.STATE_RUNNING -> TaskState.RUNNING;
-      case WorkerProtocol.STATE_SAVING -> TaskState.SAVING;
+      case WorkerProtocol.STATE_SAVING -> TaskState.CHECKPOINTING;
       case WorkerProtocol.STATE_EXITED -> TaskState.EXITED;
       default -> TaskState.FETCHING;
     };
@@ -131,15 +131,16 @@
     return switch (word == null ? "" : word) {
       case WorkerProtocol.EXIT_DONE -> ExitReason.DONE;
       case WorkerProtocol.EXIT_STOPPED -> ExitReason.STOPPED;
-      case WorkerProtocol.EXIT_NO_ROOM -> ExitReason.NO_ROOM;
+      case WorkerProtocol.EXIT_NO_ROOM -> ExitReason.INSUFFICIENT_CAPACITY;
       case WorkerProtocol.EXIT_BUSY -> ExitReason.BUSY;
-      case WorkerProtocol.EXIT_UNKNOWN_TASK -> ExitReason.UNKNOWN;
+      case WorkerProtocol.EXIT_UNKNOWN_TASK -> ExitReason.TASK_NOT_FOUND;
       default -> ExitReason.ERROR;
     };
   }
 
   /** Writes the fields of commands sent to the worker's own address. */
-  static void writeCommands(JsonGenerator out, long token, long session, List<Command> commands)
+  static void writeCommands(
+      JsonGenerator out, long token, long session, List<WorkerCommand> commands)
       throws IOException {
     out.writeNumberField(WorkerProtocol.TOKEN, token);
     out.writeNumberField(WorkerProtocol.SESSION, session);
@@ -147,25 +148,25 @@
   }
 
   /** Writes the fields of the response to a heartbeat. */
-  static void writeResponse(JsonGenerator out, long token, List<Command> commands)
+  static void writeResponse(JsonGenerator out, long token, List<WorkerCommand> commands)
       throws IOException {
     out.writeNumberField(WorkerProtocol.TOKEN, token);
     JsonWriter.list(out, WorkerProtocol.COMMANDS, commands, HeartbeatCodec::writeCommand);
   }
 
-  private static void writeCommand(JsonGenerator out, Command command) throws IOException {
+  private static void writeCommand(JsonGenerator out, WorkerCommand command) throws IOException {
     out.writeStartObject();
     out.writeStringField(
         WorkerProtocol.COMMAND,
         switch (command.kind()) {
           case START -> WorkerProtocol.COMMAND_START;
           case STOP -> WorkerProtocol.COMMAND_STOP;
-          case FORGET -> WorkerProtocol.COMMAND_FORGET;
+          case REMOVE -> WorkerProtocol.COMMAND_FORGET;
         });
     out.writeStringField(WorkerProtocol.TASK, command.job() + "/" + command.task());
     out.writeNumberField(WorkerProtocol.ATTEMPT, command.attempt());
     if (command.kind() == CommandKind.STOP) {
-      out.writeNumberField(WorkerProtocol.GRACE_S, command.graceS());
+      out.writeNumberField(WorkerProtocol.GRACE_S, command.gracePeriodS());
     }
     out.writeEndObject();
   }
--- a/src/main/java/mallowstall/workers/WorkerHttpAdapter.java
+++ b/src/main/java/mallowstall/workers/WorkerHttpAdapter.java
@@ -7,11 +7,11 @@
 import java.util.List;
 import java.util.function.Consumer;
 import mallowstall.Constants;
-import mallowstall.core.Core;
-import mallowstall.core.Effects.Code;
-import mallowstall.core.Effects.OrderReply;
-import mallowstall.core.Model.Command;
-import mallowstall.core.Model.ReportAnswer;
+import mallowstall.core.ControllerCore;
+import mallowstall.core.kernel.CommandResult;
+import mallowstall.core.kernel.ResultCode;
+import mallowstall.core.model.HeartbeatResponse;
+import mallowstall.core.model.WorkerCommand;
 import mallowstall.json.JsonWriter;
 import mallowstall.net.HttpClient;
 import mallowstall.net.HttpServer.Request;
@@ -32,14 +32,15 @@
   /** Connections kept to workers' own addresses; beyond it they are opened anew. */
   private final int maxClients;
 
-  private final Core core;
+  private final ControllerCore core;
   private final EventLoop loop;
   private final Consumer<Runnable> events;
   private final Object2ObjectLinkedOpenHashMap<String, HttpClient> clients =
       new Object2ObjectLinkedOpenHashMap<>();
 
   /** Turns reports into events of the core, and its commands into requests. */
-  public WorkerHttpAdapter(Core core, EventLoop loop, Consumer<Runnable> events, int maxClients) {
+  public WorkerHttpAdapter(
+      ControllerCore core, EventLoop loop, Consumer<Runnable> events, int maxClients) {
     this.maxClients = maxClients;
     this.core = core;
     this.loop = loop;
@@ -48,19 +49,23 @@
 
   /** POST /hello. */
   public void report(Request request, Responder responder) throws IOException {
-    core.report(
+    core.handleHeartbeat(
         HeartbeatCodec.read(request.body()), reportAnswer -> answer(reportAnswer, responder));
   }
 
   /** Commands to the worker's own address. */
   public void order(
-      String addr, long token, long session, List<Command> commands, Consumer<OrderReply> then) {
+      String addr,
+      long token,
+      long session,
+      List<WorkerCommand> commands,
+      Consumer<CommandResult> then) {
     HttpClient client = clients.getAndMoveToLast(addr);
     if (client == null) {
       try {
         client = new HttpClient(loop, SocketAddresses.parse(addr), 1);
       } catch (IllegalArgumentException e) {
-        then.accept(new OrderReply(Code.REFUSED, null));
+        then.accept(new CommandResult(ResultCode.REJECTED, null));
         return;
       }
       // only the least recently used one is retired: the others may have calls under way
@@ -75,39 +80,40 @@
         HttpMethod.POST,
         WorkerProtocol.COMMANDS_PATH,
         body,
-        Constants.ORDER_TIMEOUT_MS,
+        Constants.COMMAND_REQUEST_TIMEOUT_MS,
         reply -> events.accept(() -> then.accept(orderReply(reply))));
   }
 
-  private OrderReply orderReply(HttpClient.Reply reply) {
-    Code code =
+  private CommandResult orderReply(HttpClient.Reply reply) {
+    ResultCode code =
         switch (reply.status()) {
-          case HttpStatus.OK -> Code.OK;
-          case HttpStatus.CONFLICT, HttpStatus.BAD_REQUEST -> Code.CONFLICT;
-          case HttpClient.Reply.NOT_SENT -> Code.REFUSED;
-          default -> Code.UNKNOWN;
+          case HttpStatus.OK -> ResultCode.OK;
+          case HttpStatus.CONFLICT, HttpStatus.BAD_REQUEST -> ResultCode.CONFLICT;
+          case HttpClient.Reply.NOT_SENT -> ResultCode.REJECTED;
+          default -> ResultCode.OUTCOME_UNKNOWN;
         };
     if (reply.status() != HttpStatus.OK && reply.status() != HttpStatus.CONFLICT) {
-      return new OrderReply(code, null);
+      return new CommandResult(code, null);
     }
     try {
-      return new OrderReply(code, HeartbeatCodec.read(reply.body()));
+      return new CommandResult(code, HeartbeatCodec.read(reply.body()));
     } catch (IOException failure) {
       LOG.error("unreadable heartbeat in a worker's response reason={}", failure.getMessage());
-      return new OrderReply(code, null);
+      return new CommandResult(code, null);
     }
   }
 
-  private static void answer(ReportAnswer answer, Responder responder) {
+  private static void answer(HeartbeatResponse answer, Responder responder) {
     switch (answer.status()) {
       case HttpStatus.OK ->
           responder.answer(
               HttpStatus.OK,
               JsonWriter.object(
-                  out -> HeartbeatCodec.writeResponse(out, answer.token(), answer.commands())),
+                  out ->
+                      HeartbeatCodec.writeResponse(out, answer.fencingToken(), answer.commands())),
               0);
       case HttpStatus.MISDIRECTED_REQUEST ->
-          responder.answer(HttpStatus.MISDIRECTED_REQUEST, elsewhere(answer.reportTo()), 0);
+          responder.answer(HttpStatus.MISDIRECTED_REQUEST, elsewhere(answer.redirectTo()), 0);
       default -> responder.answer(answer.status(), EMPTY, 1);
     }
   }
--- a/src/test/java/mallowstall/ControllerTest.java
+++ b/src/test/java/mallowstall/ControllerTest.java
@@ -12,7 +12,7 @@
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import mallowstall.config.Settings;
-import mallowstall.core.Model.CoreSettings;
+import mallowstall.core.model.CoreSettings;
 import mallowstall.policy.Policies;
 import mallowstall.users.Examples;
 import org.junit.jupiter.api.AfterAll;
@@ -76,10 +76,10 @@
                 .replace("\"txn_ops\":24", "\"txn_ops\":24" + next)
                 .getBytes(StandardCharsets.UTF_8));
     CoreSettings core = CoreSettingsFactory.create(settings);
-    assertEquals(2_048, core.valueBytes());
-    assertEquals(8, core.txnOps());
-    assertEquals(60.0, core.stateWriteRps());
-    assertEquals(150.0, core.stateRps());
+    assertEquals(2_048, core.maxValueBytes());
+    assertEquals(8, core.maxTransactionOps());
+    assertEquals(60.0, core.stateWritesPerS());
+    assertEquals(150.0, core.stateRequestsPerS());
   }
 
   @Test
--- a/src/test/java/mallowstall/OneController.java
+++ b/src/test/java/mallowstall/OneController.java
@@ -6,17 +6,29 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import mallowstall.core.Core;
-import mallowstall.core.Effects;
-import mallowstall.core.Metrics;
-import mallowstall.core.Model.Command;
-import mallowstall.core.Model.CoreSettings;
-import mallowstall.core.Model.Entry;
-import mallowstall.core.Model.MachineType;
-import mallowstall.core.Model.PeerMessage;
-import mallowstall.core.Model.RentRequest;
-import mallowstall.core.Model.Team;
-import mallowstall.core.ProgramVersion;
+import mallowstall.core.ControllerCore;
+import mallowstall.core.kernel.CommandResult;
+import mallowstall.core.kernel.Condition;
+import mallowstall.core.kernel.Effects;
+import mallowstall.core.kernel.GetResult;
+import mallowstall.core.kernel.InventoryPage;
+import mallowstall.core.kernel.KeyValue;
+import mallowstall.core.kernel.LeaseResult;
+import mallowstall.core.kernel.ListResult;
+import mallowstall.core.kernel.Metrics;
+import mallowstall.core.kernel.ResultCode;
+import mallowstall.core.kernel.ScaleOutResult;
+import mallowstall.core.kernel.Transaction;
+import mallowstall.core.kernel.TransactionResult;
+import mallowstall.core.kernel.WatchResult;
+import mallowstall.core.model.CoreSettings;
+import mallowstall.core.model.MachineType;
+import mallowstall.core.model.PeerMessage;
+import mallowstall.core.model.ProgramVersion;
+import mallowstall.core.model.ScaleOutRequest;
+import mallowstall.core.model.StoredEntry;
+import mallowstall.core.model.Team;
+import mallowstall.core.model.WorkerCommand;
 import mallowstall.policy.Policies;
 import mallowstall.state.StoredEntries;
 
@@ -26,11 +38,11 @@
   private static final long STEP_MS = 10;
 
   /** A watch that waits for news. */
-  private record Watch(long after, Consumer<WatchReply> then) {}
+  private record Watch(long after, Consumer<WatchResult> then) {}
 
-  private final Core core;
-  private final Map<String, Item> keys = new TreeMap<>();
-  private final List<Item> changes = new ArrayList<>();
+  private final ControllerCore core;
+  private final Map<String, KeyValue> keys = new TreeMap<>();
+  private final List<KeyValue> changes = new ArrayList<>();
   private final ArrayDeque<Runnable> events = new ArrayDeque<>();
   private final List<MachineType> types;
   private Watch watch;
@@ -60,25 +72,25 @@
             10_000,
             Map.of(),
             ProgramVersion.CURRENT);
-    core = new Core(settings, this, Policies.bundled(), new Uncounted(), 7);
+    core = new ControllerCore(settings, this, Policies.bundled(), new Uncounted(), 7);
   }
 
   /** Counts nothing. */
   private static final class Uncounted implements Metrics {
     @Override
-    public void count(String what) {}
+    public void increment(String what) {}
 
     @Override
-    public void time(String what, long ms) {}
+    public void recordDuration(String what, long ms) {}
   }
 
   /** The core, to give events to. */
-  public Core core() {
+  public ControllerCore core() {
     return core;
   }
 
   /** An entry that another controller has written. */
-  public void put(String key, Entry value) {
+  public void put(String key, StoredEntry value) {
     revision++;
     set(key, value);
   }
@@ -91,18 +103,18 @@
   /** Lets so much time pass. */
   public void pass(long ms) {
     for (long end = now + ms; now < end; now += STEP_MS) {
-      core.time(now, BEGIN_WALL_MS + now);
+      core.setTime(now, BEGIN_WALL_MS + now);
       for (Runnable event = events.poll(); event != null; event = events.poll()) {
         event.run();
-        core.settle();
+        core.runDueWork();
       }
       core.tick();
-      core.settle();
+      core.runDueWork();
     }
   }
 
-  private void set(String key, Entry value) {
-    Item item = new Item(key, value, revision);
+  private void set(String key, StoredEntry value) {
+    KeyValue item = new KeyValue(key, value, revision);
     if (value == null) {
       keys.remove(key);
     } else {
@@ -121,103 +133,108 @@
     events.add(
         () ->
             told.then.accept(
-                new WatchReply(
-                    Code.OK,
-                    changes.stream().filter(item -> item.version() > told.after).toList(),
+                new WatchResult(
+                    ResultCode.OK,
+                    changes.stream().filter(item -> item.modRevision() > told.after).toList(),
                     revision)));
   }
 
   @Override
-  public void transact(Txn txn, Consumer<TxnReply> then) {
-    TxnReply reply = stateServiceAnswers ? change(txn) : new TxnReply(Code.REFUSED, 0);
+  public void transact(Transaction txn, Consumer<TransactionResult> then) {
+    TransactionResult reply =
+        stateServiceAnswers ? change(txn) : new TransactionResult(ResultCode.REJECTED, 0);
     events.add(() -> then.accept(reply));
   }
 
-  private TxnReply change(Txn txn) {
-    for (Cond condition : txn.when()) {
-      Item item = keys.get(condition.key());
-      if ((item == null ? 0 : item.version()) != condition.version()) {
-        return new TxnReply(Code.CONFLICT, revision);
+  private TransactionResult change(Transaction txn) {
+    for (Condition condition : txn.conditions()) {
+      KeyValue item = keys.get(condition.key());
+      if ((item == null ? 0 : item.modRevision()) != condition.modRevision()) {
+        return new TransactionResult(ResultCode.CONFLICT, revision);
       }
     }
     revision++;
     txn.puts().forEach(put -> set(put.key(), put.value()));
-    txn.drops().forEach(key -> set(key, null));
-    return new TxnReply(Code.OK, revision);
+    txn.deletes().forEach(key -> set(key, null));
+    return new TransactionResult(ResultCode.OK, revision);
   }
 
   @Override
-  public int encodedSize(Entry value) {
+  public int encodedSizeBytes(StoredEntry value) {
     return StoredEntries.encode(value).length;
   }
 
   @Override
-  public void get(String key, Consumer<GetReply> then) {
-    GetReply reply =
+  public void get(String key, Consumer<GetResult> then) {
+    GetResult reply =
         stateServiceAnswers
-            ? new GetReply(Code.OK, keys.getOrDefault(key, new Item(key, null, 0)))
-            : new GetReply(Code.REFUSED, null);
+            ? new GetResult(ResultCode.OK, keys.getOrDefault(key, new KeyValue(key, null, 0)))
+            : new GetResult(ResultCode.REJECTED, null);
     events.add(() -> then.accept(reply));
   }
 
   @Override
-  public void list(String after, Consumer<ListReply> then) {
-    ListReply reply =
+  public void list(String after, Consumer<ListResult> then) {
+    ListResult reply =
         stateServiceAnswers
-            ? new ListReply(Code.OK, List.copyOf(keys.values()), false, revision)
-            : new ListReply(Code.REFUSED, List.of(), false, 0);
+            ? new ListResult(ResultCode.OK, List.copyOf(keys.values()), false, revision)
+            : new ListResult(ResultCode.REJECTED, List.of(), false, 0);
     events.add(() -> then.accept(reply));
   }
 
   @Override
-  public void watch(long after, long holdMs, Consumer<WatchReply> then) {
+  public void watch(long after, long holdMs, Consumer<WatchResult> then) {
     watch = new Watch(after, then);
     tellWatch();
   }
 
   @Override
-  public void grantLease(long ttlMs, Consumer<LeaseReply> then) {
+  public void grantLease(long ttlMs, Consumer<LeaseResult> then) {
     leases++;
-    LeaseReply reply = lease(leases);
+    LeaseResult reply = lease(leases);
     events.add(() -> then.accept(reply));
   }
 
   @Override
-  public void renewLease(long lease, Consumer<LeaseReply> then) {
-    LeaseReply reply = lease(lease);
+  public void renewLease(long lease, Consumer<LeaseResult> then) {
+    LeaseResult reply = lease(lease);
     events.add(() -> then.accept(reply));
   }
 
-  private LeaseReply lease(long lease) {
-    return new LeaseReply(stateServiceAnswers ? Code.OK : Code.REFUSED, lease);
+  private LeaseResult lease(long lease) {
+    return new LeaseResult(stateServiceAnswers ? ResultCode.OK : ResultCode.REJECTED, lease);
   }
 
   @Override
   public void send(String node, PeerMessage message) {}
 
   @Override
-  public void order(
-      String addr, long token, long session, List<Command> commands, Consumer<OrderReply> then) {
-    events.add(() -> then.accept(new OrderReply(Code.REFUSED, null)));
+  public void sendCommands(
+      String addr,
+      long token,
+      long session,
+      List<WorkerCommand> commands,
+      Consumer<CommandResult> then) {
+    events.add(() -> then.accept(new CommandResult(ResultCode.REJECTED, null)));
   }
 
   @Override
-  public void types(Consumer<List<MachineType>> then) {
+  public void fetchMachineTypes(Consumer<List<MachineType>> then) {
     events.add(() -> then.accept(types));
   }
 
   @Override
-  public void rent(RentRequest request, Consumer<RentReply> then) {
-    events.add(() -> then.accept(new RentReply(503, List.of())));
+  public void scaleOut(ScaleOutRequest request, Consumer<ScaleOutResult> then) {
+    events.add(() -> then.accept(new ScaleOutResult(503, List.of())));
   }
 
   @Override
-  public void returnMachines(List<String> machines, Consumer<Boolean> then) {
+  public void scaleIn(List<String> machines, Consumer<Boolean> then) {
     events.add(() -> then.accept(false));
   }
 
   @Override
-  public void listMachines(String after, Consumer<ListedReply> then) {
-    events.add(() -> then.accept(new ListedReply(false, List.of(), false)));
+  public void listMachines(String after, Consumer<InventoryPage> then) {
+    events.add(() -> then.accept(new InventoryPage(false, List.of(), false)));
   }
 }
--- a/src/test/java/mallowstall/cloud/GoldenCloudTest.java
+++ b/src/test/java/mallowstall/cloud/GoldenCloudTest.java
@@ -6,17 +6,17 @@
 import java.util.List;
 import mallowstall.Fixtures;
 import mallowstall.LoopbackServer;
-import mallowstall.core.Effects.ListedReply;
-import mallowstall.core.Effects.RentReply;
-import mallowstall.core.Model.Listed;
-import mallowstall.core.Model.MachineType;
-import mallowstall.core.Model.RentRequest;
+import mallowstall.core.kernel.InventoryPage;
+import mallowstall.core.kernel.ScaleOutResult;
+import mallowstall.core.model.ListedMachine;
+import mallowstall.core.model.MachineType;
+import mallowstall.core.model.ScaleOutRequest;
 import org.junit.jupiter.api.Test;
 
 /** The exact requests to the cloud, and what its answers mean. */
 class GoldenCloudTest {
-  private static final RentRequest RENTAL = new RentRequest("n1-7-3", "g8", "a", true, 12);
-  private static final ListedReply NOT_LISTED = new ListedReply(false, List.of(), false);
+  private static final ScaleOutRequest RENTAL = new ScaleOutRequest("n1-7-3", "g8", "a", true, 12);
+  private static final InventoryPage NOT_LISTED = new InventoryPage(false, List.of(), false);
 
   @Test
   void requestsAreSentAsEverAndAnswersUnderstood() throws Exception {
@@ -25,13 +25,13 @@
 
       List<MachineType> types = server.answer(200, Fixtures.text("cloud-types.json"), cloud::types);
       List<MachineType> noTypes = server.answer(503, "{}", cloud::types);
-      ListedReply page =
+      InventoryPage page =
           server.answer(
               200, Fixtures.text("cloud-page.json"), then -> cloud.listMachines(null, then));
-      ListedReply last =
+      InventoryPage last =
           server.answer(200, "{\"sierras\":[]}", then -> cloud.listMachines("m-000002", then));
-      ListedReply failed = server.answer(500, "{}", then -> cloud.listMachines("m-000002", then));
-      ListedReply cut = server.answer(200, "{\"sie", then -> cloud.listMachines(null, then));
+      InventoryPage failed = server.answer(500, "{}", then -> cloud.listMachines("m-000002", then));
+      InventoryPage cut = server.answer(200, "{\"sie", then -> cloud.listMachines(null, then));
 
       assertEquals(
           List.of(
@@ -40,14 +40,14 @@
           types);
       assertNull(noTypes);
       assertEquals(
-          new ListedReply(
+          new InventoryPage(
               true,
               List.of(
-                  new Listed("m-000001", "g8", "a", true, "up", 12.5),
-                  new Listed("m-000002", "t16", "b", false, "", 0)),
+                  new ListedMachine("m-000001", "g8", "a", true, "up", 12.5),
+                  new ListedMachine("m-000002", "t16", "b", false, "", 0)),
               true),
           page);
-      assertEquals(new ListedReply(true, List.of(), false), last);
+      assertEquals(new InventoryPage(true, List.of(), false), last);
       assertEquals(NOT_LISTED, failed);
       assertEquals(NOT_LISTED, cut);
       Fixtures.assertSame("cloud-reading.txt", server.requests());
@@ -59,19 +59,20 @@
     try (LoopbackServer server = new LoopbackServer()) {
       CloudClient cloud = new CloudClient(server.client(), Runnable::run);
 
-      RentReply rented =
+      ScaleOutResult rented =
           server.answer(200, "{\"sierras\":[\"m-1\",\"m-2\"]}", then -> cloud.rent(RENTAL, then));
-      RentReply unread = server.answer(200, "no JSON", then -> cloud.rent(RENTAL, then));
-      RentReply refused = server.answer(429, "{\"error\":\"x\"}", then -> cloud.rent(RENTAL, then));
+      ScaleOutResult unread = server.answer(200, "no JSON", then -> cloud.rent(RENTAL, then));
+      ScaleOutResult refused =
+          server.answer(429, "{\"error\":\"x\"}", then -> cloud.rent(RENTAL, then));
       List<String> machines = List.of("m-1", "m-2");
       boolean returned =
           server.<Boolean>answer(200, "{}", then -> cloud.returnMachines(machines, then));
       boolean kept =
           server.<Boolean>answer(503, "{}", then -> cloud.returnMachines(List.of("m-3"), then));
 
-      assertEquals(new RentReply(200, machines), rented);
-      assertEquals(new RentReply(0, List.of()), unread);
-      assertEquals(new RentReply(429, List.of()), refused);
+      assertEquals(new ScaleOutResult(200, machines), rented);
+      assertEquals(new ScaleOutResult(0, List.of()), unread);
+      assertEquals(new ScaleOutResult(429, List.of()), refused);
       assertEquals(true, returned);
       assertEquals(false, kept);
       Fixtures.assertSame("cloud-rentals.txt", server.requests());
