--- a/src/test/java/mallowstall/core/CombinedFaultsTest.java
+++ b/src/test/java/mallowstall/core/CombinedFaultsTest.java
@@ -7,17 +7,20 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import mallowstall.core.Model.Final;
-import mallowstall.core.Model.JobRec;
-import mallowstall.core.Model.JobSpec;
-import mallowstall.core.Model.MachineRec;
-import mallowstall.core.Model.Priority;
-import mallowstall.core.Model.Report;
-import mallowstall.core.Model.ReportAnswer;
-import mallowstall.core.Model.SessionRec;
-import mallowstall.core.Model.TaskState;
-import mallowstall.core.Model.TeamRec;
-import mallowstall.core.Model.UserAnswer;
+import mallowstall.core.kernel.PutOperation;
+import mallowstall.core.kernel.Transaction;
+import mallowstall.core.kv.StateStore;
+import mallowstall.core.model.ApiResponse;
+import mallowstall.core.model.Heartbeat;
+import mallowstall.core.model.HeartbeatResponse;
+import mallowstall.core.model.JobEntry;
+import mallowstall.core.model.JobOutcome;
+import mallowstall.core.model.JobSpec;
+import mallowstall.core.model.MachineEntry;
+import mallowstall.core.model.Priority;
+import mallowstall.core.model.SessionEntry;
+import mallowstall.core.model.TaskState;
+import mallowstall.core.model.TeamUsageEntry;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -27,51 +30,51 @@
  * meeting took place. The arguments stand in docs/design.md, "When troubles meet".
  */
 class CombinedFaultsTest {
-  private static final String VICTIM = "wk-000001";
-  private static final String OTHER = "wk-000002";
+  private static final String CANCELLED_JOB = "wk-000001";
+  private static final String OTHER_JOB = "wk-000002";
 
-  private static JobSpec plain(Simulation sim, String id, int tasks) {
-    return sim.job(id, tasks, 2, Priority.NORMAL, "free", false, false, true, null);
+  private static JobSpec batchSpec(Simulation sim, String id, int tasks) {
+    return sim.batchSpec(id, tasks, 2, Priority.NORMAL, "free", false, false, true, null);
   }
 
   /** Tasks of the job that run, by the controller that their machines report to. */
-  private static Map<String, Integer> running(Simulation sim, String job) {
+  private static Map<String, Integer> runningTasksByLeader(Simulation sim, String job) {
     Map<String, Integer> out = new TreeMap<>();
     for (SimulatedWorker worker : sim.workers.values()) {
-      for (SimulatedWorker.T task : worker.tasks.values()) {
+      for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
         if (task.job.equals(job) && task.state != TaskState.EXITED) {
-          out.merge(worker.node, 1, Integer::sum);
+          out.merge(worker.controllerName, 1, Integer::sum);
         }
       }
     }
     return out;
   }
 
-  private static int count(Map<String, Integer> m) {
-    return m.values().stream().mapToInt(Integer::intValue).sum();
+  private static int sum(Map<String, Integer> counts) {
+    return counts.values().stream().mapToInt(Integer::intValue).sum();
   }
 
   /** The user's answer; the confirmation counts from then on. */
-  private static UserAnswer cancelAt(Simulation sim, SimulatedController node, String id) {
-    sim.rules.asksToCancel(id);
-    List<UserAnswer> got = new ArrayList<>();
-    node.event(
+  private static ApiResponse cancelAt(Simulation sim, SimulatedController node, String id) {
+    sim.checker.onCancelRequested(id);
+    List<ApiResponse> responses = new ArrayList<>();
+    node.enqueueEvent(
         () ->
             node.core.cancel(
                 id,
                 answer -> {
-                  got.add(answer);
-                  sim.rules.told(sim.now, id, answer.status(), answer.state());
+                  responses.add(answer);
+                  sim.checker.onAnswer(sim.nowMs, id, answer.status(), answer.state());
                 }));
-    long until = sim.now + 3_000;
-    while (got.isEmpty() && sim.now < until) {
-      sim.run(sim.now + 10);
+    long until = sim.nowMs + 3_000;
+    while (responses.isEmpty() && sim.nowMs < until) {
+      sim.runUntil(sim.nowMs + 10);
     }
-    return got.isEmpty() ? null : got.get(0);
+    return responses.isEmpty() ? null : responses.get(0);
   }
 
   /** What happens besides, in the meeting before all others. */
-  enum Besides {
+  enum AdditionalFault {
     NOTHING,
     /** The confirmer ends as soon as it has told, and is back at once. */
     CONFIRMER_BACK_AT_ONCE,
@@ -84,9 +87,9 @@
     /** Its words are held back and it ends. */
     WORDS_HELD_BACK_AND_GONE,
     /** The recorded cancellation is confirmed only when asked for again, in the outage. */
-    TOLD_FROM_MEMORY,
+    CONFIRMED_FROM_MEMORY,
     /** Half of the machines hang on their commands: nothing reaches them for 8 s. */
-    MACHINES_CANNOT_BE_ASKED
+    MACHINES_UNREACHABLE
   }
 
   /**
@@ -96,41 +99,42 @@
    * the confirmer can't be heard.
    */
   @ParameterizedTest
-  @EnumSource(Besides.class)
-  void aCancellationThatTheLeaderCannotReadOfHolds(Besides besides) {
+  @EnumSource(AdditionalFault.class)
+  void cancellationHoldsWhenLeaderCannotReadIt(AdditionalFault besides) {
     for (long gap : new long[] {200, 900, 2_000}) {
       for (long seed = 1; seed <= 3; seed++) {
         Simulation sim = new Simulation(100 + seed);
-        sim.runMs = 400_000;
-        sim.run(8_000);
-        sim.submit(plain(sim, VICTIM, 8));
-        sim.submit(plain(sim, OTHER, 6));
-        sim.run(16_000);
-        assertEquals(8, count(running(sim, VICTIM)));
-        SimulatedController leader = sim.nodes.get(ownerOfMost(running(sim, VICTIM)));
-        SimulatedController confirmer = sim.nodes.get(leader.name.equals("n1") ? "n2" : "n1");
-        leader.noState = true;
-        sim.run(sim.now + 120);
+        sim.taskRunMs = 400_000;
+        sim.runUntil(8_000);
+        sim.submit(batchSpec(sim, CANCELLED_JOB, 8));
+        sim.submit(batchSpec(sim, OTHER_JOB, 6));
+        sim.runUntil(16_000);
+        assertEquals(8, sum(runningTasksByLeader(sim, CANCELLED_JOB)));
+        SimulatedController leader =
+            sim.controllers.get(leaderOfMost(runningTasksByLeader(sim, CANCELLED_JOB)));
+        SimulatedController confirmer = sim.controllers.get(leader.name.equals("n1") ? "n2" : "n1");
+        leader.stateServiceUnreachable = true;
+        sim.runUntil(sim.nowMs + 120);
         if (besides.name().startsWith("WORDS")) {
-          sim.heldMs = besides == Besides.WORDS_LATE ? 30_000 : 60_000;
-          confirmer.cut.put(leader.name, true);
+          sim.partitionDelayMs = besides == AdditionalFault.WORDS_LATE ? 30_000 : 60_000;
+          confirmer.partitionedPeers.put(leader.name, true);
         }
-        long confirmed = confirm(sim, confirmer, besides, gap);
+        long confirmed = confirmCancellation(sim, confirmer, besides, gap);
         checkOutage(sim, leader, besides, confirmed, besides + ", gap " + gap + ", seed " + seed);
-        sim.state.recover();
-        leader.noState = false;
-        confirmer.cut.clear();
-        sim.run(sim.now + 90_000);
-        assertEquals(List.of(), sim.rules.broken);
-        assertEquals(0, count(running(sim, VICTIM)));
-        assertTrue(count(running(sim, OTHER)) > 0, "the other job is run again");
-        assertEquals(Final.CANCELLED, sim.entry(VICTIM).fin());
+        sim.stateService.endOutage();
+        leader.stateServiceUnreachable = false;
+        confirmer.partitionedPeers.clear();
+        sim.runUntil(sim.nowMs + 90_000);
+        assertEquals(List.of(), sim.checker.violations);
+        assertEquals(0, sum(runningTasksByLeader(sim, CANCELLED_JOB)));
+        assertTrue(sum(runningTasksByLeader(sim, OTHER_JOB)) > 0, "the other job is run again");
+        assertEquals(JobOutcome.CANCELLED, sim.jobEntry(CANCELLED_JOB).outcome());
       }
     }
   }
 
   /** Leading: who owns most of the machines that run the job. */
-  private static String ownerOfMost(Map<String, Integer> machines) {
+  private static String leaderOfMost(Map<String, Integer> machines) {
     String most = "n0";
     for (String node : machines.keySet()) {
       if (machines.get(node) > machines.getOrDefault(most, 0)) {
@@ -141,58 +145,65 @@
   }
 
   /** Has the cancellation confirmed and then the outage begin; returns when it was confirmed. */
-  private static long confirm(
-      Simulation sim, SimulatedController confirmer, Besides besides, long gap) {
-    if (besides == Besides.TOLD_FROM_MEMORY) {
-      sim.rules.asksToCancel(VICTIM);
-      confirmer.event(() -> confirmer.core.cancel(VICTIM, answer -> {}));
-      sim.run(sim.now + gap);
-      sim.state.outage = true;
-      sim.run(sim.now + 3_000);
-      assertEquals("cancelled", cancelAt(sim, confirmer, VICTIM).state());
-      return sim.now;
+  private static long confirmCancellation(
+      Simulation sim, SimulatedController confirmer, AdditionalFault besides, long gap) {
+    if (besides == AdditionalFault.CONFIRMED_FROM_MEMORY) {
+      sim.checker.onCancelRequested(CANCELLED_JOB);
+      confirmer.enqueueEvent(() -> confirmer.core.cancel(CANCELLED_JOB, answer -> {}));
+      sim.runUntil(sim.nowMs + gap);
+      sim.stateService.outage = true;
+      sim.runUntil(sim.nowMs + 3_000);
+      assertEquals("cancelled", cancelAt(sim, confirmer, CANCELLED_JOB).state());
+      return sim.nowMs;
     }
-    assertEquals("cancelled", cancelAt(sim, confirmer, VICTIM).state());
-    long confirmed = sim.now;
-    if (besides == Besides.CONFIRMER_BACK_AT_ONCE) {
+    assertEquals("cancelled", cancelAt(sim, confirmer, CANCELLED_JOB).state());
+    long confirmed = sim.nowMs;
+    if (besides == AdditionalFault.CONFIRMER_BACK_AT_ONCE) {
       confirmer.crash(150);
     }
     if (besides.name().endsWith("GONE")) {
       confirmer.crash(500_000);
     }
-    if (besides == Besides.MACHINES_CANNOT_BE_ASKED) {
-      cutEverySecond(sim, 8_000);
+    if (besides == AdditionalFault.MACHINES_UNREACHABLE) {
+      partitionEverySecondMachine(sim, 8_000);
     }
-    sim.run(sim.now + gap);
-    sim.state.outage = true;
+    sim.runUntil(sim.nowMs + gap);
+    sim.stateService.outage = true;
     return confirmed;
   }
 
-  private static void cutEverySecond(Simulation sim, long ms) {
+  private static void partitionEverySecondMachine(Simulation sim, long ms) {
     int i = 0;
     for (SimulatedWorker worker : sim.workers.values()) {
       if (i++ % 2 == 0) {
-        worker.cut = true;
-        sim.at(ms, () -> worker.cut = false);
+        worker.partitioned = true;
+        sim.schedule(ms, () -> worker.partitioned = false);
       }
     }
   }
 
   private static void checkOutage(
-      Simulation sim, SimulatedController leader, Besides besides, long confirmed, String what) {
-    sim.run(confirmed + 7_000);
+      Simulation sim,
+      SimulatedController leader,
+      AdditionalFault besides,
+      long confirmed,
+      String what) {
+    sim.runUntil(confirmed + 7_000);
     // the meeting took place: the leader can't read of it, and workers report to the leader
-    assertEquals(Final.NONE, leader.core.store().job(VICTIM).fin());
-    assertTrue(sim.workers.values().stream().anyMatch(worker -> worker.node.equals(leader.name)));
-    sim.run(confirmed + Simulation.CANCEL - 100);
-    assertEquals(0, count(running(sim, VICTIM)), what);
-    boolean heard = besides == Besides.NOTHING || besides == Besides.TOLD_FROM_MEMORY;
-    if (heard) {
-      assertEquals(6, count(running(sim, OTHER)), "unrelated tasks run on");
+    assertEquals(JobOutcome.NONE, leader.core.store().job(CANCELLED_JOB).outcome());
+    assertTrue(
+        sim.workers.values().stream()
+            .anyMatch(worker -> worker.controllerName.equals(leader.name)));
+    sim.runUntil(confirmed + Simulation.CANCEL_MS - 100);
+    assertEquals(0, sum(runningTasksByLeader(sim, CANCELLED_JOB)), what);
+    boolean confirmerReachable =
+        besides == AdditionalFault.NOTHING || besides == AdditionalFault.CONFIRMED_FROM_MEMORY;
+    if (confirmerReachable) {
+      assertEquals(6, sum(runningTasksByLeader(sim, OTHER_JOB)), "unrelated tasks run on");
     }
-    sim.run(confirmed + Simulation.CANCEL + 15_000);
-    if (heard) {
-      assertEquals(6, count(running(sim, OTHER)), "unrelated tasks run on");
+    sim.runUntil(confirmed + Simulation.CANCEL_MS + 15_000);
+    if (confirmerReachable) {
+      assertEquals(6, sum(runningTasksByLeader(sim, OTHER_JOB)), "unrelated tasks run on");
     }
   }
 
@@ -202,56 +213,61 @@
    * renewing a lease that held nothing, while everybody took it for dead.
    */
   @Test
-  void aSessionThatIsWrittenLateReplacesNoLaterOne() {
+  void delayedSessionWriteReplacesNoNewerSession() {
     Simulation sim = new Simulation(120);
-    sim.run(8_000);
-    SimulatedController node = sim.nodes.get("n1");
+    sim.runUntil(8_000);
+    SimulatedController node = sim.controllers.get("n1");
     long former = node.core.incarnation();
-    long lease = sim.state.keys.get(Store.SESSIONS + "n1").lease();
+    long lease = sim.stateService.entries.get(StateStore.SESSION_PREFIX + "n1").leaseId();
     node.crash(150);
-    while (node.core.incarnation() == 0 || node.core.store().sessionLeft() <= 0) {
-      sim.run(sim.now + 10);
+    while (node.core.incarnation() == 0 || node.core.store().sessionRemainingMs() <= 0) {
+      sim.runUntil(sim.nowMs + 10);
     }
-    assertTrue(sim.state.leases.containsKey(lease), "the former lease hasn't ended yet");
+    assertTrue(sim.stateService.leases.containsKey(lease), "the former lease hasn't ended yet");
     // as a former version would have asked for it, compared with nothing
-    Effects.Put late = new Effects.Put(Store.SESSIONS + "n1", new SessionRec("n1", former), lease);
-    sim.state.transact(new Effects.Txn(List.of(), List.of(late), List.of()));
-    long until = sim.now + 12_000;
+    PutOperation late =
+        new PutOperation(StateStore.SESSION_PREFIX + "n1", new SessionEntry("n1", former), lease);
+    sim.stateService.transact(new Transaction(List.of(), List.of(late), List.of()));
+    long until = sim.nowMs + 12_000;
     boolean lost = false;
-    while (sim.now < until) {
-      sim.run(sim.now + 50);
-      lost |= !sim.state.keys.containsKey(Store.SESSIONS + "n1");
-      SimulatedStateService.Val value = sim.state.keys.get(Store.SESSIONS + "n1");
-      lost |= value != null && ((SessionRec) value.value()).incarnation() == former;
+    while (sim.nowMs < until) {
+      sim.runUntil(sim.nowMs + 50);
+      lost |= !sim.stateService.entries.containsKey(StateStore.SESSION_PREFIX + "n1");
+      SimulatedStateService.StoredValue value =
+          sim.stateService.entries.get(StateStore.SESSION_PREFIX + "n1");
+      lost |= value != null && ((SessionEntry) value.value()).incarnation() == former;
     }
     assertTrue(lost, "it was replaced");
-    SimulatedStateService.Val now = sim.state.keys.get(Store.SESSIONS + "n1");
-    assertEquals(node.core.incarnation(), ((SessionRec) now.value()).incarnation());
-    assertTrue(sim.state.leases.containsKey(now.lease()));
-    sim.submit(plain(sim, VICTIM, 12));
-    sim.run(sim.now + 60_000);
-    assertEquals(List.of(), sim.rules.broken);
-    assertEquals("done", sim.rules.lastTold(VICTIM));
+    SimulatedStateService.StoredValue now =
+        sim.stateService.entries.get(StateStore.SESSION_PREFIX + "n1");
+    assertEquals(node.core.incarnation(), ((SessionEntry) now.value()).incarnation());
+    assertTrue(sim.stateService.leases.containsKey(now.leaseId()));
+    sim.submit(batchSpec(sim, CANCELLED_JOB, 12));
+    sim.runUntil(sim.nowMs + 60_000);
+    assertEquals(List.of(), sim.checker.violations);
+    assertEquals("done", sim.checker.lastState(CANCELLED_JOB));
   }
 
   /** What this version asks for is compared with what was read, so the late one fails. */
   @Test
-  void aSessionIsComparedWithWhatWasRead() {
+  void sessionWriteIsConditionalOnReadVersion() {
     Simulation sim = new Simulation(121);
-    sim.run(8_000);
-    List<Effects.Txn> asked = sim.state.asked;
+    sim.runUntil(8_000);
+    List<Transaction> asked = sim.stateService.receivedTransactions;
     assertTrue(
         asked.stream()
             .filter(
                 transaction ->
-                    transaction.puts().stream().anyMatch(put -> put.value() instanceof SessionRec))
+                    transaction.puts().stream()
+                        .anyMatch(put -> put.value() instanceof SessionEntry))
             .allMatch(
                 txn ->
-                    txn.when().stream()
-                        .anyMatch(condition -> condition.key().startsWith(Store.SESSIONS))));
+                    txn.conditions().stream()
+                        .anyMatch(
+                            condition -> condition.key().startsWith(StateStore.SESSION_PREFIX))));
     assertTrue(
         asked.stream()
-            .anyMatch(t -> t.puts().stream().anyMatch(p -> p.value() instanceof SessionRec)));
+            .anyMatch(t -> t.puts().stream().anyMatch(p -> p.value() instanceof SessionEntry)));
   }
 
   /**
@@ -259,60 +275,66 @@
    * others have called cancelled meanwhile; a repeated submission is never told that it is wrong.
    */
   @Test
-  void aSubmissionAnsweredLateSaysWhatTheJobIsNow() {
+  void delayedSubmitResponseReportsCurrentState() {
     Simulation sim = new Simulation(122);
-    sim.run(8_000);
-    SimulatedController slow = sim.nodes.get("n0");
-    slow.lag = 3_500;
-    List<UserAnswer> got = new ArrayList<>();
-    JobSpec spec = plain(sim, VICTIM, 4);
-    sim.rules.submitted(spec);
-    slow.event(() -> slow.core.submit(spec, got::add));
-    sim.run(sim.now + 400);
-    assertEquals(List.of(), got);
-    assertEquals("cancelled", cancelAt(sim, sim.nodes.get("n1"), VICTIM).state());
-    sim.run(sim.now + 3_300);
-    slow.lag = 0;
-    sim.run(sim.now + 5_000);
-    assertEquals(1, got.size());
-    UserAnswer answer = got.get(0);
+    sim.runUntil(8_000);
+    SimulatedController slow = sim.controllers.get("n0");
+    slow.stateDelayMs = 3_500;
+    List<ApiResponse> responses = new ArrayList<>();
+    JobSpec spec = batchSpec(sim, CANCELLED_JOB, 4);
+    sim.checker.onSubmitted(spec);
+    slow.enqueueEvent(() -> slow.core.submit(spec, responses::add));
+    sim.runUntil(sim.nowMs + 400);
+    assertEquals(List.of(), responses);
+    assertEquals("cancelled", cancelAt(sim, sim.controllers.get("n1"), CANCELLED_JOB).state());
+    sim.runUntil(sim.nowMs + 3_300);
+    slow.stateDelayMs = 0;
+    sim.runUntil(sim.nowMs + 5_000);
+    assertEquals(1, responses.size());
+    ApiResponse answer = responses.get(0);
     assertEquals(503, answer.status(), answer.toString());
-    slow.event(() -> slow.core.submit(spec, got::add));
-    sim.run(sim.now + 1_000);
-    assertEquals("cancelled", got.get(1).state());
-    assertEquals(200, got.get(1).status());
+    slow.enqueueEvent(() -> slow.core.submit(spec, responses::add));
+    sim.runUntil(sim.nowMs + 1_000);
+    assertEquals("cancelled", responses.get(1).state());
+    assertEquals(200, responses.get(1).status());
   }
 
   /** Wrong by itself, but accepted all the same, as by another version: its state is told. */
   @Test
-  void anAcceptedJobsRepetitionIsNeverWrong() {
+  void resubmittingAcceptedJobIsNeverRejected() {
     Simulation sim = new Simulation(123);
-    sim.runMs = 100_000;
-    sim.run(8_000);
-    sim.submit(plain(sim, VICTIM, 4));
-    sim.run(9_000);
-    for (SimulatedController node : sim.nodes.values()) {
-      for (String id : List.of(VICTIM, "wk-000777")) {
-        List<UserAnswer> got = new ArrayList<>();
-        JobSpec never = sim.job(id, 1, 99, Priority.NORMAL, "free", false, false, true, null);
-        node.event(() -> node.core.submit(never, got::add));
-        sim.run(sim.now + 1_000);
-        node.event(() -> node.core.refuse(id, "oficio must be batch", got::add));
-        sim.run(sim.now + 1_000);
-        assertEquals(id.equals(VICTIM) ? 200 : 422, got.get(0).status());
-        assertEquals(id.equals(VICTIM) ? 200 : 400, got.get(1).status());
+    sim.taskRunMs = 100_000;
+    sim.runUntil(8_000);
+    sim.submit(batchSpec(sim, CANCELLED_JOB, 4));
+    sim.runUntil(9_000);
+    for (SimulatedController node : sim.controllers.values()) {
+      for (String id : List.of(CANCELLED_JOB, "wk-000777")) {
+        List<ApiResponse> responses = new ArrayList<>();
+        JobSpec never = sim.batchSpec(id, 1, 99, Priority.NORMAL, "free", false, false, true, null);
+        node.enqueueEvent(() -> node.core.submit(never, responses::add));
+        sim.runUntil(sim.nowMs + 1_000);
+        node.enqueueEvent(
+            () -> node.core.rejectSubmission(id, "oficio must be batch", responses::add));
+        sim.runUntil(sim.nowMs + 1_000);
+        assertEquals(id.equals(CANCELLED_JOB) ? 200 : 422, responses.get(0).status());
+        assertEquals(id.equals(CANCELLED_JOB) ? 200 : 400, responses.get(1).status());
       }
     }
     // at once also while the state service can't be asked
-    sim.state.outage = true;
-    sim.run(sim.now + 5_000);
-    List<UserAnswer> got = new ArrayList<>();
-    SimulatedController controller = sim.nodes.get("n0");
-    controller.event(() -> controller.core.refuse("wk-000778", "oficio must be batch", got::add));
-    assertEquals(400, got.get(0).status());
-    controller.event(() -> controller.core.refuse(VICTIM, "oficio must be batch", got::add));
-    sim.run(sim.now + 1_000);
-    assertEquals(503, got.get(1).status());
+    sim.stateService.outage = true;
+    sim.runUntil(sim.nowMs + 5_000);
+    List<ApiResponse> responses = new ArrayList<>();
+    SimulatedController controller = sim.controllers.get("n0");
+    controller.enqueueEvent(
+        () ->
+            controller.core.rejectSubmission("wk-000778", "oficio must be batch", responses::add));
+    assertEquals(400, responses.get(0).status());
+    controller.enqueueEvent(
+        () ->
+            controller.core.rejectSubmission(
+                CANCELLED_JOB, "oficio must be batch", responses::add));
+    sim.runUntil(sim.nowMs + 1_000);
+    assertEquals(503, responses.get(1).status());
   }
 
   /**
@@ -320,26 +342,26 @@
    * the question, read before the cancellation, is answered after it was confirmed.
    */
   @Test
-  void aQuestionOvertakenByACancellationIsNotAnsweredWithLess() {
+  void queryOvertakenByCancellationReportsNoOlderState() {
     for (long lag : new long[] {300, 600, 900}) {
       Simulation sim = new Simulation(124);
-      sim.runMs = 100_000;
-      sim.run(8_000);
-      sim.submit(plain(sim, VICTIM, 4));
-      sim.run(12_000);
-      SimulatedController slow = sim.nodes.get("n0");
-      slow.lag = lag;
-      sim.rules.asksToCancel(VICTIM);
-      List<UserAnswer> asked = new ArrayList<>();
-      List<UserAnswer> cancelled = new ArrayList<>();
-      slow.event(() -> slow.core.query(VICTIM, asked::add));
-      sim.run(sim.now + 30);
-      SimulatedController fast = sim.nodes.get("n1");
-      fast.event(() -> fast.core.cancel(VICTIM, cancelled::add));
-      sim.run(sim.now + 150);
+      sim.taskRunMs = 100_000;
+      sim.runUntil(8_000);
+      sim.submit(batchSpec(sim, CANCELLED_JOB, 4));
+      sim.runUntil(12_000);
+      SimulatedController slow = sim.controllers.get("n0");
+      slow.stateDelayMs = lag;
+      sim.checker.onCancelRequested(CANCELLED_JOB);
+      List<ApiResponse> asked = new ArrayList<>();
+      List<ApiResponse> cancelled = new ArrayList<>();
+      slow.enqueueEvent(() -> slow.core.query(CANCELLED_JOB, asked::add));
+      sim.runUntil(sim.nowMs + 30);
+      SimulatedController fast = sim.controllers.get("n1");
+      fast.enqueueEvent(() -> fast.core.cancel(CANCELLED_JOB, cancelled::add));
+      sim.runUntil(sim.nowMs + 150);
       assertEquals("cancelled", cancelled.get(0).state());
       assertEquals(List.of(), asked, "not answered yet");
-      sim.run(sim.now + 1_500);
+      sim.runUntil(sim.nowMs + 1_500);
       assertTrue(
           asked.get(0).status() == 503 || asked.get(0).state().equals("cancelled"),
           lag + ": " + asked.get(0));
@@ -351,76 +373,79 @@
    * confirmation. Stopped by the next report's answer only, many did.
    */
   @Test
-  void tasksThatWaitForTheirImageDontBeginAfterACancellation() {
+  void fetchingTasksDoNotStartAfterCancellation() {
     int waiting = 0;
     int begun = 0;
     for (long seed = 0; seed < 12; seed++) {
       Simulation sim = new Simulation(140 + seed);
-      sim.run(8_000);
-      sim.submit(plain(sim, VICTIM, 12));
-      long until = sim.now + 3_000;
-      while (sim.now < until && count(running(sim, VICTIM)) < 8) {
-        sim.run(sim.now + 20);
+      sim.runUntil(8_000);
+      sim.submit(batchSpec(sim, CANCELLED_JOB, 12));
+      long until = sim.nowMs + 3_000;
+      while (sim.nowMs < until && sum(runningTasksByLeader(sim, CANCELLED_JOB)) < 8) {
+        sim.runUntil(sim.nowMs + 20);
       }
-      sim.run(sim.now + 250);
-      assertEquals("cancelled", cancelAt(sim, sim.nodes.get("n" + seed % 3), VICTIM).state());
+      sim.runUntil(sim.nowMs + 250);
+      assertEquals(
+          "cancelled", cancelAt(sim, sim.controllers.get("n" + seed % 3), CANCELLED_JOB).state());
       for (SimulatedWorker worker : sim.workers.values()) {
-        for (SimulatedWorker.T task : worker.tasks.values()) {
+        for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
           if (task.state == TaskState.FETCHING) {
             waiting++;
           }
         }
       }
-      sim.run(sim.now + 10_000);
-      begun += sim.rules.startsAfterCancel;
-      assertEquals(List.of(), sim.rules.broken);
+      sim.runUntil(sim.nowMs + 10_000);
+      begun += sim.checker.startsAfterCancelCount;
+      assertEquals(List.of(), sim.checker.violations);
     }
     assertTrue(waiting > 40, "waited: " + waiting);
     assertTrue(begun * 10 < waiting, "of " + waiting + " that waited, begun: " + begun);
   }
 
   /** The meetings that need no other evidence than that they struck; each says whether it did. */
-  enum Meeting {
+  enum FaultCombination {
     /** Cancellations, questions and repetitions at the moment of a job's last end, everywhere. */
-    END_AND_CANCELLATION {
+    COMPLETION_AND_CANCELLATION {
       @Override
-      boolean play(Simulation sim) {
-        sim.cancelAtEnd = 0.5;
+      boolean inject(Simulation sim) {
+        sim.cancelAtEndRate = 0.5;
         for (int i = 10; i < 40; i++) {
-          sim.submit(plain(sim, "wk-0000" + i, 1 + i % 3));
+          sim.submit(batchSpec(sim, "wk-0000" + i, 1 + i % 3));
         }
         for (int i = 0; i < 400; i++) {
-          sim.at(i * 100L, () -> sim.oddRequests(1)); // repeats submissions, cancels what is done
+          sim.schedule(
+              i * 100L,
+              () -> sim.scheduleInvalidRequests(1)); // repeats submissions, cancels what is done
         }
-        sim.run(sim.now + 60_000);
-        sim.cancelAtEnd = 0;
-        return sim.struck.containsKey("cancelAtEnd")
-            && sim.struck.containsKey("cancelAtEnd, one task short")
-            && sim.struck.containsKey("oddRequests, over again");
+        sim.runUntil(sim.nowMs + 60_000);
+        sim.cancelAtEndRate = 0;
+        return sim.faultCounts.containsKey("cancelAtEnd")
+            && sim.faultCounts.containsKey("cancelAtEnd, one task short")
+            && sim.faultCounts.containsKey("oddRequests, over again");
       }
     },
     /** A report is held back until another owns the machine, then arrives there and elsewhere. */
-    HELD_REPORT_AND_NEW_OWNER {
+    DELAYED_HEARTBEAT_AND_NEW_LEADER {
       @Override
-      boolean play(Simulation sim) {
-        SimulatedWorker worker = busiest(sim);
-        Report held = worker.snapshot();
-        MachineRec before = sim.machineRec(worker.id);
-        sim.nodes.get(before.node()).crash(9_000);
-        long until = sim.now + 15_000;
-        while (sim.now < until && sim.machineRec(worker.id).node().equals(before.node())) {
-          sim.run(sim.now + 50);
+      boolean inject(Simulation sim) {
+        SimulatedWorker worker = busiestWorker(sim);
+        Heartbeat held = worker.snapshot();
+        MachineEntry before = sim.machineEntry(worker.id);
+        sim.controllers.get(before.node()).crash(9_000);
+        long until = sim.nowMs + 15_000;
+        while (sim.nowMs < until && sim.machineEntry(worker.id).node().equals(before.node())) {
+          sim.runUntil(sim.nowMs + 50);
         }
-        sim.run(sim.now + 2_000);
-        MachineRec since = sim.machineRec(worker.id);
+        sim.runUntil(sim.nowMs + 2_000);
+        MachineEntry since = sim.machineEntry(worker.id);
         boolean refused = true;
-        for (SimulatedController node : sim.nodes.values()) {
-          if (!node.up) {
+        for (SimulatedController node : sim.controllers.values()) {
+          if (!node.running) {
             continue;
           }
-          List<ReportAnswer> got = new ArrayList<>();
-          node.event(() -> node.core.report(held, got::add));
-          sim.run(sim.now + 200);
+          List<HeartbeatResponse> got = new ArrayList<>();
+          node.enqueueEvent(() -> node.core.handleHeartbeat(held, got::add));
+          sim.runUntil(sim.nowMs + 200);
           refused &= got.get(0).status() != 200;
         }
         assertTrue(refused, "a report that old renews nothing");
@@ -428,212 +453,227 @@
       }
     },
     /** A leader without state service and peers; its jobs are cancelled through another. */
-    LEADER_APART_AND_CANCELLATION {
+    LEADER_ISOLATED_AND_CANCELLATION {
       @Override
-      boolean play(Simulation sim) {
-        SimulatedWorker worker = busiest(sim);
-        SimulatedController node = sim.nodes.get(sim.machineRec(worker.id).node());
-        String job = running(worker);
+      boolean inject(Simulation sim) {
+        SimulatedWorker worker = busiestWorker(sim);
+        SimulatedController node = sim.controllers.get(sim.machineEntry(worker.id).node());
+        String job = runningTasksByLeader(worker);
         sim.isolate(node);
-        SimulatedController other = sim.nodes.get(node.name.equals("n1") ? "n2" : "n1");
+        SimulatedController other = sim.controllers.get(node.name.equals("n1") ? "n2" : "n1");
         assertEquals("cancelled", cancelAt(sim, other, job).state());
-        boolean apart = count(running(sim, job)) > 0;
-        sim.run(sim.now + Simulation.CANCEL);
-        assertEquals(0, count(running(sim, job)));
-        sim.run(sim.now + 10_000);
-        node.noState = false;
-        sim.rejoin();
+        boolean apart = sum(runningTasksByLeader(sim, job)) > 0;
+        sim.runUntil(sim.nowMs + Simulation.CANCEL_MS);
+        assertEquals(0, sum(runningTasksByLeader(sim, job)));
+        sim.runUntil(sim.nowMs + 10_000);
+        node.stateServiceUnreachable = false;
+        sim.healPartitions();
         return apart;
       }
     },
     /** All controllers are away for longer than a lease. */
-    ALL_AWAY_FOR_A_LEASE {
+    ALL_DOWN_FOR_A_LEASE {
       @Override
-      boolean play(Simulation sim) {
-        for (SimulatedController node : sim.nodes.values()) {
-          node.crash(Simulation.LEASE + 5_000);
+      boolean inject(Simulation sim) {
+        for (SimulatedController node : sim.controllers.values()) {
+          node.crash(Simulation.LEASE_MS + 5_000);
         }
-        sim.run(sim.now + Simulation.LEASE + 4_000);
+        sim.runUntil(sim.nowMs + Simulation.LEASE_MS + 4_000);
         return sim.workers.values().stream()
-            .allMatch(worker -> worker.session > 1 && worker.tasks.isEmpty());
+            .allMatch(worker -> worker.epoch > 1 && worker.tasks.isEmpty());
       }
     },
     /** The state service is slow, then refuses a leader, then all, while users cancel and ask. */
     SLOW_STATE_AND_CANCELLATION {
       @Override
-      boolean play(Simulation sim) {
-        sim.rules.crossingsBreak = false;
-        sim.slowState = 2_500;
-        sim.at(2_000, () -> sim.cancelNow(3, 0));
-        sim.at(9_000, () -> sim.oddRequests(20));
-        sim.run(sim.now + 20_000);
-        sim.slowState = 0;
-        sim.refusedThenOutage(sim.nodes.get("n0"), 3_000, Simulation.CANCEL + 5_000);
-        sim.at(2_500, () -> sim.cancelNow(2, 0));
-        sim.run(sim.now + Simulation.CANCEL + 10_000);
-        return sim.struck.containsKey("slowState") && sim.struck.containsKey("cancelNow");
+      boolean inject(Simulation sim) {
+        sim.checker.reorderedAnswersViolate = false;
+        sim.maxStateDelayMs = 2_500;
+        sim.schedule(2_000, () -> sim.cancelRunningJobs(3, 0));
+        sim.schedule(9_000, () -> sim.scheduleInvalidRequests(20));
+        sim.runUntil(sim.nowMs + 20_000);
+        sim.maxStateDelayMs = 0;
+        sim.rejectOneThenOutage(sim.controllers.get("n0"), 3_000, Simulation.CANCEL_MS + 5_000);
+        sim.schedule(2_500, () -> sim.cancelRunningJobs(2, 0));
+        sim.runUntil(sim.nowMs + Simulation.CANCEL_MS + 10_000);
+        return sim.faultCounts.containsKey("slowState") && sim.faultCounts.containsKey("cancelNow");
       }
     },
     /** A team at its limit, a change of leader, machines that can't be asked, a cancellation. */
-    TEAM_AT_ITS_LIMIT {
+    TEAM_AT_QUOTA {
       @Override
-      boolean play(Simulation sim) {
+      boolean inject(Simulation sim) {
         for (int i = 1; i <= 4; i++) {
           sim.cancel("wk-00000" + i); // makes room for it
         }
         double used = 0;
-        for (long until = sim.now + 20_000; used < 22 && sim.now < until; sim.run(sim.now + 200)) {
-          used = ((TeamRec) sim.state.keys.get(Store.TEAMS + "tight").value()).cpus();
+        for (long until = sim.nowMs + 20_000;
+            used < 22 && sim.nowMs < until;
+            sim.runUntil(sim.nowMs + 200)) {
+          used =
+              ((TeamUsageEntry)
+                      sim.stateService.entries.get(StateStore.TEAM_PREFIX + "tight").value())
+                  .reservedCpus();
         }
-        SimulatedController node = sim.nodes.get(sim.entry("wk-000005").holder());
+        SimulatedController node = sim.controllers.get(sim.jobEntry("wk-000005").leader());
         node.crash(700);
         int i = 0;
         for (SimulatedWorker worker : sim.workers.values()) {
           if (i++ % 2 != 0) {
             continue;
           }
-          worker.cut = true;
-          sim.at(15_000, () -> worker.cut = false);
+          worker.partitioned = true;
+          sim.schedule(15_000, () -> worker.partitioned = false);
         }
-        sim.at(1_500, () -> sim.cancel("wk-000005"));
-        sim.run(sim.now + 30_000);
+        sim.schedule(1_500, () -> sim.cancel("wk-000005"));
+        sim.runUntil(sim.nowMs + 30_000);
         return used >= 22;
       }
     },
     /** More work than room, urgent and not, over slow links. */
-    TOO_MUCH_WORK_SLOWLY {
+    OVERLOAD_WITH_SLOW_LINKS {
       @Override
-      boolean play(Simulation sim) {
-        for (SimulatedController node : sim.nodes.values()) {
-          node.lag = 400;
+      boolean inject(Simulation sim) {
+        for (SimulatedController node : sim.controllers.values()) {
+          node.stateDelayMs = 400;
         }
-        sim.rosterChaos = 0.3;
+        sim.statusUpdateFaultRate = 0.3;
         for (int i = 10; i < 50; i++) {
           Priority priority = Priority.values()[i % 4];
-          sim.submit(sim.job("wk-0000" + i, 4, 2, priority, "free", false, false, true, null));
+          sim.submit(
+              sim.batchSpec("wk-0000" + i, 4, 2, priority, "free", false, false, true, null));
         }
-        sim.run(sim.now + 40_000);
+        sim.runUntil(sim.nowMs + 40_000);
         long open =
-            sim.state.keys.values().stream()
-                .filter(value -> value.value() instanceof JobRec job && job.fin() == Final.NONE)
+            sim.stateService.entries.values().stream()
+                .filter(
+                    value ->
+                        value.value() instanceof JobEntry job && job.outcome() == JobOutcome.NONE)
                 .count();
-        for (SimulatedController controller : sim.nodes.values()) {
-          controller.lag = 0;
+        for (SimulatedController controller : sim.controllers.values()) {
+          controller.stateDelayMs = 0;
         }
-        sim.rosterChaos = 0;
+        sim.statusUpdateFaultRate = 0;
         return open > 5;
       }
     },
     /** Machines reach no controller for longer than a lease; commands reach them; one cancels. */
-    MUTE_MACHINES {
+    OUTBOUND_BLOCKED_MACHINES {
       @Override
-      boolean play(Simulation sim) {
+      boolean inject(Simulation sim) {
         for (SimulatedWorker worker : sim.workers.values()) {
-          worker.mute = true;
+          worker.outboundBlocked = true;
         }
-        sim.at(3_000, () -> sim.cancel("wk-000004"));
-        sim.run(sim.now + Simulation.LEASE + 8_000);
+        sim.schedule(3_000, () -> sim.cancel("wk-000004"));
+        sim.runUntil(sim.nowMs + Simulation.LEASE_MS + 8_000);
         for (SimulatedWorker simWorker : sim.workers.values()) {
-          simWorker.mute = false;
+          simWorker.outboundBlocked = false;
         }
-        return sim.struck.containsKey("mute");
+        return sim.faultCounts.containsKey("mute");
       }
     },
     /** Commands and their answers are held up by machines that hang and go on. */
-    HELD_COMMANDS {
+    DELAYED_COMMANDS {
       @Override
-      boolean play(Simulation sim) {
-        sim.runMs = 1_500;
-        sim.run(sim.now + 30_000);
+      boolean inject(Simulation sim) {
+        sim.taskRunMs = 1_500;
+        sim.runUntil(sim.nowMs + 30_000);
         for (int i = 10; i < 40; i++) {
           String id = "wk-0000" + i;
-          sim.at(i * 1_000L, () -> sim.submit(plain(sim, id, 4)));
+          sim.schedule(i * 1_000L, () -> sim.submit(batchSpec(sim, id, 4)));
         }
         for (int i = 0; i < 20; i++) {
-          sim.at(
+          sim.schedule(
               i * 2_500L,
               () -> {
                 for (SimulatedWorker worker : sim.workers.values()) {
-                  worker.hang(sim.rnd.nextInt(4_000));
+                  worker.pause(sim.random.nextInt(4_000));
                 }
               });
         }
-        sim.at(14_000, () -> sim.cancelNow(2, 8_000));
-        sim.run(sim.now + 55_000);
-        return sim.struck.containsKey("hang, held orders executed");
+        sim.schedule(14_000, () -> sim.cancelRunningJobs(2, 8_000));
+        sim.runUntil(sim.nowMs + 55_000);
+        return sim.faultCounts.containsKey("hang, held orders executed");
       }
     },
     /** Controllers hand over and back, all end, and one returns, also within a second. */
-    THERE_AND_BACK {
+    FAILOVER_AND_FAILBACK {
       @Override
-      boolean play(Simulation sim) {
+      boolean inject(Simulation sim) {
         for (int i = 0; i < 6; i++) {
-          sim.nodes.get(Simulation.NODES.get(i % 3)).crash(i % 2 == 0 ? 150 : 6_000);
-          sim.run(sim.now + 5_000);
+          sim.controllers.get(Simulation.NODES.get(i % 3)).crash(i % 2 == 0 ? 150 : 6_000);
+          sim.runUntil(sim.nowMs + 5_000);
         }
-        sim.run(sim.now + 8_000);
-        for (SimulatedController node : sim.nodes.values()) {
+        sim.runUntil(sim.nowMs + 8_000);
+        for (SimulatedController node : sim.controllers.values()) {
           node.crash(node.name.equals("n1") ? 300 : 20_000);
         }
-        sim.run(sim.now + 2_000);
-        boolean one = sim.nodes.get("n1").up && !sim.nodes.get("n0").up && !sim.nodes.get("n2").up;
-        sim.run(sim.now + 25_000);
+        sim.runUntil(sim.nowMs + 2_000);
+        boolean one =
+            sim.controllers.get("n1").running
+                && !sim.controllers.get("n0").running
+                && !sim.controllers.get("n2").running;
+        sim.runUntil(sim.nowMs + 25_000);
         return one;
       }
     },
     /** Transactions without an answer are carried out late, after newer ones, also of the dead. */
-    LATE_TRANSACTIONS {
+    DELAYED_TRANSACTIONS {
       @Override
-      boolean play(Simulation sim) {
-        sim.lateWrites = 0.3;
+      boolean inject(Simulation sim) {
+        sim.delayedTransactionRate = 0.3;
         for (int i = 10; i < 20; i++) {
           sim.submit(
-              sim.job("wk-0000" + i, 4, 2, Priority.NORMAL, "tight", false, false, true, null));
+              sim.batchSpec(
+                  "wk-0000" + i, 4, 2, Priority.NORMAL, "tight", false, false, true, null));
         }
         for (int i = 0; i < 4; i++) {
-          sim.run(sim.now + 8_000);
-          sim.nodes.get(Simulation.NODES.get(i % 3)).crash(200);
+          sim.runUntil(sim.nowMs + 8_000);
+          sim.controllers.get(Simulation.NODES.get(i % 3)).crash(200);
         }
-        sim.run(sim.now + 10_000);
-        sim.lateWrites = 0;
-        sim.run(sim.now + 13_000);
-        return sim.struck.containsKey("lateWrites, applied");
+        sim.runUntil(sim.nowMs + 10_000);
+        sim.delayedTransactionRate = 0;
+        sim.runUntil(sim.nowMs + 13_000);
+        return sim.faultCounts.containsKey("lateWrites, applied");
       }
     },
     /** Jobs of two or three tasks that end far apart, with another leader in between. */
-    ENDS_FAR_APART {
+    COMPLETIONS_FAR_APART {
       @Override
-      boolean play(Simulation sim) {
+      boolean inject(Simulation sim) {
         for (int j = 10; j < 16; j++) {
           String id = "wk-0000" + j;
           for (int t = 0; t < 3; t++) {
-            sim.runOf.put(id + "/" + t, 2_000L + t * 30_000L);
+            sim.taskRunMsByTask.put(id + "/" + t, 2_000L + t * 30_000L);
           }
-          sim.submit(plain(sim, id, 2 + j % 2));
+          sim.submit(batchSpec(sim, id, 2 + j % 2));
         }
-        sim.run(sim.now + 24_000);
+        sim.runUntil(sim.nowMs + 24_000);
         boolean between = false;
         for (int j = 10; j < 16; j++) {
-          JobRec job = sim.entry("wk-0000" + j);
-          between |= job.doneCount() > 0 && job.doneCount() < job.spec().tasks();
+          JobEntry job = sim.jobEntry("wk-0000" + j);
+          between |= job.completedTaskCount() > 0 && job.completedTaskCount() < job.spec().tasks();
         }
-        for (SimulatedController node : sim.nodes.values()) {
+        for (SimulatedController node : sim.controllers.values()) {
           node.crash(node.name.equals("n2") ? 200 : 5_000);
         }
-        sim.run(sim.now + 22_000);
-        sim.changeLeaders();
-        sim.run(sim.now + 30_000);
+        sim.runUntil(sim.nowMs + 22_000);
+        sim.crashBusiestLeaders();
+        sim.runUntil(sim.nowMs + 30_000);
         return between;
       }
     },
     /** Jobs of one zone, pinned and not, lose machines. */
     ONE_ZONE_LOSES_MACHINES {
       @Override
-      boolean play(Simulation sim) {
-        sim.submit(sim.job("wk-000010", 6, 2, Priority.NORMAL, "free", false, false, true, "a"));
-        sim.submit(sim.job("wk-000011", 6, 2, Priority.NORMAL, "free", true, false, true, null));
-        sim.submit(sim.job("wk-000012", 5, 2, Priority.NORMAL, "free", false, true, true, null));
-        sim.run(sim.now + 6_000);
+      boolean inject(Simulation sim) {
+        sim.submit(
+            sim.batchSpec("wk-000010", 6, 2, Priority.NORMAL, "free", false, false, true, "a"));
+        sim.submit(
+            sim.batchSpec("wk-000011", 6, 2, Priority.NORMAL, "free", true, false, true, null));
+        sim.submit(
+            sim.batchSpec("wk-000012", 5, 2, Priority.NORMAL, "free", false, true, true, null));
+        sim.runUntil(sim.nowMs + 6_000);
         int lost = 0;
         for (SimulatedWorker worker : List.copyOf(sim.workers.values())) {
           if (!worker.zone.equals("a") || worker.tasks.isEmpty()) {
@@ -642,74 +682,75 @@
           lost += worker.tasks.size();
           sim.killMachine(worker.id);
         }
-        sim.run(sim.now + 20_000);
+        sim.runUntil(sim.nowMs + 20_000);
         return lost > 0;
       }
     },
     /** Leaders change ten times in two minutes, also inside an outage. */
-    TEN_LEADERS {
+    TEN_LEADER_CHANGES {
       @Override
-      boolean play(Simulation sim) {
+      boolean inject(Simulation sim) {
         for (int i = 0; i < 10; i++) {
-          sim.at(i * 11_000L, sim::changeLeaders);
+          sim.schedule(i * 11_000L, sim::crashBusiestLeaders);
         }
-        sim.at(38_000, () -> sim.state.outage = true);
-        sim.at(70_000, sim.state::recover);
-        sim.at(60_000, () -> sim.cancel("wk-000003"));
-        sim.run(sim.now + 120_000);
-        return sim.struck.getOrDefault("changeLeaders", 0) > 6
-            && sim.struck.containsKey("changeLeaders, in an outage");
+        sim.schedule(38_000, () -> sim.stateService.outage = true);
+        sim.schedule(70_000, sim.stateService::endOutage);
+        sim.schedule(60_000, () -> sim.cancel("wk-000003"));
+        sim.runUntil(sim.nowMs + 120_000);
+        return sim.faultCounts.getOrDefault("changeLeaders", 0) > 6
+            && sim.faultCounts.containsKey("changeLeaders, in an outage");
       }
     },
     /** A zone with workers and a controller is cut off for longer than a lease; one cancels. */
-    ZONE_CUT_OFF {
+    ZONE_PARTITIONED {
       @Override
-      boolean play(Simulation sim) {
-        sim.cutOff("b");
-        sim.run(sim.now + 300);
+      boolean inject(Simulation sim) {
+        sim.partitionZone("b");
+        sim.runUntil(sim.nowMs + 300);
         String job = null;
         for (SimulatedWorker worker : sim.workers.values()) {
-          if (worker.zone.equals("b") && running(worker) != null) {
-            job = running(worker);
+          if (worker.zone.equals("b") && runningTasksByLeader(worker) != null) {
+            job = runningTasksByLeader(worker);
           }
         }
-        boolean inside = job != null && sim.nodes.get("n1").up;
-        assertEquals("cancelled", cancelAt(sim, sim.nodes.get("n0"), job).state());
-        sim.run(sim.now + Simulation.CANCEL + 5_000);
-        assertEquals(0, count(running(sim, job)));
-        sim.rejoin();
+        boolean inside = job != null && sim.controllers.get("n1").running;
+        assertEquals("cancelled", cancelAt(sim, sim.controllers.get("n0"), job).state());
+        sim.runUntil(sim.nowMs + Simulation.CANCEL_MS + 5_000);
+        assertEquals(0, sum(runningTasksByLeader(sim, job)));
+        sim.healPartitions();
         return inside;
       }
     },
     /** A leader ends; machines with long tasks can't be reached, or don't hear the next one. */
-    LEADER_ENDS_MACHINES_UNREACHED {
+    LEADER_CRASH_MACHINES_UNREACHABLE {
       @Override
-      boolean play(Simulation sim) {
-        SimulatedController node = sim.nodes.get(sim.machineRec(busiest(sim).id).node());
+      boolean inject(Simulation sim) {
+        SimulatedController node =
+            sim.controllers.get(sim.machineEntry(busiestWorker(sim).id).node());
         int i = 0;
         for (SimulatedWorker worker : sim.workers.values()) {
-          if (!worker.node.equals(node.name)) {
+          if (!worker.controllerName.equals(node.name)) {
             continue;
           }
           if (i++ % 2 == 0) {
-            worker.cut = true;
+            worker.partitioned = true;
           } else {
-            worker.deaf = true;
+            worker.inboundBlocked = true;
           }
-          sim.at(22_000, worker::hearAgain);
+          sim.schedule(22_000, worker::unblockInbound);
         }
         node.crash(30_000);
-        sim.run(sim.now + 40_000);
+        sim.runUntil(sim.nowMs + 40_000);
         return i > 0;
       }
     };
 
-    abstract boolean play(Simulation sim);
+    abstract boolean inject(Simulation sim);
   }
 
   /** A job of which a task runs there; null: none. */
-  private static String running(SimulatedWorker worker) {
-    for (SimulatedWorker.T task : worker.tasks.values()) {
+  private static String runningTasksByLeader(SimulatedWorker worker) {
+    for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
       if (task.state == TaskState.RUNNING) {
         return task.job;
       }
@@ -717,7 +758,7 @@
     return null;
   }
 
-  private static SimulatedWorker busiest(Simulation sim) {
+  private static SimulatedWorker busiestWorker(Simulation sim) {
     SimulatedWorker most = null;
     for (SimulatedWorker worker : sim.workers.values()) {
       if (most == null || worker.tasks.size() > most.tasks.size()) {
@@ -729,15 +770,15 @@
 
   /** Six jobs run, two of them of a team at its limit, when the troubles meet. */
   @ParameterizedTest
-  @EnumSource(Meeting.class)
-  void theRulesHold(Meeting meeting) {
+  @EnumSource(FaultCombination.class)
+  void invariantsHold(FaultCombination meeting) {
     for (long seed = 1; seed <= 3; seed++) {
       Simulation sim = new Simulation(200 + seed);
-      sim.runMs = 25_000;
-      sim.run(8_000);
+      sim.taskRunMs = 25_000;
+      sim.runUntil(8_000);
       for (int i = 1; i <= 6; i++) {
         sim.submit(
-            sim.job(
+            sim.batchSpec(
                 "wk-00000" + i,
                 i > 4 ? 9 : 4,
                 2,
@@ -748,15 +789,15 @@
                 true,
                 null));
       }
-      sim.run(18_000);
-      assertTrue(sim.rules.starts > 8, "work is under way");
-      assertTrue(meeting.play(sim), meeting + " took place, seed " + seed);
-      sim.runMs = 3_000;
-      sim.rules.calmSince = sim.now;
-      sim.run(sim.now + 260_000);
-      assertEquals(List.of(), sim.rules.broken, meeting + ", seed " + seed);
+      sim.runUntil(18_000);
+      assertTrue(sim.checker.startCount > 8, "work is under way");
+      assertTrue(meeting.inject(sim), meeting + " took place, seed " + seed);
+      sim.taskRunMs = 3_000;
+      sim.checker.faultsEndedMs = sim.nowMs;
+      sim.runUntil(sim.nowMs + 260_000);
+      assertEquals(List.of(), sim.checker.violations, meeting + ", seed " + seed);
       for (String id : sim.jobs) {
-        String last = sim.rules.lastTold(id);
+        String last = sim.checker.lastState(id);
         assertTrue("done".equals(last) || "cancelled".equals(last), id + " is " + last);
       }
     }
--- /dev/null
+++ b/src/test/java/mallowstall/core/EventLoopLagTest.java
@@ -0,0 +1,55 @@
+package mallowstall.core;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import mallowstall.Constants;
+import mallowstall.core.kernel.EventLoopLag;
+import org.junit.jupiter.api.Test;
+
+/** Gaps that grow while a process runs behind its timers. */
+class EventLoopLagTest {
+  private static final long GAP_MS = 100;
+
+  private final EventLoopLag lag = new EventLoopLag();
+  private long nowMs = 5_000;
+
+  private void tick(int times, long late) {
+    for (int i = 0; i < times; i++) {
+      nowMs += Constants.TICK_MS + late;
+      lag.onTick(nowMs);
+    }
+  }
+
+  @Test
+  void withoutLagGapsStayAsTheyAre() {
+    assertEquals(GAP_MS, lag.stretchedGapMs(GAP_MS));
+    tick(100, 0);
+    assertEquals(GAP_MS, lag.stretchedGapMs(GAP_MS));
+  }
+
+  @Test
+  void gapsFollowLagAndRecovery() {
+    tick(50, 20);
+    long gap = lag.stretchedGapMs(GAP_MS);
+    assertTrue(gap > GAP_MS + 40 && gap <= GAP_MS + 60, "gap " + gap);
+    tick(50, 0);
+    assertTrue(lag.stretchedGapMs(GAP_MS) <= GAP_MS + 1);
+  }
+
+  @Test
+  void noLagStretchesBeyondTheBound() {
+    tick(200, 100_000);
+    assertEquals(GAP_MS + Constants.LAG_GAP_MAX_MS, lag.stretchedGapMs(GAP_MS));
+  }
+
+  /** One long stop, as of a machine that stood still, says little of the load. */
+  @Test
+  void oneLateTickStretchesLittle() {
+    tick(20, 0);
+    tick(1, 60_000);
+    long most =
+        Math.round(Constants.LAG_SAMPLE_MAX_MS * Constants.LAG_WEIGHT * Constants.LAG_GAP_FACTOR);
+    assertEquals(GAP_MS + most, lag.stretchedGapMs(GAP_MS));
+  }
+}
--- a/src/test/java/mallowstall/core/HistoryDigest.java
+++ b/src/test/java/mallowstall/core/HistoryDigest.java
@@ -11,14 +11,26 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.function.Consumer;
-import mallowstall.core.Model.Command;
-import mallowstall.core.Model.Entry;
-import mallowstall.core.Model.MachineType;
-import mallowstall.core.Model.PeerMessage;
-import mallowstall.core.Model.RentRequest;
-import mallowstall.core.Model.Report;
-import mallowstall.core.Model.ReportAnswer;
-import mallowstall.core.Model.UserAnswer;
+import mallowstall.core.kernel.CommandResult;
+import mallowstall.core.kernel.Condition;
+import mallowstall.core.kernel.Effects;
+import mallowstall.core.kernel.GetResult;
+import mallowstall.core.kernel.InventoryPage;
+import mallowstall.core.kernel.LeaseResult;
+import mallowstall.core.kernel.ListResult;
+import mallowstall.core.kernel.PutOperation;
+import mallowstall.core.kernel.ScaleOutResult;
+import mallowstall.core.kernel.Transaction;
+import mallowstall.core.kernel.TransactionResult;
+import mallowstall.core.kernel.WatchResult;
+import mallowstall.core.model.ApiResponse;
+import mallowstall.core.model.Heartbeat;
+import mallowstall.core.model.HeartbeatResponse;
+import mallowstall.core.model.MachineType;
+import mallowstall.core.model.PeerMessage;
+import mallowstall.core.model.ScaleOutRequest;
+import mallowstall.core.model.StoredEntry;
+import mallowstall.core.model.WorkerCommand;
 import mallowstall.peers.PeerCodec;
 import mallowstall.state.StoredEntries;
 
@@ -67,8 +79,8 @@
     Path file = dumpTo == null ? null : dumpTo.resolve(parts[0] + "-" + seed + ".txt");
     try (HistoryDigest digest = new HistoryDigest(file)) {
       switch (parts[0]) {
-        case "plain" -> RandomizedSimulationTest.meetings(seed, digest);
-        case "upgrade" -> RandomizedUpgradeTest.history(seed, digest);
+        case "plain" -> RandomizedSimulationTest.runCombinedFaults(seed, digest);
+        case "upgrade" -> RandomizedUpgradeTest.runHistory(seed, digest);
         default -> throw new IllegalArgumentException("unknown kind of history: " + history);
       }
       if (digest.lines == 0) {
@@ -91,22 +103,25 @@
   }
 
   @Override
-  public Consumer<UserAnswer> toUser(
-      SimulatedController node, String job, Consumer<UserAnswer> user) {
+  public Consumer<ApiResponse> toUser(
+      SimulatedController node, String job, Consumer<ApiResponse> user) {
     return answer -> {
       begin(node, "user").field(job).field(answer.status()).field(answer.id());
-      field(answer.state()).field(answer.done()).field(answer.running());
+      field(answer.state()).field(answer.completedTaskCount()).field(answer.runningTaskCount());
       field(answer.message()).field(answer.retryAfterS()).end();
       user.accept(answer);
     };
   }
 
   @Override
-  public Consumer<ReportAnswer> toWorker(
-      SimulatedController node, Report report, Consumer<ReportAnswer> worker) {
+  public Consumer<HeartbeatResponse> toWorker(
+      SimulatedController node, Heartbeat heartbeat, Consumer<HeartbeatResponse> worker) {
     return answer -> {
-      begin(node, "worker").field(report.machine()).field(report.session()).field(report.seq());
-      field(answer.status()).field(answer.token()).field(answer.reportTo());
+      begin(node, "worker")
+          .field(heartbeat.machine())
+          .field(heartbeat.session())
+          .field(heartbeat.sequence());
+      field(answer.status()).field(answer.fencingToken()).field(answer.redirectTo());
       commands(answer.commands()).end();
       worker.accept(answer);
     };
@@ -137,11 +152,11 @@
     return field(flag ? 1 : 0);
   }
 
-  private HistoryDigest commands(List<Command> commands) {
+  private HistoryDigest commands(List<WorkerCommand> commands) {
     field(commands.size());
-    for (Command command : commands) {
+    for (WorkerCommand command : commands) {
       field(command.kind().ordinal()).field(command.job()).field(command.task());
-      field(command.attempt()).field(command.graceS());
+      field(command.attempt()).field(command.gracePeriodS());
     }
     return this;
   }
@@ -172,54 +187,54 @@
     }
 
     @Override
-    public void transact(Txn txn, Consumer<TxnReply> then) {
-      begin(node, "transaction").field(txn.when().size());
-      for (Cond condition : txn.when()) {
-        field(condition.key()).field(condition.version());
+    public void transact(Transaction txn, Consumer<TransactionResult> then) {
+      begin(node, "transaction").field(txn.conditions().size());
+      for (Condition condition : txn.conditions()) {
+        field(condition.key()).field(condition.modRevision());
       }
       field(txn.puts().size());
-      for (Put put : txn.puts()) {
+      for (PutOperation put : txn.puts()) {
         byte[] value = StoredEntries.encode(put.value());
-        field(put.key()).field(put.lease()).field(new String(value, StandardCharsets.UTF_8));
+        field(put.key()).field(put.leaseId()).field(new String(value, StandardCharsets.UTF_8));
       }
-      field(txn.drops().size());
-      txn.drops().forEach(HistoryDigest.this::field);
+      field(txn.deletes().size());
+      txn.deletes().forEach(HistoryDigest.this::field);
       end();
       world.transact(txn, then);
     }
 
     /** Leaves nothing: a core only measures with it. */
     @Override
-    public int encodedSize(Entry value) {
-      return world.encodedSize(value);
+    public int encodedSizeBytes(StoredEntry value) {
+      return world.encodedSizeBytes(value);
     }
 
     @Override
-    public void get(String key, Consumer<GetReply> then) {
+    public void get(String key, Consumer<GetResult> then) {
       begin(node, "read").field(key).end();
       world.get(key, then);
     }
 
     @Override
-    public void list(String after, Consumer<ListReply> then) {
+    public void list(String after, Consumer<ListResult> then) {
       begin(node, "list").field(after).end();
       world.list(after, then);
     }
 
     @Override
-    public void watch(long after, long holdMs, Consumer<WatchReply> then) {
+    public void watch(long after, long holdMs, Consumer<WatchResult> then) {
       begin(node, "watch").field(after).field(holdMs).end();
       world.watch(after, holdMs, then);
     }
 
     @Override
-    public void grantLease(long ttlMs, Consumer<LeaseReply> then) {
+    public void grantLease(long ttlMs, Consumer<LeaseResult> then) {
       begin(node, "lease").field(ttlMs).end();
       world.grantLease(ttlMs, then);
     }
 
     @Override
-    public void renewLease(long lease, Consumer<LeaseReply> then) {
+    public void renewLease(long lease, Consumer<LeaseResult> then) {
       begin(node, "renewal").field(lease).end();
       world.renewLease(lease, then);
     }
@@ -232,36 +247,40 @@
     }
 
     @Override
-    public void order(
-        String addr, long token, long session, List<Command> commands, Consumer<OrderReply> then) {
+    public void sendCommands(
+        String addr,
+        long token,
+        long session,
+        List<WorkerCommand> commands,
+        Consumer<CommandResult> then) {
       begin(node, "order").field(addr).field(token).field(session);
       commands(commands).end();
-      world.order(addr, token, session, commands, then);
+      world.sendCommands(addr, token, session, commands, then);
     }
 
     @Override
-    public void types(Consumer<List<MachineType>> then) {
+    public void fetchMachineTypes(Consumer<List<MachineType>> then) {
       begin(node, "types").end();
-      world.types(then);
+      world.fetchMachineTypes(then);
     }
 
     @Override
-    public void rent(RentRequest request, Consumer<RentReply> then) {
+    public void scaleOut(ScaleOutRequest request, Consumer<ScaleOutResult> then) {
       begin(node, "rental").field(request.name()).field(request.type()).field(request.zone());
       field(request.spot()).field(request.count()).end();
-      world.rent(request, then);
+      world.scaleOut(request, then);
     }
 
     @Override
-    public void returnMachines(List<String> machines, Consumer<Boolean> then) {
+    public void scaleIn(List<String> machines, Consumer<Boolean> then) {
       begin(node, "return").field(machines.size());
       machines.forEach(HistoryDigest.this::field);
       end();
-      world.returnMachines(machines, then);
+      world.scaleIn(machines, then);
     }
 
     @Override
-    public void listMachines(String after, Consumer<ListedReply> then) {
+    public void listMachines(String after, Consumer<InventoryPage> then) {
       begin(node, "machines").field(after).end();
       world.listMachines(after, then);
     }
--- /dev/null
+++ b/src/test/java/mallowstall/core/IdleWorkloadTest.java
@@ -0,0 +1,80 @@
+package mallowstall.core;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import java.util.function.ToIntFunction;
+import mallowstall.Constants;
+import org.junit.jupiter.api.Test;
+
+/**
+ * Work that must follow what changes, not how much there is: counted, since the machines that
+ * controllers run on have a few hundredths of a processor.
+ */
+class IdleWorkloadTest {
+  private static final int MACHINES = 40;
+  private static final int IDLE_PERIOD_S = 10;
+
+  private static Simulation startIdle(long seed, int machines) {
+    Simulation sim = new Simulation(seed);
+    sim.addMachines(machines);
+    sim.runUntil(12_000);
+    return sim;
+  }
+
+  private static int sum(Simulation sim, ToIntFunction<SimulatedController> count) {
+    return sim.controllers.values().stream().mapToInt(count).sum();
+  }
+
+  private static int countWhileIdle(Simulation sim, ToIntFunction<SimulatedController> count) {
+    int before = sum(sim, count);
+    sim.runUntil(sim.nowMs + IDLE_PERIOD_S * 1_000);
+    return sum(sim, count) - before;
+  }
+
+  /** Reports without news once made five statements a second to every peer. */
+  @Test
+  void unchangedHeartbeatsSendNoStatusUpdates() {
+    int few = countWhileIdle(startIdle(701, 0), node -> node.statusUpdatesSent);
+    int many = countWhileIdle(startIdle(701, MACHINES), node -> node.statusUpdatesSent);
+    int links = Simulation.NODES.size() * (Simulation.NODES.size() - 1);
+    assertTrue(many <= links * IDLE_PERIOD_S * 2, "statements: " + many);
+    assertTrue(many <= few * 5 / 4, "statements: " + many + " instead of " + few);
+  }
+
+  /** An unchanged machine is told again every few seconds, to each peer, and no more often. */
+  @Test
+  void unchangedMachineStatusesAreSentRarely() {
+    Simulation sim = startIdle(702, MACHINES);
+    int machines = sim.workers.size();
+    int statusesSent = countWhileIdle(sim, node -> node.machineStatusesSent);
+    int peers = Simulation.NODES.size() - 1;
+    long restatements = 1 + IDLE_PERIOD_S * 1_000 / Constants.MACHINE_STATUS_REFRESH_MS;
+    // each is told in two statements at most before the peer has acknowledged it
+    assertTrue(
+        statusesSent <= 2 * peers * machines * restatements, statusesSent + " of " + machines);
+  }
+
+  /**
+   * A restarted controller claims what its former process owned a few at a time: all at once they
+   * used up the state service's rate, and no machine that came back could be taken over.
+   */
+  @Test
+  void recoveredMachinesAreRegisteredInBatches() {
+    Simulation sim = startIdle(703, MACHINES);
+    List.copyOf(sim.workers.values()).forEach(worker -> worker.outboundBlocked = true);
+    sim.crashAll(1_000);
+    for (SimulatedController node : sim.controllers.values()) {
+      node.maxMachineWritesInFlight = 0;
+      node.machineWriteDelayMs = 400;
+    }
+    sim.runUntil(sim.nowMs + 30_000);
+    int most =
+        sim.controllers.values().stream()
+            .mapToInt(node -> node.maxMachineWritesInFlight)
+            .max()
+            .orElse(0);
+    assertEquals(Constants.RECOVERY_CONCURRENCY, most);
+  }
+}
--- a/src/test/java/mallowstall/core/RandomFaults.java
+++ b/src/test/java/mallowstall/core/RandomFaults.java
@@ -1,73 +1,75 @@
 package mallowstall.core;
 
 import java.util.List;
-import mallowstall.core.Model.Priority;
+import mallowstall.core.model.Priority;
 
 /** Random work and random troubles for seeded histories. */
 final class RandomFaults {
   private RandomFaults() {}
 
   /** So many random batch jobs within 70 s, some of them cancelled. */
-  static void work(Simulation sim, int jobs) {
-    work(sim, jobs, 70_000);
+  static void scheduleRandomJobs(Simulation sim, int jobs) {
+    scheduleRandomJobs(sim, jobs, 70_000);
   }
 
   /** So many random batch jobs within this time, some of them cancelled. */
-  static void work(Simulation sim, int jobs, int forMs) {
+  static void scheduleRandomJobs(Simulation sim, int jobs, int forMs) {
     for (int i = 0; i < jobs; i++) {
-      int n = i;
-      sim.at(
-          3_000 + sim.rnd.nextInt(forMs),
+      int number = i;
+      sim.schedule(
+          3_000 + sim.random.nextInt(forMs),
           () -> {
-            String id = String.format("wk-%06d", n);
-            Priority priority = Priority.values()[sim.rnd.nextInt(3)];
-            boolean oneZone = sim.rnd.nextInt(5) == 0;
-            boolean spread = !oneZone && sim.rnd.nextInt(5) == 0;
-            String zone = sim.rnd.nextInt(8) == 0 ? "a" : null;
+            String id = String.format("wk-%06d", number);
+            Priority priority = Priority.values()[sim.random.nextInt(3)];
+            boolean oneZone = sim.random.nextInt(5) == 0;
+            boolean spread = !oneZone && sim.random.nextInt(5) == 0;
+            String zone = sim.random.nextInt(8) == 0 ? "a" : null;
             sim.submit(
-                sim.job(
+                sim.batchSpec(
                     id,
-                    1 + sim.rnd.nextInt(9),
-                    1 + sim.rnd.nextInt(4),
+                    1 + sim.random.nextInt(9),
+                    1 + sim.random.nextInt(4),
                     priority,
-                    sim.rnd.nextBoolean() ? "free" : "tight",
+                    sim.random.nextBoolean() ? "free" : "tight",
                     oneZone,
                     spread && zone == null,
-                    sim.rnd.nextInt(3) > 0,
+                    sim.random.nextInt(3) > 0,
                     zone));
-            if (sim.rnd.nextInt(5) == 0) {
-              sim.at(1_000 + sim.rnd.nextInt(15_000), () -> sim.cancel(id));
+            if (sim.random.nextInt(5) == 0) {
+              sim.schedule(1_000 + sim.random.nextInt(15_000), () -> sim.cancel(id));
             }
           });
     }
     for (int i = 0; i < 20; i++) {
-      sim.at(sim.rnd.nextInt(120_000), sim::askForNobody);
+      sim.schedule(sim.random.nextInt(120_000), sim::queryUnknownJob);
     }
   }
 
   /** One of the older troubles at random. */
-  static void older(Simulation sim) {
-    SimulatedController node = sim.nodes.get(Simulation.NODES.get(sim.rnd.nextInt(3)));
-    switch (sim.rnd.nextInt(13)) {
-      case 0 -> node.crash(sim.rnd.nextBoolean() ? 200 : 5_000);
+  static void injectBasicFault(Simulation sim) {
+    SimulatedController node = sim.controllers.get(Simulation.NODES.get(sim.random.nextInt(3)));
+    switch (sim.random.nextInt(13)) {
+      case 0 -> node.crash(sim.random.nextBoolean() ? 200 : 5_000);
       case 1 -> {
-        for (SimulatedController x : sim.nodes.values()) {
-          x.crash(300 + sim.rnd.nextInt(5_000));
+        for (SimulatedController controller : sim.controllers.values()) {
+          controller.crash(300 + sim.random.nextInt(5_000));
         }
       }
       case 2 -> {
-        sim.state.outage = true;
-        sim.at(2_000 + sim.rnd.nextInt(15_000), sim.state::recover);
+        sim.stateService.outage = true;
+        sim.schedule(2_000 + sim.random.nextInt(15_000), sim.stateService::endOutage);
       }
       case 3 -> {
-        node.noState = true;
-        sim.at(3_000 + sim.rnd.nextInt(25_000), () -> node.noState = false);
+        node.stateServiceUnreachable = true;
+        sim.schedule(
+            3_000 + sim.random.nextInt(25_000), () -> node.stateServiceUnreachable = false);
       }
       case 4 -> {
-        String other = Simulation.NODES.get(sim.rnd.nextInt(3));
-        node.cut.put(other, true);
-        node.drop(other);
-        sim.at(3_000 + sim.rnd.nextInt(20_000), () -> node.cut.put(other, false));
+        String other = Simulation.NODES.get(sim.random.nextInt(3));
+        node.partitionedPeers.put(other, true);
+        node.disconnect(other);
+        sim.schedule(
+            3_000 + sim.random.nextInt(20_000), () -> node.partitionedPeers.put(other, false));
       }
       case 5 -> {
         if (!sim.workers.isEmpty()) {
@@ -75,103 +77,108 @@
         }
       }
       case 6 -> {
-        sim.refusePeers();
-        sim.at(3_000 + sim.rnd.nextInt(25_000), sim::rejoin);
+        sim.partitionPeers();
+        sim.schedule(3_000 + sim.random.nextInt(25_000), sim::healPartitions);
       }
       case 7 -> {
         sim.isolate(node);
-        sim.at(
-            3_000 + sim.rnd.nextInt(40_000),
+        sim.schedule(
+            3_000 + sim.random.nextInt(40_000),
             () -> {
-              node.noState = false;
-              sim.rejoin();
+              node.stateServiceUnreachable = false;
+              sim.healPartitions();
             });
       }
-      case 11 -> node.freezeFor = 2_000 + sim.rnd.nextInt(28_000);
+      case 11 -> node.pauseMs = 2_000 + sim.random.nextInt(28_000);
       case 12 -> {
-        if (sim.cutZone != null) {
+        if (sim.partitionedZone != null) {
           return;
         }
-        sim.cutOff(sim.rnd.nextBoolean() ? "a" : "b");
-        sim.at(5_000 + sim.rnd.nextInt(40_000), sim::rejoin);
+        sim.partitionZone(sim.random.nextBoolean() ? "a" : "b");
+        sim.schedule(5_000 + sim.random.nextInt(40_000), sim::healPartitions);
       }
       case 8, 9 -> {
-        List<SimulatedWorker> ws = List.copyOf(sim.workers.values());
-        if (ws.isEmpty()) {
+        List<SimulatedWorker> workers = List.copyOf(sim.workers.values());
+        if (workers.isEmpty()) {
           return;
         }
-        SimulatedWorker worker = ws.get(sim.rnd.nextInt(ws.size()));
-        worker.deaf = true;
-        sim.at(2_000 + sim.rnd.nextInt(60_000), () -> worker.deaf = false);
+        SimulatedWorker worker = workers.get(sim.random.nextInt(workers.size()));
+        worker.inboundBlocked = true;
+        sim.schedule(2_000 + sim.random.nextInt(60_000), () -> worker.inboundBlocked = false);
       }
       default -> {
-        List<SimulatedWorker> ws = List.copyOf(sim.workers.values());
-        if (ws.isEmpty()) {
+        List<SimulatedWorker> workers = List.copyOf(sim.workers.values());
+        if (workers.isEmpty()) {
           return;
         }
-        SimulatedWorker simWorker = ws.get(sim.rnd.nextInt(ws.size()));
-        simWorker.cut = true;
-        sim.at(2_000 + sim.rnd.nextInt(20_000), () -> simWorker.cut = false);
+        SimulatedWorker partitionedWorker = workers.get(sim.random.nextInt(workers.size()));
+        partitionedWorker.partitioned = true;
+        sim.schedule(
+            2_000 + sim.random.nextInt(20_000), () -> partitionedWorker.partitioned = false);
       }
     }
   }
 
   /** One of the newer troubles at random; none of them begins anything new later than then. */
-  static void newer(Simulation sim, long until) {
-    SimulatedController node = sim.nodes.get(Simulation.NODES.get(sim.rnd.nextInt(3)));
-    List<SimulatedWorker> ws = List.copyOf(sim.workers.values());
-    switch (sim.rnd.nextInt(9)) {
+  static void injectCombinedFault(Simulation sim, long until) {
+    SimulatedController node = sim.controllers.get(Simulation.NODES.get(sim.random.nextInt(3)));
+    List<SimulatedWorker> workers = List.copyOf(sim.workers.values());
+    switch (sim.random.nextInt(9)) {
       case 0 -> {
-        sim.slowState = 600 + sim.rnd.nextInt(1_900);
-        sim.at(3_000 + sim.rnd.nextInt(20_000), () -> sim.slowState = 0);
+        sim.maxStateDelayMs = 600 + sim.random.nextInt(1_900);
+        sim.schedule(3_000 + sim.random.nextInt(20_000), () -> sim.maxStateDelayMs = 0);
       }
       case 1 -> {
-        for (SimulatedWorker worker : ws) {
-          if (sim.rnd.nextInt(3) > 0) {
+        for (SimulatedWorker worker : workers) {
+          if (sim.random.nextInt(3) > 0) {
             continue;
           }
-          worker.mute = true;
-          sim.at(2_000 + sim.rnd.nextInt(40_000), () -> worker.mute = false);
+          worker.outboundBlocked = true;
+          sim.schedule(2_000 + sim.random.nextInt(40_000), () -> worker.outboundBlocked = false);
         }
       }
       case 2 -> {
-        for (SimulatedWorker simWorker : ws) {
-          if (sim.rnd.nextInt(3) == 0) {
-            simWorker.hang(1_000 + sim.rnd.nextInt(sim.rnd.nextBoolean() ? 9_000 : 25_000));
+        for (SimulatedWorker pausedWorker : workers) {
+          if (sim.random.nextInt(3) == 0) {
+            pausedWorker.pause(
+                1_000 + sim.random.nextInt(sim.random.nextBoolean() ? 9_000 : 25_000));
           }
         }
       }
-      case 3 -> sim.cancelNow(1 + sim.rnd.nextInt(6), 0);
-      case 4 -> sim.cancelNow(1 + sim.rnd.nextInt(6), 1_000 + sim.rnd.nextInt(12_000));
-      case 5 -> sim.oddRequests(10 + sim.rnd.nextInt(30));
+      case 3 -> sim.cancelRunningJobs(1 + sim.random.nextInt(6), 0);
+      case 4 ->
+          sim.cancelRunningJobs(1 + sim.random.nextInt(6), 1_000 + sim.random.nextInt(12_000));
+      case 5 -> sim.scheduleInvalidRequests(10 + sim.random.nextInt(30));
       case 6 -> {
         // ten times in two minutes, or as many as there is time for
         long every = 12_000;
-        for (long at = 0; at < 10 * every && sim.now + at < until; at += every) {
-          sim.at(at, sim::changeLeaders);
+        for (long at = 0; at < 10 * every && sim.nowMs + at < until; at += every) {
+          sim.schedule(at, sim::crashBusiestLeaders);
         }
       }
       case 7 -> {
-        sim.refusedThenOutage(
+        sim.rejectOneThenOutage(
             node,
-            3_000 + sim.rnd.nextInt(7_000),
-            Simulation.CANCEL + 2_000 + sim.rnd.nextInt(8_000));
-        if (sim.rnd.nextBoolean()) {
-          sim.at(sim.rnd.nextInt(9_000), () -> sim.cancelNow(3, 0));
+            3_000 + sim.random.nextInt(7_000),
+            Simulation.CANCEL_MS + 2_000 + sim.random.nextInt(8_000));
+        if (sim.random.nextBoolean()) {
+          sim.schedule(sim.random.nextInt(9_000), () -> sim.cancelRunningJobs(3, 0));
         }
-        if (sim.rnd.nextBoolean()) {
-          sim.at(12_000 + sim.rnd.nextInt(20_000), sim::changeLeaders);
+        if (sim.random.nextBoolean()) {
+          sim.schedule(12_000 + sim.random.nextInt(20_000), sim::crashBusiestLeaders);
         }
       }
       default -> {
-        sim.strike("isolate");
+        sim.countFault("isolate");
         sim.isolate(node);
-        sim.at(sim.rnd.nextInt(4_000), () -> sim.cancelNow(3, sim.rnd.nextBoolean() ? 0 : 6_000));
-        sim.at(
-            3_000 + sim.rnd.nextInt(45_000),
+        sim.schedule(
+            sim.random.nextInt(4_000),
+            () -> sim.cancelRunningJobs(3, sim.random.nextBoolean() ? 0 : 6_000));
+        sim.schedule(
+            3_000 + sim.random.nextInt(45_000),
             () -> {
-              node.noState = false;
-              sim.rejoin();
+              node.stateServiceUnreachable = false;
+              sim.healPartitions();
             });
       }
     }
--- a/src/test/java/mallowstall/core/RandomizedSimulationTest.java
+++ b/src/test/java/mallowstall/core/RandomizedSimulationTest.java
@@ -10,10 +10,11 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.concurrent.atomic.AtomicLong;
-import mallowstall.core.Model.Command;
-import mallowstall.core.Model.CommandKind;
-import mallowstall.core.Model.JobSpec;
-import mallowstall.core.Model.Priority;
+import mallowstall.core.model.CommandKind;
+import mallowstall.core.model.JobSpec;
+import mallowstall.core.model.Priority;
+import mallowstall.core.model.ProgramVersion;
+import mallowstall.core.model.WorkerCommand;
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -21,21 +22,21 @@
 
 /** Seeded random histories of three cores against the plain model of the rules. */
 class RandomizedSimulationTest {
-  private static void allOver(Simulation sim) {
-    assertEquals(List.of(), sim.rules.broken);
+  private static void assertAllFinished(Simulation sim) {
+    assertEquals(List.of(), sim.checker.violations);
     for (String id : sim.jobs) {
-      String last = sim.rules.lastTold(id);
+      String last = sim.checker.lastState(id);
       assertTrue("done".equals(last) || "cancelled".equals(last), id + " is " + last);
     }
   }
 
   @Test
-  void aQuietDayGetsEverythingDone() {
+  void allJobsFinishWithoutFaults() {
     Simulation sim = new Simulation(1);
-    RandomFaults.work(sim, 25);
-    sim.run(200_000);
-    allOver(sim);
-    assertTrue(sim.rules.starts > 60, "starts " + sim.rules.starts);
+    RandomFaults.scheduleRandomJobs(sim, 25);
+    sim.runUntil(200_000);
+    assertAllFinished(sim);
+    assertTrue(sim.checker.startCount > 60, "starts " + sim.checker.startCount);
   }
 
   /**
@@ -45,23 +46,24 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 1303, 1694, 21124})
-  void roughDaysKeepEveryRule(long seed) {
+  void invariantsHoldUnderRandomFaults(long seed) {
     Simulation sim = new Simulation(seed);
-    sim.loss = 0.02;
-    sim.rosterChaos = seed % 2 == 0 ? 0.2 : 0;
-    sim.lateCopies = seed % 3 == 0 ? 0.2 : 0;
-    RandomFaults.work(sim, 25);
+    sim.messageLossRate = 0.02;
+    sim.statusUpdateFaultRate = seed % 2 == 0 ? 0.2 : 0;
+    sim.duplicateHeartbeatRate = seed % 3 == 0 ? 0.2 : 0;
+    RandomFaults.scheduleRandomJobs(sim, 25);
     for (int i = 0; i < 14; i++) {
-      sim.at(10_000 + sim.rnd.nextInt(110_000), () -> RandomFaults.older(sim));
+      sim.schedule(10_000 + sim.random.nextInt(110_000), () -> RandomFaults.injectBasicFault(sim));
     }
-    sim.at(140_000, sim::endChance);
-    sim.rules.calmSince = 185_000; // the last trouble has begun by 120 s and lasts up to a minute
-    sim.run(330_000);
-    allOver(sim);
-    assertTrue(sim.rules.starts > 40, "starts " + sim.rules.starts);
+    sim.schedule(140_000, sim::stopRandomFaults);
+    sim.checker.faultsEndedMs =
+        185_000; // the last trouble has begun by 120 s and lasts up to a minute
+    sim.runUntil(330_000);
+    assertAllFinished(sim);
+    assertTrue(sim.checker.startCount > 40, "starts " + sim.checker.startCount);
   }
 
-  private static final Set<String> TROUBLES =
+  private static final Set<String> FAULTS =
       Set.of(
           "lateWrites",
           "lateWrites, applied",
@@ -86,9 +88,9 @@
           "refusedThenOutage",
           "isolate");
 
-  private static final int MEETINGS = 10;
-  private static int met;
-  private static final Map<String, Integer> struck = new TreeMap<>();
+  private static final int HISTORIES = 10;
+  private static int historiesRun;
+  private static final Map<String, Integer> faultCounts = new TreeMap<>();
 
   /**
    * The newer troubles meet the older ones, and each other. Seed 1753 once broke ran_twice: a
@@ -97,22 +99,22 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {101, 102, 103, 104, 105, 106, 107, 108, 1188, 1753})
-  void meetingsOfTroublesKeepEveryRule(long seed) {
-    Simulation sim = meetings(seed);
-    sim.struck.forEach((k, v) -> struck.merge(k, v, Integer::sum));
-    met++;
-    assertEquals(List.of(), sim.rules.broken);
-    overForUsers(sim);
-    assertTrue(sim.rules.starts > 40, "starts " + sim.rules.starts);
+  void invariantsHoldUnderCombinedFaults(long seed) {
+    Simulation sim = runCombinedFaults(seed);
+    sim.faultCounts.forEach((k, v) -> faultCounts.merge(k, v, Integer::sum));
+    historiesRun++;
+    assertEquals(List.of(), sim.checker.violations);
+    assertFinishedForUsers(sim);
+    assertTrue(sim.checker.startCount > 40, "starts " + sim.checker.startCount);
   }
 
   @AfterAll
-  static void everyTroubleStruck() {
-    if (met < MEETINGS) {
+  static void assertEveryFaultInjected() {
+    if (historiesRun < HISTORIES) {
       return; // only some of the seeds were asked for
     }
-    Set<String> missing = new TreeSet<>(TROUBLES);
-    missing.removeAll(struck.keySet());
+    Set<String> missing = new TreeSet<>(FAULTS);
+    missing.removeAll(faultCounts.keySet());
     assertEquals(Set.of(), missing, "never struck in any of the histories");
   }
 
@@ -127,15 +129,15 @@
     AtomicLong crossed = new AtomicLong();
     AtomicLong startsAfterCancel = new AtomicLong();
     new SeedSearch()
-        .run(
+        .runAll(
             seed -> {
-              Simulation sim = meetings(seed);
-              starts.addAndGet(sim.rules.starts);
-              crossed.addAndGet(sim.rules.crossed.size());
-              startsAfterCancel.addAndGet(sim.rules.startsAfterCancel);
-              assertEquals(List.of(), sim.rules.broken);
-              overForUsers(sim);
-              assertTrue(sim.rules.starts > 0, "nothing_ran");
+              Simulation sim = runCombinedFaults(seed);
+              starts.addAndGet(sim.checker.startCount);
+              crossed.addAndGet(sim.checker.reorderedAnswers.size());
+              startsAfterCancel.addAndGet(sim.checker.startsAfterCancelCount);
+              assertEquals(List.of(), sim.checker.violations);
+              assertFinishedForUsers(sim);
+              assertTrue(sim.checker.startCount > 0, "nothing_ran");
             },
             () ->
                 String.format(
@@ -143,37 +145,40 @@
                     starts.get(), startsAfterCancel.get(), crossed.get()));
   }
 
-  private static Simulation meetings(long seed) {
-    return meetings(seed, Recorder.OFF);
+  private static Simulation runCombinedFaults(long seed) {
+    return runCombinedFaults(seed, Recorder.OFF);
   }
 
   /** Plays the history of the seed; what leaves the cores goes to the recorder. */
-  static Simulation meetings(long seed, Recorder recorder) {
+  static Simulation runCombinedFaults(long seed, Recorder recorder) {
     Simulation sim = new Simulation(seed, ProgramVersion.CURRENT, recorder);
-    sim.loss = seed % 4 == 0 ? 0.02 : 0;
-    sim.rosterChaos = seed % 2 == 0 ? 0.2 : 0;
-    sim.lateCopies = seed % 3 == 0 ? 0.2 : 0;
-    sim.lateWrites = seed % 5 == 0 ? 0.1 : 0.01;
-    sim.cancelAtEnd = 0.2;
+    sim.messageLossRate = seed % 4 == 0 ? 0.02 : 0;
+    sim.statusUpdateFaultRate = seed % 2 == 0 ? 0.2 : 0;
+    sim.duplicateHeartbeatRate = seed % 3 == 0 ? 0.2 : 0;
+    sim.delayedTransactionRate = seed % 5 == 0 ? 0.1 : 0.01;
+    sim.cancelAtEndRate = 0.2;
     // with a state service this slow a poll is overtaken by the cancellation at another controller
-    sim.rules.crossingsBreak = false;
-    RandomFaults.work(sim, 45, 105_000);
+    sim.checker.reorderedAnswersViolate = false;
+    RandomFaults.scheduleRandomJobs(sim, 45, 105_000);
     for (int i = 0; i < 8; i++) {
-      sim.at(10_000 + sim.rnd.nextInt(110_000), () -> RandomFaults.older(sim));
+      sim.schedule(10_000 + sim.random.nextInt(110_000), () -> RandomFaults.injectBasicFault(sim));
     }
     for (int i = 0; i < 10; i++) {
-      sim.at(10_000 + sim.rnd.nextInt(110_000), () -> RandomFaults.newer(sim, 140_000));
+      sim.schedule(
+          10_000 + sim.random.nextInt(110_000),
+          () -> RandomFaults.injectCombinedFault(sim, 140_000));
     }
-    sim.at(140_000, sim::endChance);
-    sim.rules.calmSince = 185_000; // the last trouble has begun by 120 s and lasts up to a minute
-    sim.run(400_000);
+    sim.schedule(140_000, sim::stopRandomFaults);
+    sim.checker.faultsEndedMs =
+        185_000; // the last trouble has begun by 120 s and lasts up to a minute
+    sim.runUntil(400_000);
     return sim;
   }
 
   /** A user may have given up before any controller could take the job: then it was never told. */
-  private static void overForUsers(Simulation sim) {
+  private static void assertFinishedForUsers(Simulation sim) {
     for (String id : sim.jobs) {
-      String last = sim.rules.lastTold(id);
+      String last = sim.checker.lastState(id);
       assertTrue(
           last == null || "done".equals(last) || "cancelled".equals(last), id + " is " + last);
     }
@@ -181,150 +186,157 @@
 
   /** Runs or stays known: the check of it can fail too, and not before its time. */
   @Test
-  void theModelSeesAJobNobodyAnswersFor() {
+  void checkerDetectsUnansweredJob() {
     Simulation sim = new Simulation(6);
     InvariantChecker rules = new InvariantChecker(sim.teams, 1_000);
-    rules.submitted(sim.job("wk-000003", 1, 4, Priority.NORMAL, "free", false, false, false, null));
-    rules.calmSince = 10_000;
-    rules.told(9_000, "wk-000003", 201, "pending");
-    rules.told(60_000, "wk-000003", 503, null);
-    rules.step(84_000);
-    assertEquals(List.of(), rules.broken);
-    rules.step(85_500);
-    assertTrue(rules.broken.get(0).contains("forgotten"), rules.broken.toString());
+    rules.onSubmitted(
+        sim.batchSpec("wk-000003", 1, 4, Priority.NORMAL, "free", false, false, false, null));
+    rules.faultsEndedMs = 10_000;
+    rules.onAnswer(9_000, "wk-000003", 201, "pending");
+    rules.onAnswer(60_000, "wk-000003", 503, null);
+    rules.check(84_000);
+    assertEquals(List.of(), rules.violations);
+    rules.check(85_500);
+    assertTrue(rules.violations.get(0).contains("forgotten"), rules.violations.toString());
   }
 
   /** The checks can fail: rogue commands and answers are each called by their rule's name. */
   @Test
-  void theModelSeesBrokenRules() {
+  void checkerDetectsViolations() {
     Simulation sim = new Simulation(5);
-    sim.run(5_000);
-    JobSpec spec = sim.job("wk-000001", 2, 4, Priority.NORMAL, "tight", true, false, false, null);
-    sim.rules.submitted(spec);
-    List<SimulatedWorker> ws = List.copyOf(sim.workers.values());
-    Command run = new Command(CommandKind.START, "wk-000001", 0, 1, 0);
-    ws.get(0).execute(run);
-    ws.get(1).execute(run);
-    sim.run(8_000);
+    sim.runUntil(5_000);
+    JobSpec spec =
+        sim.batchSpec("wk-000001", 2, 4, Priority.NORMAL, "tight", true, false, false, null);
+    sim.checker.onSubmitted(spec);
+    List<SimulatedWorker> workers = List.copyOf(sim.workers.values());
+    WorkerCommand run = new WorkerCommand(CommandKind.START, "wk-000001", 0, 1, 0);
+    workers.get(0).execute(run);
+    workers.get(1).execute(run);
+    sim.runUntil(8_000);
     assertTrue(
-        sim.rules.broken.stream().anyMatch(b -> b.contains("ran_twice")),
-        sim.rules.broken.toString());
+        sim.checker.violations.stream().anyMatch(b -> b.contains("ran_twice")),
+        sim.checker.violations.toString());
     assertTrue(
-        sim.rules.broken.stream().anyMatch(b -> b.contains("wrong_place")),
-        sim.rules.broken.toString());
+        sim.checker.violations.stream().anyMatch(b -> b.contains("wrong_place")),
+        sim.checker.violations.toString());
     InvariantChecker rules = new InvariantChecker(sim.teams, 1_000);
-    rules.submitted(
-        sim.job("wk-000002", 9, 4, Priority.NORMAL, "tight", false, false, false, null));
+    rules.onSubmitted(
+        sim.batchSpec("wk-000002", 9, 4, Priority.NORMAL, "tight", false, false, false, null));
     for (int i = 0; i < 7; i++) {
-      rules.started(1, new InvariantChecker.OnMachine("m" + i, "wk-000002", i, "t8", "a", false));
+      rules.onStarted(
+          1, new InvariantChecker.RunningTask("m" + i, "wk-000002", i, "t8", "a", false));
     }
-    assertTrue(rules.broken.get(0).contains("quota"), rules.broken.toString());
-    rules.broken.clear();
-    rules.told(2, "wk-000002", 200, "done");
-    assertTrue(rules.broken.get(0).contains("not_done"), rules.broken.toString());
-    rules.broken.clear();
-    rules.asksToCancel("wk-000002");
-    rules.told(3, "wk-000002", 200, "cancelled");
-    assertTrue(rules.broken.get(0).contains("went_back"), rules.broken.toString());
-    rules.broken.clear();
-    rules.step(2_000);
-    assertTrue(rules.broken.get(0).contains("ran_cancelled"), rules.broken.toString());
-    rules.broken.clear();
-    rules.told(4, "wk-000002", 404, null);
-    rules.told(4, "wk-000777", 200, "pending");
-    assertFalse(rules.broken.get(0).contains("invented"));
+    assertTrue(rules.violations.get(0).contains("quota"), rules.violations.toString());
+    rules.violations.clear();
+    rules.onAnswer(2, "wk-000002", 200, "done");
+    assertTrue(rules.violations.get(0).contains("not_done"), rules.violations.toString());
+    rules.violations.clear();
+    rules.onCancelRequested("wk-000002");
+    rules.onAnswer(3, "wk-000002", 200, "cancelled");
+    assertTrue(rules.violations.get(0).contains("went_back"), rules.violations.toString());
+    rules.violations.clear();
+    rules.check(2_000);
+    assertTrue(rules.violations.get(0).contains("ran_cancelled"), rules.violations.toString());
+    rules.violations.clear();
+    rules.onAnswer(4, "wk-000002", 404, null);
+    rules.onAnswer(4, "wk-000777", 200, "pending");
+    assertFalse(rules.violations.get(0).contains("invented"));
     assertTrue(
-        rules.broken.get(0).contains("forgotten") && rules.broken.get(1).contains("invented"),
-        rules.broken.toString());
+        rules.violations.get(0).contains("forgotten")
+            && rules.violations.get(1).contains("invented"),
+        rules.violations.toString());
   }
 
   /** The newer checks can fail too, and not before their time. */
   @Test
-  void theModelSeesLateStartsAndForgottenRoom() {
+  void checkerDetectsLateStartsAndUnusedCapacity() {
     Simulation sim = new Simulation(7);
     InvariantChecker rules = new InvariantChecker(sim.teams, 1_000);
-    rules.submitted(sim.job("wk-000004", 2, 4, Priority.NORMAL, "tight", false, false, false, "a"));
-    rules.told(1, "wk-000004", 201, "pending");
-    rules.calmSince = 1_000;
-    rules.machineUp(new InvariantChecker.Machine("m1", "t8", "b", false, 8)); // not allowed
-    rules.step(2_000);
-    rules.machineUp(new InvariantChecker.Machine("m2", "t8", "a", false, 8));
-    for (long t = 3_000; t <= 3_000 + InvariantChecker.WAITS_MS; t += 30_000) {
-      rules.told(t, "wk-000004", 200, "pending");
-      rules.step(t);
+    rules.onSubmitted(
+        sim.batchSpec("wk-000004", 2, 4, Priority.NORMAL, "tight", false, false, false, "a"));
+    rules.onAnswer(1, "wk-000004", 201, "pending");
+    rules.faultsEndedMs = 1_000;
+    rules.onMachineUp(new InvariantChecker.Machine("m1", "t8", "b", false, 8)); // not allowed
+    rules.check(2_000);
+    rules.onMachineUp(new InvariantChecker.Machine("m2", "t8", "a", false, 8));
+    for (long t = 3_000; t <= 3_000 + InvariantChecker.MAX_PENDING_MS; t += 30_000) {
+      rules.onAnswer(t, "wk-000004", 200, "pending");
+      rules.check(t);
     }
-    assertEquals(List.of(), rules.broken);
-    rules.step(3_500 + InvariantChecker.WAITS_MS);
-    assertTrue(rules.broken.get(0).contains("never_started"), rules.broken.toString());
-    rules.broken.clear();
-    rules.asksToCancel("wk-000004");
-    rules.told(100_000, "wk-000004", 200, "cancelled");
-    rules.started(100_900, new InvariantChecker.OnMachine("m2", "wk-000004", 0, "t8", "a", false));
-    assertEquals(List.of(), rules.broken);
-    assertEquals(1, rules.startsAfterCancel);
-    rules.started(101_100, new InvariantChecker.OnMachine("m2", "wk-000004", 1, "t8", "a", false));
-    assertTrue(rules.broken.get(0).contains("ran_cancelled"), rules.broken.toString());
-    assertEquals(1, rules.startsAfterCancel);
-    rules.broken.clear();
-    rules.toldImpossible(1, "wk-900000", 422);
-    rules.toldImpossible(1, "wk-900000", 503);
-    assertEquals(List.of(), rules.broken);
-    rules.toldImpossible(1, "wk-900000", 201);
-    assertTrue(rules.broken.get(0).contains("took_impossible"), rules.broken.toString());
-    rules.broken.clear();
-    rules.told(103_000, 99_999, "wk-000004", 200, "running"); // nobody waits that long
-    assertTrue(rules.broken.get(0).contains("went_back"), rules.broken.toString());
-    rules.broken.clear();
-    rules.told(101_500, "wk-000004", 200, "cancelled");
-    rules.told(101_500, 99_999, "wk-000004", 200, "running");
-    assertTrue(rules.broken.get(0).contains("went_back"), rules.broken.toString());
-    rules.broken.clear();
-    rules.told(101_500, "wk-000004", 200, "cancelled");
-    rules.crossingsBreak = false;
-    rules.told(101_500, 99_999, "wk-000004", 200, "running");
-    assertEquals(List.of(), rules.broken);
-    assertEquals(2, rules.crossed.size());
-    rules.told(101_600, 100_001, "wk-000004", 200, "running");
-    assertTrue(rules.broken.get(0).contains("went_back"), rules.broken.toString());
+    assertEquals(List.of(), rules.violations);
+    rules.check(3_500 + InvariantChecker.MAX_PENDING_MS);
+    assertTrue(rules.violations.get(0).contains("never_started"), rules.violations.toString());
+    rules.violations.clear();
+    rules.onCancelRequested("wk-000004");
+    rules.onAnswer(100_000, "wk-000004", 200, "cancelled");
+    rules.onStarted(
+        100_900, new InvariantChecker.RunningTask("m2", "wk-000004", 0, "t8", "a", false));
+    assertEquals(List.of(), rules.violations);
+    assertEquals(1, rules.startsAfterCancelCount);
+    rules.onStarted(
+        101_100, new InvariantChecker.RunningTask("m2", "wk-000004", 1, "t8", "a", false));
+    assertTrue(rules.violations.get(0).contains("ran_cancelled"), rules.violations.toString());
+    assertEquals(1, rules.startsAfterCancelCount);
+    rules.violations.clear();
+    rules.onUnplaceableAnswer(1, "wk-900000", 422);
+    rules.onUnplaceableAnswer(1, "wk-900000", 503);
+    assertEquals(List.of(), rules.violations);
+    rules.onUnplaceableAnswer(1, "wk-900000", 201);
+    assertTrue(rules.violations.get(0).contains("took_impossible"), rules.violations.toString());
+    rules.violations.clear();
+    rules.onAnswer(103_000, 99_999, "wk-000004", 200, "running"); // nobody waits that long
+    assertTrue(rules.violations.get(0).contains("went_back"), rules.violations.toString());
+    rules.violations.clear();
+    rules.onAnswer(101_500, "wk-000004", 200, "cancelled");
+    rules.onAnswer(101_500, 99_999, "wk-000004", 200, "running");
+    assertTrue(rules.violations.get(0).contains("went_back"), rules.violations.toString());
+    rules.violations.clear();
+    rules.onAnswer(101_500, "wk-000004", 200, "cancelled");
+    rules.reorderedAnswersViolate = false;
+    rules.onAnswer(101_500, 99_999, "wk-000004", 200, "running");
+    assertEquals(List.of(), rules.violations);
+    assertEquals(2, rules.reorderedAnswers.size());
+    rules.onAnswer(101_600, 100_001, "wk-000004", 200, "running");
+    assertTrue(rules.violations.get(0).contains("went_back"), rules.violations.toString());
     for (int status : new int[] {400, 404, 422}) {
-      rules.broken.clear();
-      rules.told(101_000, "wk-000004", status, null);
-      assertTrue(rules.broken.get(0).contains("forgotten"), rules.broken.toString());
+      rules.violations.clear();
+      rules.onAnswer(101_000, "wk-000004", status, null);
+      assertTrue(rules.violations.get(0).contains("forgotten"), rules.violations.toString());
     }
   }
 
   /** A hung machine goes on with its tasks within its lease, and with none beyond it. */
   @Test
-  void aHungMachineGoesOnWithinItsLeaseOnly() {
+  void pausedMachineResumesOnlyWithinLease() {
     Simulation sim = new Simulation(8);
-    sim.runMs = 20_000;
-    sim.run(5_000);
-    sim.rules.submitted(
-        sim.job("wk-000005", 2, 4, Priority.NORMAL, "free", false, false, false, null));
-    List<SimulatedWorker> ws = List.copyOf(sim.workers.values());
-    SimulatedWorker brief = ws.get(0);
-    SimulatedWorker long_ = ws.get(1);
-    brief.execute(new Command(CommandKind.START, "wk-000005", 0, 1, 0));
-    long_.execute(new Command(CommandKind.START, "wk-000005", 1, 1, 0));
-    sim.run(8_000);
-    assertEquals(2, sim.rules.machinesOf("wk-000005").size());
-    sim.rules.asksToCancel("wk-000005");
-    sim.rules.told(sim.now - Simulation.CANCEL + 3_000, "wk-000005", 200, "cancelled");
-    long session = long_.session;
-    brief.hang(6_000);
-    long_.hang(14_000);
-    sim.run(13_000);
+    sim.taskRunMs = 20_000;
+    sim.runUntil(5_000);
+    sim.checker.onSubmitted(
+        sim.batchSpec("wk-000005", 2, 4, Priority.NORMAL, "free", false, false, false, null));
+    List<SimulatedWorker> workers = List.copyOf(sim.workers.values());
+    SimulatedWorker brieflyPaused = workers.get(0);
+    SimulatedWorker longPaused = workers.get(1);
+    brieflyPaused.execute(new WorkerCommand(CommandKind.START, "wk-000005", 0, 1, 0));
+    longPaused.execute(new WorkerCommand(CommandKind.START, "wk-000005", 1, 1, 0));
+    sim.runUntil(8_000);
+    assertEquals(2, sim.checker.machinesOf("wk-000005").size());
+    sim.checker.onCancelRequested("wk-000005");
+    sim.checker.onAnswer(sim.nowMs - Simulation.CANCEL_MS + 3_000, "wk-000005", 200, "cancelled");
+    long session = longPaused.epoch;
+    brieflyPaused.pause(6_000);
+    longPaused.pause(14_000);
+    sim.runUntil(13_000);
     assertTrue(
-        sim.rules.broken.stream().anyMatch(b -> b.contains("ran_cancelled")),
-        sim.rules.broken.toString());
-    assertTrue(brief.hangs());
-    sim.run(15_000);
-    assertEquals(1, brief.tasks.size());
-    sim.run(20_500);
-    assertTrue(long_.hangs());
-    assertEquals(Set.of(brief.id), sim.rules.machinesOf("wk-000005"));
-    sim.run(23_000);
-    assertEquals(session + 1, long_.session);
-    assertEquals(List.of(), List.copyOf(long_.tasks.values()));
+        sim.checker.violations.stream().anyMatch(b -> b.contains("ran_cancelled")),
+        sim.checker.violations.toString());
+    assertTrue(brieflyPaused.isPaused());
+    sim.runUntil(15_000);
+    assertEquals(1, brieflyPaused.tasks.size());
+    sim.runUntil(20_500);
+    assertTrue(longPaused.isPaused());
+    assertEquals(Set.of(brieflyPaused.id), sim.checker.machinesOf("wk-000005"));
+    sim.runUntil(23_000);
+    assertEquals(session + 1, longPaused.epoch);
+    assertEquals(List.of(), List.copyOf(longPaused.tasks.values()));
   }
 }
--- a/src/test/java/mallowstall/core/Recorder.java
+++ b/src/test/java/mallowstall/core/Recorder.java
@@ -1,9 +1,10 @@
 package mallowstall.core;
 
 import java.util.function.Consumer;
-import mallowstall.core.Model.Report;
-import mallowstall.core.Model.ReportAnswer;
-import mallowstall.core.Model.UserAnswer;
+import mallowstall.core.kernel.Effects;
+import mallowstall.core.model.ApiResponse;
+import mallowstall.core.model.Heartbeat;
+import mallowstall.core.model.HeartbeatResponse;
 
 /** Stands between the cores of a simulation and its world, and sees everything that leaves them. */
 interface Recorder {
@@ -16,14 +17,14 @@
         }
 
         @Override
-        public Consumer<UserAnswer> toUser(
-            SimulatedController node, String job, Consumer<UserAnswer> user) {
+        public Consumer<ApiResponse> toUser(
+            SimulatedController node, String job, Consumer<ApiResponse> user) {
           return user;
         }
 
         @Override
-        public Consumer<ReportAnswer> toWorker(
-            SimulatedController node, Report report, Consumer<ReportAnswer> worker) {
+        public Consumer<HeartbeatResponse> toWorker(
+            SimulatedController node, Heartbeat heartbeat, Consumer<HeartbeatResponse> worker) {
           return worker;
         }
       };
@@ -32,9 +33,9 @@
   Effects effects(SimulatedController node, Effects world);
 
   /** Whom the core answers instead of this user, who asked about the job. */
-  Consumer<UserAnswer> toUser(SimulatedController node, String job, Consumer<UserAnswer> user);
+  Consumer<ApiResponse> toUser(SimulatedController node, String job, Consumer<ApiResponse> user);
 
   /** Whom the core answers instead of this worker, which has sent the report. */
-  Consumer<ReportAnswer> toWorker(
-      SimulatedController node, Report report, Consumer<ReportAnswer> worker);
+  Consumer<HeartbeatResponse> toWorker(
+      SimulatedController node, Heartbeat heartbeat, Consumer<HeartbeatResponse> worker);
 }
--- /dev/null
+++ b/src/test/java/mallowstall/core/SafetyTestSupport.java
@@ -0,0 +1,41 @@
+package mallowstall.core;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.List;
+import mallowstall.core.model.JobEntry;
+import mallowstall.core.model.JobSpec;
+import mallowstall.core.model.MachineEntry;
+import mallowstall.core.model.Priority;
+
+/** What the tests of single cases share. */
+final class SafetyTestSupport {
+  private SafetyTestSupport() {}
+
+  static JobSpec batchSpec(Simulation sim, String id, int tasks, String team) {
+    return sim.batchSpec(id, tasks, 2, Priority.NORMAL, team, false, false, true, null);
+  }
+
+  static SimulatedController leaderOf(Simulation sim, String id) {
+    return sim.controllers.get(sim.jobEntry(id).leader());
+  }
+
+  /** Runs until the controller has the machine from its former process; its record of it. */
+  static MachineEntry awaitRecovery(Simulation sim, SimulatedController node, String id) {
+    MachineEntry entry = node.core.store().machine(id);
+    while (sim.nowMs < 25_000
+        && (entry == null || entry.incarnation() != node.core.incarnation())) {
+      sim.runUntil(sim.nowMs + 50);
+      entry = node.core.store().machine(id);
+    }
+    assertEquals(node.core.incarnation(), entry.incarnation(), "kept from the former process");
+    return entry;
+  }
+
+  static void assertFinished(Simulation sim, String id) {
+    assertEquals(List.of(), sim.checker.violations);
+    assertEquals("done", sim.checker.lastState(id));
+    JobEntry job = sim.jobEntry(id);
+    assertEquals(job.spec().tasks(), job.completedTaskCount());
+  }
+}
--- a/src/test/java/mallowstall/core/ServingTest.java
+++ b/src/test/java/mallowstall/core/SchedulingProgressTest.java
@@ -1,49 +1,49 @@
 package mallowstall.core;
 
-import static mallowstall.core.SafetyCases.finished;
-import static mallowstall.core.SafetyCases.holder;
+import static mallowstall.core.SafetyTestSupport.assertFinished;
+import static mallowstall.core.SafetyTestSupport.leaderOf;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import mallowstall.core.Model.JobKind;
-import mallowstall.core.Model.JobRec;
-import mallowstall.core.Model.JobSpec;
-import mallowstall.core.Model.Priority;
+import mallowstall.core.model.JobEntry;
+import mallowstall.core.model.JobKind;
+import mallowstall.core.model.JobSpec;
+import mallowstall.core.model.Priority;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Work that would wait for good, or machines that would stand idle, were it not for one rule. */
-class ServingTest {
+class SchedulingProgressTest {
   /**
    * A job that needs ordinary machines of one zone, while there are spot ones there and ordinary
    * ones elsewhere: it waited for good.
    */
   @Test
-  void aJobForOrdinaryMachinesOfOneZoneIsServed() {
+  void jobForOnDemandMachinesOfOneZoneRuns() {
     Simulation sim = new Simulation(68);
-    sim.run(8_000);
+    sim.runUntil(8_000);
     for (SimulatedWorker worker : List.copyOf(sim.workers.values())) {
       if (worker.zone.equals("a")) {
         sim.killMachine(worker.id);
       }
     }
-    sim.machine("t8", "a", true, 0);
-    sim.run(60_000);
-    sim.submit(sim.job("wk-000001", 2, 2, Priority.NORMAL, "free", false, false, false, "a"));
-    sim.run(150_000);
-    finished(sim, "wk-000001");
+    sim.addMachine("t8", "a", true, 0);
+    sim.runUntil(60_000);
+    sim.submit(sim.batchSpec("wk-000001", 2, 2, Priority.NORMAL, "free", false, false, false, "a"));
+    sim.runUntil(150_000);
+    assertFinished(sim, "wk-000001");
   }
 
   /** A fleet without work goes back, though more machines are idle than one request may name. */
   @Test
-  void hundredsOfIdleMachinesGoBack() {
+  void hundredsOfIdleMachinesScaleIn() {
     Simulation sim = new Simulation(94);
     sim.addMachines(900);
-    sim.run(130_000);
+    sim.runUntil(130_000);
     assertTrue(sim.workers.size() < 200, "still up: " + sim.workers.size());
   }
 
@@ -55,45 +55,49 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {70, 71, 72, 79})
-  void aLargeRoutineJobBeginsInAnOverloadOfUrgentOnes(long seed) {
+  void largeLowPriorityJobStartsInUrgentOverload(long seed) {
     Simulation sim = new Simulation(seed);
-    sim.runMs = 20_000;
-    sim.run(8_000);
+    sim.taskRunMs = 20_000;
+    sim.runUntil(8_000);
     for (int i = 0; i < 400; i++) {
       String id = String.format("wk-1%05d", i);
-      sim.at(
+      sim.schedule(
           i * 700L,
-          () -> sim.submit(sim.job(id, 4, 4, Priority.HIGH, "free", false, false, true, null)));
+          () ->
+              sim.submit(sim.batchSpec(id, 4, 4, Priority.HIGH, "free", false, false, true, null)));
     }
-    sim.run(30_000);
-    sim.submit(sim.job("wk-000001", 40, 4, Priority.NORMAL, "free", true, false, true, null));
-    sim.submit(sim.job("wk-000002", 40, 4, Priority.LOW, "free", false, true, true, null));
-    Set<String> begun = new HashSet<>();
-    while (sim.now < 230_000) {
-      sim.run(sim.now + 5_000);
+    sim.runUntil(30_000);
+    sim.submit(sim.batchSpec("wk-000001", 40, 4, Priority.NORMAL, "free", true, false, true, null));
+    sim.submit(sim.batchSpec("wk-000002", 40, 4, Priority.LOW, "free", false, true, true, null));
+    Set<String> startedJobs = new HashSet<>();
+    while (sim.nowMs < 230_000) {
+      sim.runUntil(sim.nowMs + 5_000);
       for (SimulatedWorker worker : sim.workers.values()) {
-        for (SimulatedWorker.T task : worker.tasks.values()) {
-          begun.add(task.job);
+        for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
+          startedJobs.add(task.job);
         }
       }
     }
-    assertTrue(begun.containsAll(List.of("wk-000001", "wk-000002")), "both have begun");
-    assertEquals(List.of(), sim.rules.broken);
+    assertTrue(startedJobs.containsAll(List.of("wk-000001", "wk-000002")), "both have begun");
+    assertEquals(List.of(), sim.checker.violations);
   }
 
   /** The same within one team's limit: a job that uses its grant again and again gives some up. */
   @Test
-  void aTeamsLargestJobDoesNotKeepAllItsGrants() {
+  void largestJobOfTeamReleasesQuotaReservations() {
     Simulation sim = new Simulation(71);
-    sim.runMs = 8_000;
-    sim.run(8_000);
-    sim.submit(sim.job("wk-000001", 400, 2, Priority.HIGH, "tight", false, false, true, null));
-    sim.run(15_000);
-    sim.submit(sim.job("wk-000002", 10, 2, Priority.NORMAL, "tight", false, false, true, null));
-    sim.run(180_000);
-    assertTrue(sim.entry("wk-000001").doneCount() < 400, "there is more to do than can be");
-    assertTrue(sim.entry("wk-000002").doneCount() > 0, "and still the other has begun");
-    assertEquals(List.of(), sim.rules.broken);
+    sim.taskRunMs = 8_000;
+    sim.runUntil(8_000);
+    sim.submit(
+        sim.batchSpec("wk-000001", 400, 2, Priority.HIGH, "tight", false, false, true, null));
+    sim.runUntil(15_000);
+    sim.submit(
+        sim.batchSpec("wk-000002", 10, 2, Priority.NORMAL, "tight", false, false, true, null));
+    sim.runUntil(180_000);
+    assertTrue(
+        sim.jobEntry("wk-000001").completedTaskCount() < 400, "there is more to do than can be");
+    assertTrue(sim.jobEntry("wk-000002").completedTaskCount() > 0, "and still the other has begun");
+    assertEquals(List.of(), sim.checker.violations);
   }
 
   /**
@@ -101,10 +105,10 @@
    * one is, and all its machines are needed. Fewer were rented once.
    */
   @Test
-  void machinesArePlannedForWholeWaves() {
+  void scaleOutPlansForWholeWaves() {
     for (double deadline : new double[] {72, 200}) {
       Simulation sim = new Simulation(76);
-      sim.run(8_000);
+      sim.runUntil(8_000);
       sim.submit(
           new JobSpec(
               "wk-000001",
@@ -127,7 +131,7 @@
               0,
               deadline,
               JobKind.BATCH));
-      sim.run(13_000);
+      sim.runUntil(13_000);
       int machines = sim.workers.size();
       if (deadline == 72) {
         assertTrue(machines >= 10, "for one wave of 20 tasks: " + machines);
@@ -139,23 +143,24 @@
 
   /** Cost follows groups and machines: a large job is decided as one, in chunks of its bitmap. */
   @Test
-  void aJobOfAHundredThousandTasksIsDecidedAsOne() {
+  void jobOfHundredThousandTasksIsPlacedAsOne() {
     Simulation sim = new Simulation(43);
-    sim.run(6_000);
-    sim.submit(sim.job("wk-000001", 100_000, 1, Priority.NORMAL, "free", false, false, true, null));
-    sim.evaluations = 0;
+    sim.runUntil(6_000);
+    sim.submit(
+        sim.batchSpec("wk-000001", 100_000, 1, Priority.NORMAL, "free", false, false, true, null));
+    sim.policyEvaluations = 0;
     long rounds = sim.ticks;
-    sim.run(30_000);
+    sim.runUntil(30_000);
     rounds = sim.ticks - rounds;
     assertTrue(
-        sim.evaluations < rounds * 12 * 8,
-        sim.evaluations + " evaluations in " + rounds + " ticks");
-    JobRec job = sim.entry("wk-000001");
-    assertTrue(job.doneCount() > 50, "done " + job.doneCount());
-    holder(sim, "wk-000001").crash(30_000);
-    sim.run(60_000);
-    assertTrue(sim.entry("wk-000001").epoch() > 1);
-    assertTrue(sim.entry("wk-000001").doneCount() > job.doneCount());
-    assertEquals(List.of(), sim.rules.broken);
+        sim.policyEvaluations < rounds * 12 * 8,
+        sim.policyEvaluations + " evaluations in " + rounds + " ticks");
+    JobEntry job = sim.jobEntry("wk-000001");
+    assertTrue(job.completedTaskCount() > 50, "done " + job.completedTaskCount());
+    leaderOf(sim, "wk-000001").crash(30_000);
+    sim.runUntil(60_000);
+    assertTrue(sim.jobEntry("wk-000001").epoch() > 1);
+    assertTrue(sim.jobEntry("wk-000001").completedTaskCount() > job.completedTaskCount());
+    assertEquals(List.of(), sim.checker.violations);
   }
 }
--- a/src/test/java/mallowstall/core/SeedSearch.java
+++ b/src/test/java/mallowstall/core/SeedSearch.java
@@ -13,41 +13,44 @@
  * threads; 100 alone if it names none.
  */
 final class SeedSearch {
-  private final AtomicLong next;
-  private final long last;
-  private final Map<Long, String> failed = new ConcurrentSkipListMap<>();
+  private final AtomicLong nextSeed;
+  private final long lastSeed;
+  private final Map<Long, String> failuresBySeed = new ConcurrentSkipListMap<>();
 
   SeedSearch() {
     String[] ends = System.getProperty("mallowstall.seeds", "100").split("-");
-    next = new AtomicLong(Long.parseLong(ends[0]));
-    last = Long.parseLong(ends[ends.length - 1]);
+    nextSeed = new AtomicLong(Long.parseLong(ends[0]));
+    lastSeed = Long.parseLong(ends[ends.length - 1]);
   }
 
   /**
    * Plays and checks each seed's history, prints those that fail and the summary, and fails if any
    * did.
    */
-  void run(LongConsumer history, Supplier<String> summary) throws InterruptedException {
-    long count = last - next.get() + 1;
-    Thread beside = new Thread(() -> playAll(history));
+  void runAll(LongConsumer history, Supplier<String> summary) throws InterruptedException {
+    long count = lastSeed - nextSeed.get() + 1;
+    Thread beside = new Thread(() -> runRemaining(history));
     if (count > 1) {
       beside.start();
     }
-    playAll(history);
+    runRemaining(history);
     beside.join();
     if (count > 1) {
       System.out.printf(
-          "%d seeds, %d failed %s; %s%n", count, failed.size(), failed.keySet(), summary.get());
+          "%d seeds, %d failed %s; %s%n",
+          count, failuresBySeed.size(), failuresBySeed.keySet(), summary.get());
     }
-    assertEquals(Map.of(), failed);
+    assertEquals(Map.of(), failuresBySeed);
   }
 
-  private void playAll(LongConsumer history) {
-    for (long seed = next.getAndIncrement(); seed <= last; seed = next.getAndIncrement()) {
+  private void runRemaining(LongConsumer history) {
+    for (long seed = nextSeed.getAndIncrement();
+        seed <= lastSeed;
+        seed = nextSeed.getAndIncrement()) {
       try {
         history.accept(seed);
       } catch (Throwable t) {
-        failed.put(seed, t.toString());
+        failuresBySeed.put(seed, t.toString());
         System.out.println("seed " + seed + ": " + t);
       }
     }
--- a/src/test/java/mallowstall/core/SimulatedController.java
+++ b/src/test/java/mallowstall/core/SimulatedController.java
@@ -6,302 +6,322 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import mallowstall.Constants;
-import mallowstall.core.Model.Command;
-import mallowstall.core.Model.CoreSettings;
-import mallowstall.core.Model.Entry;
-import mallowstall.core.Model.Final;
-import mallowstall.core.Model.JobRec;
-import mallowstall.core.Model.Listed;
-import mallowstall.core.Model.MachineRec;
-import mallowstall.core.Model.MachineType;
-import mallowstall.core.Model.PeerMessage;
-import mallowstall.core.Model.RentRequest;
-import mallowstall.core.Model.Roster;
-import mallowstall.core.Model.Stops;
+import mallowstall.core.kernel.CommandResult;
+import mallowstall.core.kernel.Effects;
+import mallowstall.core.kernel.GetResult;
+import mallowstall.core.kernel.InventoryPage;
+import mallowstall.core.kernel.KeyValue;
+import mallowstall.core.kernel.LeaseResult;
+import mallowstall.core.kernel.ListResult;
+import mallowstall.core.kernel.Metrics;
+import mallowstall.core.kernel.PutOperation;
+import mallowstall.core.kernel.ResultCode;
+import mallowstall.core.kernel.ScaleOutResult;
+import mallowstall.core.kernel.Transaction;
+import mallowstall.core.kernel.TransactionResult;
+import mallowstall.core.kernel.WatchResult;
+import mallowstall.core.kv.StateStore;
+import mallowstall.core.model.CoreSettings;
+import mallowstall.core.model.JobEntry;
+import mallowstall.core.model.JobOutcome;
+import mallowstall.core.model.ListedMachine;
+import mallowstall.core.model.MachineEntry;
+import mallowstall.core.model.MachineType;
+import mallowstall.core.model.PeerMessage;
+import mallowstall.core.model.ProgramVersion;
+import mallowstall.core.model.ScaleOutRequest;
+import mallowstall.core.model.StatusUpdate;
+import mallowstall.core.model.StopBatch;
+import mallowstall.core.model.StoredEntry;
+import mallowstall.core.model.WorkerCommand;
 
 /** A controller, and the world as it sees it. */
 final class SimulatedController implements Effects {
-  private final Simulation sim;
+  private final Simulation simulation;
   final String name;
-  Core core;
-  int life;
-  boolean up;
+  ControllerCore core;
+  int processNumber;
+  boolean running;
 
   /** The program version that it boots with next. */
-  int installed;
+  int installedVersion;
 
   /** The program version of its present process. */
-  int running;
+  int runningVersion;
 
   /** What happens once, when it next asks the state service for a job of another's. */
-  Runnable atNextClaim;
+  Runnable onNextFailover;
 
-  boolean noState;
+  boolean stateServiceUnreachable;
 
   /** Its next watch is told that what it asks for is too old. */
-  boolean tooOld;
+  boolean compactNextWatch;
 
   /** Its watches are told nothing. */
-  boolean watchStopped;
+  boolean watchStalled;
 
   /** ms by which the answers to its changes of machines' records are late. */
-  long recordsLate;
+  long machineWriteDelayMs;
 
   /** ms added to what the state service answers this node. */
-  long lag;
+  long stateDelayMs;
 
   /** Orders to stop tasks, to whomever. */
-  int stopsSent;
+  int stopBatchesSent;
 
   /** Statements sent to peers, and the machines told in them. */
-  int statementsSent;
+  int statusUpdatesSent;
 
-  int machinesTold;
+  int machineStatusesSent;
 
   /** Changes of single machines' records that are unanswered, and the most there were. */
-  private int recordsOpen;
+  private int machineWritesInFlight;
 
-  int mostRecordsOpen;
+  int maxMachineWritesInFlight;
 
   /** It stands still from its next event on for so many ms, while its clocks run on. */
-  long freezeFor;
+  long pauseMs;
 
-  private long frozenUntil;
+  private long pausedUntilMs;
 
   /** What the event under way decides leaves only so much later. */
-  long lateBy;
+  long sendDelayMs;
 
   /** ms of its processor that each event takes; events wait for those before them. */
-  long stepMs;
+  long eventCostMs;
 
-  private long busyUntil;
-  private boolean tickWaits;
+  private long busyUntilMs;
+  private boolean tickQueued;
 
   /** The longest that an event has waited. */
-  long longestWait;
+  long maxEventWaitMs;
 
-  final double drift;
-  final long skew;
-  final Map<String, Long> connection = new HashMap<>();
-  final Map<String, Long> lastArrival = new HashMap<>();
-  final Map<String, Boolean> cut = new HashMap<>();
-  long connections;
+  final double clockDrift;
+  final long clockSkewMs;
+  final Map<String, Long> connectionIds = new HashMap<>();
+  final Map<String, Long> lastArrivalMs = new HashMap<>();
+  final Map<String, Boolean> partitionedPeers = new HashMap<>();
+  long lastConnectionId;
 
   SimulatedController(Simulation sim, String name, int programVersion) {
-    this.sim = sim;
+    this.simulation = sim;
     this.name = name;
-    this.installed = programVersion;
-    this.drift = sim.rnd.nextDouble() * 0.0004;
-    this.skew = sim.rnd.nextInt(40) - 20;
+    this.installedVersion = programVersion;
+    this.clockDrift = sim.random.nextDouble() * 0.0004;
+    this.clockSkewMs = sim.random.nextInt(40) - 20;
     boot();
   }
 
   void boot() {
-    life++;
-    up = true;
-    running = installed;
-    frozenUntil = 0;
-    busyUntil = 0;
-    tickWaits = false;
-    recordsOpen = 0; // answers to a former process are lost
-    connections = 0;
+    processNumber++;
+    running = true;
+    runningVersion = installedVersion;
+    pausedUntilMs = 0;
+    busyUntilMs = 0;
+    tickQueued = false;
+    machineWritesInFlight = 0; // answers to a former process are lost
+    lastConnectionId = 0;
     List<String> peers = new ArrayList<>(Simulation.NODES);
     peers.remove(name);
     core =
-        new Core(
+        new ControllerCore(
             new CoreSettings(
                 name,
                 peers,
-                Simulation.ZONES,
-                sim.teams,
-                Simulation.REPORT,
-                Simulation.LEASE,
-                Simulation.CANCEL,
+                Simulation.ZONE_BY_NODE,
+                simulation.teams,
+                Simulation.HEARTBEAT_MS,
+                Simulation.LEASE_MS,
+                Simulation.CANCEL_MS,
                 25,
                 300,
-                sim.kept.changesPerSecond(),
-                sim.kept.txnOps(),
-                sim.kept.valueBytes(),
+                simulation.controllerLimits.changesPerSecond(),
+                simulation.controllerLimits.txnOps(),
+                simulation.controllerLimits.valueBytes(),
                 5,
                 2_000,
                 Map.of(),
-                running),
-            sim.recorder.effects(this, this),
-            c -> new Simulation.TestPolicy(c, () -> sim.evaluations++),
+                runningVersion),
+            simulation.recorder.effects(this, this),
+            c -> new Simulation.TestPolicy(c, () -> simulation.policyEvaluations++),
             new Metrics() {
               @Override
-              public void count(String what) {}
+              public void increment(String what) {}
 
               @Override
-              public void time(String what, long ms) {}
+              public void recordDuration(String what, long ms) {}
             },
-            sim.rnd.nextLong());
-    for (String p : peers) {
-      sim.at(20, () -> connect(p));
+            simulation.random.nextLong());
+    for (String peer : peers) {
+      simulation.schedule(20, () -> connect(peer));
     }
-    int l = life;
-    sim.at(5, () -> tick(l));
+    int startedProcess = processNumber;
+    simulation.schedule(5, () -> tick(startedProcess));
   }
 
   /** The simulated time. */
   long now() {
-    return sim.now;
+    return simulation.nowMs;
   }
 
   String zone() {
-    return Simulation.ZONES.get(name);
+    return Simulation.ZONE_BY_NODE.get(name);
   }
 
   void crash(long downMs) {
-    up = false;
-    life++;
-    connection.clear();
-    sim.at(downMs, this::boot);
+    running = false;
+    processNumber++;
+    connectionIds.clear();
+    simulation.schedule(downMs, this::boot);
   }
 
-  boolean knowsServices() {
-    return running >= ProgramVersion.WITH_SERVICES;
+  boolean supportsServices() {
+    return runningVersion >= ProgramVersion.WITH_SERVICES;
   }
 
   /**
    * What its program makes of an entry; null: it can't read it. Versions without services read no
    * entry of an open service, and take a cancelled one for that of a batch job.
    */
-  private Entry read(Entry value) {
-    if (knowsServices() || !(value instanceof JobRec job)) {
+  private StoredEntry decodeForVersion(StoredEntry value) {
+    if (supportsServices() || !(value instanceof JobEntry job)) {
       return value;
     }
-    if (job.fin() == Final.SERVING) {
+    if (job.outcome() == JobOutcome.SERVING) {
       return null;
     }
-    return job.spec().service() ? Simulation.asBatch(job) : job;
+    return job.spec().isService() ? Simulation.asBatch(job) : job;
   }
 
   /** The items that its program sees in listings and watches. */
-  private boolean sees(String key, Entry value) {
-    if (knowsServices()) {
+  private boolean isVisible(String key, StoredEntry value) {
+    if (supportsServices()) {
       return true;
     }
-    if (key.startsWith(Store.VERSIONS)) {
+    if (key.startsWith(StateStore.VERSION_PREFIX)) {
       return false;
     }
-    return value == null || read(value) != null;
+    return value == null || decodeForVersion(value) != null;
   }
 
-  void tick(int l) {
-    if (l != life) {
+  void tick(int startedProcess) {
+    if (startedProcess != processNumber) {
       return;
     }
-    sim.ticks++;
-    if (sim.now >= frozenUntil && !tickWaits) {
-      tickWaits = true;
-      event(
+    simulation.ticks++;
+    if (simulation.nowMs >= pausedUntilMs && !tickQueued) {
+      tickQueued = true;
+      enqueueEvent(
           () -> {
-            tickWaits = false;
+            tickQueued = false;
             core.tick();
           });
     }
-    sim.at(Constants.TICK_MS, () -> tick(l));
+    simulation.schedule(Constants.TICK_MS, () -> tick(startedProcess));
   }
 
-  void event(Runnable action) {
-    if (!up) {
+  void enqueueEvent(Runnable action) {
+    if (!running) {
       return;
     }
-    long start = Math.max(sim.now, busyUntil);
-    if (stepMs > 0) {
-      busyUntil = start + stepMs;
-      longestWait = Math.max(longestWait, start - sim.now);
+    long start = Math.max(simulation.nowMs, busyUntilMs);
+    if (eventCostMs > 0) {
+      busyUntilMs = start + eventCostMs;
+      maxEventWaitMs = Math.max(maxEventWaitMs, start - simulation.nowMs);
     }
-    if (start == sim.now) {
-      step(action);
+    if (start == simulation.nowMs) {
+      runEvent(action);
       return;
     }
-    int l = life;
-    sim.at(
-        start - sim.now,
+    int startedProcess = processNumber;
+    simulation.schedule(
+        start - simulation.nowMs,
         () -> {
-          if (up && l == life) {
-            step(action);
+          if (running && startedProcess == processNumber) {
+            runEvent(action);
           }
         });
   }
 
-  private void step(Runnable action) {
-    int l = life;
-    if (sim.now < frozenUntil) {
+  private void runEvent(Runnable action) {
+    int startedProcess = processNumber;
+    if (simulation.nowMs < pausedUntilMs) {
       // lies unread until it wakes
-      sim.at(
-          frozenUntil - sim.now,
+      simulation.schedule(
+          pausedUntilMs - simulation.nowMs,
           () -> {
-            if (l == life) {
-              event(action);
+            if (startedProcess == processNumber) {
+              enqueueEvent(action);
             }
           });
       return;
     }
-    if (freezeFor > 0) {
+    if (pauseMs > 0) {
       // between the reading of the clock and the sending of what was decided
-      lateBy = freezeFor;
-      frozenUntil = sim.now + freezeFor;
-      freezeFor = 0;
+      sendDelayMs = pauseMs;
+      pausedUntilMs = simulation.nowMs + pauseMs;
+      pauseMs = 0;
     }
-    core.time((long) (sim.now * (1 + drift)), 1_700_000_000_000L + sim.now + skew);
+    core.setTime(
+        (long) (simulation.nowMs * (1 + clockDrift)),
+        1_700_000_000_000L + simulation.nowMs + clockSkewMs);
     action.run();
-    core.settle();
-    lateBy = 0;
-    if (core.nextTimer() != Long.MAX_VALUE) {
-      sim.at(
-          Math.max(1, core.nextTimer() - (long) (sim.now * (1 + drift))),
+    core.runDueWork();
+    sendDelayMs = 0;
+    if (core.nextTimerMs() != Long.MAX_VALUE) {
+      simulation.schedule(
+          Math.max(1, core.nextTimerMs() - (long) (simulation.nowMs * (1 + clockDrift))),
           () -> {
-            if (l == life && sim.now >= frozenUntil) {
-              core.time((long) (sim.now * (1 + drift)), 1_700_000_000_000L + sim.now + skew);
-              core.settle();
+            if (startedProcess == processNumber && simulation.nowMs >= pausedUntilMs) {
+              core.setTime(
+                  (long) (simulation.nowMs * (1 + clockDrift)),
+                  1_700_000_000_000L + simulation.nowMs + clockSkewMs);
+              core.runDueWork();
             }
           });
     }
   }
 
-  private void back(long delay, Runnable action) {
-    int l = life;
-    sim.at(
+  private void scheduleReply(long delay, Runnable action) {
+    int startedProcess = processNumber;
+    simulation.schedule(
         delay,
         () -> {
-          if (l == life) {
-            event(action);
+          if (startedProcess == processNumber) {
+            enqueueEvent(action);
           }
         });
   }
 
   void connect(String peer) {
-    if (!up || connection.containsKey(peer)) {
+    if (!running || connectionIds.containsKey(peer)) {
       return;
     }
-    if (Boolean.TRUE.equals(cut.get(peer))
-        || !sim.nodes.containsKey(peer)
-        || !sim.nodes.get(peer).up) {
-      int l = life;
-      sim.at(
+    if (Boolean.TRUE.equals(partitionedPeers.get(peer))
+        || !simulation.controllers.containsKey(peer)
+        || !simulation.controllers.get(peer).running) {
+      int startedProcess = processNumber;
+      simulation.schedule(
           700,
           () -> {
-            if (l == life) {
+            if (startedProcess == processNumber) {
               connect(peer);
             }
           });
       return;
     }
-    long n = ++connections;
-    connection.put(peer, n);
-    event(() -> core.connected(peer, n));
+    long connectionId = ++lastConnectionId;
+    connectionIds.put(peer, connectionId);
+    enqueueEvent(() -> core.peerConnected(peer, connectionId));
   }
 
-  void drop(String peer) {
-    connection.remove(peer);
-    int l = life;
-    sim.at(
+  void disconnect(String peer) {
+    connectionIds.remove(peer);
+    int startedProcess = processNumber;
+    simulation.schedule(
         700,
         () -> {
-          if (l == life) {
+          if (startedProcess == processNumber) {
             connect(peer);
           }
         });
@@ -309,24 +329,25 @@
 
   @Override
   public void send(String node, PeerMessage message) {
-    if (message instanceof Stops) {
-      stopsSent++;
-    } else if (message instanceof Roster statement) {
-      statementsSent++;
-      machinesTold += statement.machines().size();
+    if (message instanceof StopBatch) {
+      stopBatchesSent++;
+    } else if (message instanceof StatusUpdate statusUpdate) {
+      statusUpdatesSent++;
+      machineStatusesSent += statusUpdate.machines().size();
     }
-    if (!connection.containsKey(node)) {
+    if (!connectionIds.containsKey(node)) {
       return;
     }
-    SimulatedController other = sim.nodes.get(node);
-    int l = other.life;
-    if (message instanceof Roster && sim.rnd.nextDouble() < sim.rosterChaos) {
-      boolean lost = sim.rnd.nextBoolean();
-      sim.at(
-          sim.rnd.nextInt(6_000),
+    SimulatedController other = simulation.controllers.get(node);
+    int startedProcess = other.processNumber;
+    if (message instanceof StatusUpdate
+        && simulation.random.nextDouble() < simulation.statusUpdateFaultRate) {
+      boolean lost = simulation.random.nextBoolean();
+      simulation.schedule(
+          simulation.random.nextInt(6_000),
           () -> {
-            if (other.up && other.life == l) {
-              other.event(() -> other.core.message(message));
+            if (other.running && other.processNumber == startedProcess) {
+              other.enqueueEvent(() -> other.core.handleMessage(message));
             }
           });
       if (lost) {
@@ -334,142 +355,157 @@
       }
     }
     // in order; behind a cut it is held and delivered late
-    long when = Math.max(sim.now + lateBy + sim.delay() / 2, lastArrival.getOrDefault(node, 0L));
-    if (Boolean.TRUE.equals(cut.get(node))) {
+    long when =
+        Math.max(
+            simulation.nowMs + sendDelayMs + simulation.randomDelayMs() / 2,
+            lastArrivalMs.getOrDefault(node, 0L));
+    if (Boolean.TRUE.equals(partitionedPeers.get(node))) {
       when =
-          Math.max(when, sim.now + (sim.heldMs > 0 ? sim.heldMs : 2_000 + sim.rnd.nextInt(8_000)));
-    }
-    lastArrival.put(node, when);
-    sim.at(
-        when - sim.now,
+          Math.max(
+              when,
+              simulation.nowMs
+                  + (simulation.partitionDelayMs > 0
+                      ? simulation.partitionDelayMs
+                      : 2_000 + simulation.random.nextInt(8_000)));
+    }
+    lastArrivalMs.put(node, when);
+    simulation.schedule(
+        when - simulation.nowMs,
         () -> {
-          if (other.up && other.life == l) {
-            other.event(() -> other.core.message(message));
-          } else if (connection.containsKey(node)) {
-            drop(node);
+          if (other.running && other.processNumber == startedProcess) {
+            other.enqueueEvent(() -> other.core.handleMessage(message));
+          } else if (connectionIds.containsKey(node)) {
+            disconnect(node);
           }
         });
   }
 
-  private <T> void ask(
+  private <T> void callStateService(
       java.util.function.Supplier<T> exec, T refused, T unknown, Consumer<T> then) {
-    if (lateBy > 0) {
+    if (sendDelayMs > 0) {
       // executed when it wakes, with the answer long given up on
-      sim.at(lateBy, exec::get);
-      back(lateBy, () -> then.accept(unknown));
+      simulation.schedule(sendDelayMs, exec::get);
+      scheduleReply(sendDelayMs, () -> then.accept(unknown));
       return;
     }
-    if (sim.state.outage || noState) {
-      back(5, () -> then.accept(refused));
+    if (simulation.stateService.outage || stateServiceUnreachable) {
+      scheduleReply(5, () -> then.accept(refused));
       return;
     }
-    double dice = sim.rnd.nextDouble();
-    if (dice < sim.loss / 3) { // never arrives
-      back(Constants.STATE_TIMEOUT_MS, () -> then.accept(unknown));
-    } else if (dice < sim.loss * 2 / 3) { // executed, the answer is lost
-      sim.at(sim.delay(), exec::get);
-      back(Constants.STATE_TIMEOUT_MS, () -> then.accept(unknown));
-    } else if (dice < sim.loss) { // executed late
-      sim.at(500 + sim.rnd.nextInt(4_000), exec::get);
-      back(Constants.STATE_TIMEOUT_MS, () -> then.accept(unknown));
+    double dice = simulation.random.nextDouble();
+    if (dice < simulation.messageLossRate / 3) { // never arrives
+      scheduleReply(Constants.STATE_TIMEOUT_MS, () -> then.accept(unknown));
+    } else if (dice < simulation.messageLossRate * 2 / 3) { // executed, the answer is lost
+      simulation.schedule(simulation.randomDelayMs(), exec::get);
+      scheduleReply(Constants.STATE_TIMEOUT_MS, () -> then.accept(unknown));
+    } else if (dice < simulation.messageLossRate) { // executed late
+      simulation.schedule(500 + simulation.random.nextInt(4_000), exec::get);
+      scheduleReply(Constants.STATE_TIMEOUT_MS, () -> then.accept(unknown));
     } else {
-      long d = sim.delay();
-      int l = life;
-      if (sim.slowState > 0) {
-        slowly(exec, unknown, then);
+      long delayMs = simulation.randomDelayMs();
+      int startedProcess = processNumber;
+      if (simulation.maxStateDelayMs > 0) {
+        callSlowly(exec, unknown, then);
         return;
       }
-      sim.at(
-          d,
+      simulation.schedule(
+          delayMs,
           () -> {
             T task = exec.get();
-            int still = life;
-            if (l == still) {
-              back(1 + lag, () -> then.accept(task));
+            int still = processNumber;
+            if (startedProcess == still) {
+              scheduleReply(1 + stateDelayMs, () -> then.accept(task));
             }
           });
     }
   }
 
   /** Executed at some moment of the delay; what takes too long is given up on. */
-  private <T> void slowly(java.util.function.Supplier<T> exec, T unknown, Consumer<T> then) {
-    sim.strike("slowState");
-    int whole = slowness();
-    int l = life;
-    boolean late = whole > Constants.STATE_TIMEOUT_MS;
+  private <T> void callSlowly(java.util.function.Supplier<T> exec, T unknown, Consumer<T> then) {
+    simulation.countFault("slowState");
+    int totalDelayMs = randomSlowDelayMs();
+    int startedProcess = processNumber;
+    boolean late = totalDelayMs > Constants.STATE_TIMEOUT_MS;
     if (late) {
-      back(Constants.STATE_TIMEOUT_MS, () -> then.accept(unknown));
+      scheduleReply(Constants.STATE_TIMEOUT_MS, () -> then.accept(unknown));
     }
-    int before = sim.rnd.nextInt(whole);
-    sim.at(
+    int before = simulation.random.nextInt(totalDelayMs);
+    simulation.schedule(
         before,
         () -> {
           T task = exec.get();
-          if (!late && l == life) {
-            back(whole - before, () -> then.accept(task));
+          if (!late && startedProcess == processNumber) {
+            scheduleReply(totalDelayMs - before, () -> then.accept(task));
           }
         });
   }
 
-  private int slowness() {
-    return 300 + sim.rnd.nextInt(Math.max(1, sim.slowState - 300));
+  private int randomSlowDelayMs() {
+    return 300 + simulation.random.nextInt(Math.max(1, simulation.maxStateDelayMs - 300));
   }
 
   @Override
-  public void transact(Txn txn, Consumer<TxnReply> reply) {
-    boolean record = txn.puts().stream().anyMatch(put -> put.value() instanceof MachineRec);
-    Consumer<TxnReply> counted = record ? countRecord(reply) : reply;
-    if (record && recordsLate > 0) {
-      transactNow(txn, result -> back(recordsLate, () -> counted.accept(result)));
+  public void transact(Transaction txn, Consumer<TransactionResult> reply) {
+    boolean machineWrite = txn.puts().stream().anyMatch(put -> put.value() instanceof MachineEntry);
+    Consumer<TransactionResult> counted = machineWrite ? countMachineWrite(reply) : reply;
+    if (machineWrite && machineWriteDelayMs > 0) {
+      submitTransaction(
+          txn, result -> scheduleReply(machineWriteDelayMs, () -> counted.accept(result)));
     } else {
-      transactNow(txn, counted);
+      submitTransaction(txn, counted);
     }
   }
 
-  private Consumer<TxnReply> countRecord(Consumer<TxnReply> reply) {
-    recordsOpen++;
-    mostRecordsOpen = Math.max(mostRecordsOpen, recordsOpen);
+  private Consumer<TransactionResult> countMachineWrite(Consumer<TransactionResult> reply) {
+    machineWritesInFlight++;
+    maxMachineWritesInFlight = Math.max(maxMachineWritesInFlight, machineWritesInFlight);
     return result -> {
-      recordsOpen--;
+      machineWritesInFlight--;
       reply.accept(result);
     };
   }
 
-  private void transactNow(Txn txn, Consumer<TxnReply> then) {
-    if (atNextClaim != null && claims(txn)) {
-      Runnable meeting = atNextClaim;
-      atNextClaim = null;
-      sim.strike("claim");
-      sim.at(0, meeting);
-    }
-    boolean served = !sim.state.outage && !noState && lateBy == 0;
-    if (served && sim.lateWrites > 0 && sim.rnd.nextDouble() < sim.lateWrites) {
-      sim.strike("lateWrites");
-      sim.at(
-          2_000 + sim.rnd.nextInt(10_000),
+  private void submitTransaction(Transaction txn, Consumer<TransactionResult> then) {
+    if (onNextFailover != null && isFailover(txn)) {
+      Runnable meeting = onNextFailover;
+      onNextFailover = null;
+      simulation.countFault("claim");
+      simulation.schedule(0, meeting);
+    }
+    boolean served =
+        !simulation.stateService.outage && !stateServiceUnreachable && sendDelayMs == 0;
+    if (served
+        && simulation.delayedTransactionRate > 0
+        && simulation.random.nextDouble() < simulation.delayedTransactionRate) {
+      simulation.countFault("lateWrites");
+      simulation.schedule(
+          2_000 + simulation.random.nextInt(10_000),
           () -> {
-            if (!sim.state.outage && sim.state.transact(txn).code() == Code.OK) {
-              sim.strike("lateWrites, applied");
+            if (!simulation.stateService.outage
+                && simulation.stateService.transact(txn).code() == ResultCode.OK) {
+              simulation.countFault("lateWrites, applied");
             }
           });
-      back(Constants.STATE_TIMEOUT_MS, () -> then.accept(new TxnReply(Code.UNKNOWN, 0)));
+      scheduleReply(
+          Constants.STATE_TIMEOUT_MS,
+          () -> then.accept(new TransactionResult(ResultCode.OUTCOME_UNKNOWN, 0)));
       return;
     }
-    ask(
-        () -> sim.state.transact(txn),
-        new TxnReply(Code.REFUSED, 0),
-        new TxnReply(Code.UNKNOWN, 0),
+    callStateService(
+        () -> simulation.stateService.transact(txn),
+        new TransactionResult(ResultCode.REJECTED, 0),
+        new TransactionResult(ResultCode.OUTCOME_UNKNOWN, 0),
         then);
   }
 
   /** Whether the transaction takes over a job that another process holds. */
-  private boolean claims(Txn txn) {
-    for (Put put : txn.puts()) {
-      if (!(put.value() instanceof JobRec claimed)) {
+  private boolean isFailover(Transaction txn) {
+    for (PutOperation put : txn.puts()) {
+      if (!(put.value() instanceof JobEntry claimed)) {
         continue;
       }
-      SimulatedStateService.Val present = sim.state.keys.get(put.key());
-      if (present == null || !(present.value() instanceof JobRec before)) {
+      SimulatedStateService.StoredValue present = simulation.stateService.entries.get(put.key());
+      if (present == null || !(present.value() instanceof JobEntry before)) {
         continue;
       }
       if (claimed.epoch() > before.epoch()) {
@@ -480,281 +516,311 @@
   }
 
   @Override
-  public int encodedSize(Entry value) {
-    return Simulation.size(value);
+  public int encodedSizeBytes(StoredEntry value) {
+    return Simulation.encodedSize(value);
   }
 
   @Override
-  public void get(String key, Consumer<GetReply> then) {
-    ask(
+  public void get(String key, Consumer<GetResult> then) {
+    callStateService(
         () -> {
-          sim.state.expire();
-          SimulatedStateService.Val stored = sim.state.keys.get(key);
+          simulation.stateService.expireLeases();
+          SimulatedStateService.StoredValue stored = simulation.stateService.entries.get(key);
           if (stored == null) {
-            return new GetReply(Code.OK, new Item(key, null, 0));
+            return new GetResult(ResultCode.OK, new KeyValue(key, null, 0));
           }
-          Entry value = read(stored.value());
+          StoredEntry value = decodeForVersion(stored.value());
           if (value == null) {
-            return new GetReply(Code.REFUSED, null);
+            return new GetResult(ResultCode.REJECTED, null);
           }
-          return new GetReply(Code.OK, new Item(key, value, stored.version()));
+          return new GetResult(ResultCode.OK, new KeyValue(key, value, stored.version()));
         },
-        new GetReply(Code.REFUSED, null),
-        new GetReply(Code.UNKNOWN, null),
+        new GetResult(ResultCode.REJECTED, null),
+        new GetResult(ResultCode.OUTCOME_UNKNOWN, null),
         then);
   }
 
   @Override
-  public void list(String after, Consumer<ListReply> then) {
-    ask(
+  public void list(String after, Consumer<ListResult> then) {
+    callStateService(
         () -> {
-          sim.state.expire();
-          List<Item> out = new ArrayList<>();
+          simulation.stateService.expireLeases();
+          List<KeyValue> out = new ArrayList<>();
           boolean more = false;
-          for (Map.Entry<String, SimulatedStateService.Val> entry :
-              sim.state.keys.tailMap(after == null ? "" : after, false).entrySet()) {
-            if (!sees(entry.getKey(), entry.getValue().value())) {
+          for (Map.Entry<String, SimulatedStateService.StoredValue> entry :
+              simulation
+                  .stateService
+                  .entries
+                  .tailMap(after == null ? "" : after, false)
+                  .entrySet()) {
+            if (!isVisible(entry.getKey(), entry.getValue().value())) {
               continue;
             }
             if (out.size() == 7) { // small pages, so that changes come between them
               more = true;
               break;
             }
-            Entry value = read(entry.getValue().value());
-            out.add(new Item(entry.getKey(), value, entry.getValue().version()));
+            StoredEntry value = decodeForVersion(entry.getValue().value());
+            out.add(new KeyValue(entry.getKey(), value, entry.getValue().version()));
           }
-          return new ListReply(Code.OK, out, more, sim.state.revision);
+          return new ListResult(ResultCode.OK, out, more, simulation.stateService.revision);
         },
-        new ListReply(Code.REFUSED, List.of(), false, 0),
-        new ListReply(Code.REFUSED, List.of(), false, 0),
+        new ListResult(ResultCode.REJECTED, List.of(), false, 0),
+        new ListResult(ResultCode.REJECTED, List.of(), false, 0),
         then);
   }
 
   @Override
-  public void watch(long after, long holdMs, Consumer<WatchReply> then) {
-    int l = life;
-    long until = sim.now + holdMs;
-    sim.at(sim.delay(), () -> look(after, until, l, then));
+  public void watch(long after, long holdMs, Consumer<WatchResult> then) {
+    int startedProcess = processNumber;
+    long until = simulation.nowMs + holdMs;
+    simulation.schedule(
+        simulation.randomDelayMs(), () -> pollWatch(after, until, startedProcess, then));
   }
 
-  private void look(long after, long until, int l, Consumer<WatchReply> then) {
-    if (l != life) {
+  private void pollWatch(long after, long until, int startedProcess, Consumer<WatchResult> then) {
+    if (startedProcess != processNumber) {
       return;
     }
-    if (tooOld) {
-      tooOld = false;
-      back(1, () -> then.accept(new WatchReply(Code.GONE, List.of(), 0)));
+    if (compactNextWatch) {
+      compactNextWatch = false;
+      scheduleReply(1, () -> then.accept(new WatchResult(ResultCode.EXPIRED, List.of(), 0)));
       return;
     }
-    if (!sim.state.outage && !noState && !watchStopped) {
-      sim.state.expire();
-      List<Item> out = new ArrayList<>();
-      for (int i = sim.state.changes.size() - 1;
-          i >= 0 && sim.state.changes.get(i).version() > after;
+    if (!simulation.stateService.outage && !stateServiceUnreachable && !watchStalled) {
+      simulation.stateService.expireLeases();
+      List<KeyValue> out = new ArrayList<>();
+      for (int i = simulation.stateService.changes.size() - 1;
+          i >= 0 && simulation.stateService.changes.get(i).modRevision() > after;
           i--) {
-        Item change = sim.state.changes.get(i);
-        if (!sees(change.key(), change.value())) {
+        KeyValue change = simulation.stateService.changes.get(i);
+        if (!isVisible(change.key(), change.value())) {
           continue;
         }
-        out.add(0, new Item(change.key(), read(change.value()), change.version()));
+        out.add(
+            0, new KeyValue(change.key(), decodeForVersion(change.value()), change.modRevision()));
       }
-      if (!out.isEmpty() || sim.now >= until) {
-        long rev = sim.state.revision;
-        long d = sim.delay() + lag + (sim.slowState > 0 ? slowness() : 0);
-        if (sim.now + d > until + Constants.STATE_TIMEOUT_MS && sim.slowState > 0) {
-          back(d, () -> then.accept(new WatchReply(Code.UNKNOWN, List.of(), 0)));
+      if (!out.isEmpty() || simulation.nowMs >= until) {
+        long revision = simulation.stateService.revision;
+        long delayMs =
+            simulation.randomDelayMs()
+                + stateDelayMs
+                + (simulation.maxStateDelayMs > 0 ? randomSlowDelayMs() : 0);
+        if (simulation.nowMs + delayMs > until + Constants.STATE_TIMEOUT_MS
+            && simulation.maxStateDelayMs > 0) {
+          scheduleReply(
+              delayMs,
+              () -> then.accept(new WatchResult(ResultCode.OUTCOME_UNKNOWN, List.of(), 0)));
           return;
         }
-        back(d, () -> then.accept(new WatchReply(Code.OK, out, rev)));
+        scheduleReply(delayMs, () -> then.accept(new WatchResult(ResultCode.OK, out, revision)));
         return;
       }
-    } else if (sim.now > until + Constants.STATE_TIMEOUT_MS) {
-      back(1, () -> then.accept(new WatchReply(Code.REFUSED, List.of(), 0)));
+    } else if (simulation.nowMs > until + Constants.STATE_TIMEOUT_MS) {
+      scheduleReply(1, () -> then.accept(new WatchResult(ResultCode.REJECTED, List.of(), 0)));
       return;
     }
-    sim.at(20, () -> look(after, until, l, then));
+    simulation.schedule(20, () -> pollWatch(after, until, startedProcess, then));
   }
 
   @Override
-  public void grantLease(long ttlMs, Consumer<LeaseReply> then) {
-    ask(
+  public void grantLease(long ttlMs, Consumer<LeaseResult> then) {
+    callStateService(
         () -> {
-          long l = ++sim.state.leaseNo;
-          sim.state.leases.put(l, sim.now + ttlMs);
-          sim.state.ttls.put(l, ttlMs);
-          return new LeaseReply(Code.OK, l);
+          long leaseId = ++simulation.stateService.lastLeaseId;
+          simulation.stateService.leases.put(leaseId, simulation.nowMs + ttlMs);
+          simulation.stateService.leaseTtlsMs.put(leaseId, ttlMs);
+          return new LeaseResult(ResultCode.OK, leaseId);
         },
-        new LeaseReply(Code.REFUSED, 0),
-        new LeaseReply(Code.UNKNOWN, 0),
+        new LeaseResult(ResultCode.REJECTED, 0),
+        new LeaseResult(ResultCode.OUTCOME_UNKNOWN, 0),
         then);
   }
 
   @Override
-  public void renewLease(long lease, Consumer<LeaseReply> then) {
-    ask(
+  public void renewLease(long lease, Consumer<LeaseResult> then) {
+    callStateService(
         () -> {
-          sim.state.expire();
-          if (!sim.state.leases.containsKey(lease)) {
-            return new LeaseReply(Code.GONE, lease);
+          simulation.stateService.expireLeases();
+          if (!simulation.stateService.leases.containsKey(lease)) {
+            return new LeaseResult(ResultCode.EXPIRED, lease);
           }
-          sim.state.leases.put(lease, sim.now + sim.state.ttls.get(lease));
-          return new LeaseReply(Code.OK, lease);
+          simulation.stateService.leases.put(
+              lease, simulation.nowMs + simulation.stateService.leaseTtlsMs.get(lease));
+          return new LeaseResult(ResultCode.OK, lease);
         },
-        new LeaseReply(Code.REFUSED, lease),
-        new LeaseReply(Code.UNKNOWN, lease),
+        new LeaseResult(ResultCode.REJECTED, lease),
+        new LeaseResult(ResultCode.OUTCOME_UNKNOWN, lease),
         then);
   }
 
   @Override
-  public void order(
-      String addr, long token, long session, List<Command> commands, Consumer<OrderReply> then) {
-    SimulatedWorker worker = sim.workers.get(addr);
-    if (lateBy > 0 && worker != null) {
-      sim.at(lateBy, () -> worker.whenAwake(() -> worker.orders(token, session, commands)));
-      back(lateBy, () -> then.accept(new OrderReply(Code.UNKNOWN, null)));
+  public void sendCommands(
+      String addr,
+      long token,
+      long session,
+      List<WorkerCommand> commands,
+      Consumer<CommandResult> then) {
+    SimulatedWorker worker = simulation.workers.get(addr);
+    if (sendDelayMs > 0 && worker != null) {
+      simulation.schedule(
+          sendDelayMs,
+          () -> worker.runWhenResumed(() -> worker.executeCommands(token, session, commands)));
+      scheduleReply(
+          sendDelayMs, () -> then.accept(new CommandResult(ResultCode.OUTCOME_UNKNOWN, null)));
       return;
     }
-    if (worker == null || worker.cutFrom(this) || worker.deaf) {
-      if (worker != null && worker.cutFrom(this) && sim.rnd.nextBoolean()) {
+    if (worker == null || worker.isPartitionedFrom(this) || worker.inboundBlocked) {
+      if (worker != null && worker.isPartitionedFrom(this) && simulation.random.nextBoolean()) {
         // held by the cut, executed late
-        sim.at(
-            1_000 + sim.rnd.nextInt(15_000),
-            () -> worker.whenAwake(() -> worker.orders(token, session, commands)));
-        back(Constants.ORDER_TIMEOUT_MS, () -> then.accept(new OrderReply(Code.UNKNOWN, null)));
+        simulation.schedule(
+            1_000 + simulation.random.nextInt(15_000),
+            () -> worker.runWhenResumed(() -> worker.executeCommands(token, session, commands)));
+        scheduleReply(
+            Constants.COMMAND_REQUEST_TIMEOUT_MS,
+            () -> then.accept(new CommandResult(ResultCode.OUTCOME_UNKNOWN, null)));
       } else {
-        back(
-            Constants.ORDER_TIMEOUT_MS,
-            () -> then.accept(new OrderReply(worker == null ? Code.REFUSED : Code.UNKNOWN, null)));
+        scheduleReply(
+            Constants.COMMAND_REQUEST_TIMEOUT_MS,
+            () ->
+                then.accept(
+                    new CommandResult(
+                        worker == null ? ResultCode.REJECTED : ResultCode.OUTCOME_UNKNOWN, null)));
       }
       return;
     }
-    double dice = sim.rnd.nextDouble();
-    if (sim.strayOrders) {
-      sim.strayed++;
+    double dice = simulation.random.nextDouble();
+    if (simulation.delayAllCommands) {
+      simulation.delayedCommands++;
       dice = 0;
     }
-    if (dice < sim.loss || sim.strayOrders) {
-      sim.at(
-          !sim.strayOrders && dice < sim.loss / 2 ? sim.delay() : 500 + sim.rnd.nextInt(20_000),
-          () -> worker.whenAwake(() -> worker.orders(token, session, commands)));
-      back(Constants.ORDER_TIMEOUT_MS, () -> then.accept(new OrderReply(Code.UNKNOWN, null)));
+    if (dice < simulation.messageLossRate || simulation.delayAllCommands) {
+      simulation.schedule(
+          !simulation.delayAllCommands && dice < simulation.messageLossRate / 2
+              ? simulation.randomDelayMs()
+              : 500 + simulation.random.nextInt(20_000),
+          () -> worker.runWhenResumed(() -> worker.executeCommands(token, session, commands)));
+      scheduleReply(
+          Constants.COMMAND_REQUEST_TIMEOUT_MS,
+          () -> then.accept(new CommandResult(ResultCode.OUTCOME_UNKNOWN, null)));
       return;
     }
-    int l = life;
-    sim.at(
-        sim.delay(),
+    int startedProcess = processNumber;
+    simulation.schedule(
+        simulation.randomDelayMs(),
         () -> {
-          if (worker.hangs()) {
-            heldOrders(worker, token, session, commands, l, then);
+          if (worker.isPaused()) {
+            queueCommands(worker, token, session, commands, startedProcess, then);
             return;
           }
-          if (worker.mute) {
-            sim.strike("mute, ordered");
+          if (worker.outboundBlocked) {
+            simulation.countFault("mute, ordered");
           }
-          OrderReply reply = worker.orders(token, session, commands);
-          if (l == life) {
-            back(sim.delay(), () -> then.accept(reply));
+          CommandResult reply = worker.executeCommands(token, session, commands);
+          if (startedProcess == processNumber) {
+            scheduleReply(simulation.randomDelayMs(), () -> then.accept(reply));
           }
         });
   }
 
   /** Executed when the machine goes on, perhaps long after it was given up on. */
-  private void heldOrders(
+  private void queueCommands(
       SimulatedWorker worker,
       long token,
       long session,
-      List<Command> commands,
-      int l,
-      Consumer<OrderReply> then) {
-    sim.strike("hang, ordered");
-    boolean[] over = {false};
-    if (l == life) {
-      back(
-          Constants.ORDER_TIMEOUT_MS,
+      List<WorkerCommand> commands,
+      int startedProcess,
+      Consumer<CommandResult> then) {
+    simulation.countFault("hang, ordered");
+    boolean[] finished = {false};
+    if (startedProcess == processNumber) {
+      scheduleReply(
+          Constants.COMMAND_REQUEST_TIMEOUT_MS,
           () -> {
-            if (over[0]) {
+            if (finished[0]) {
               return;
             }
-            over[0] = true;
-            then.accept(new OrderReply(Code.UNKNOWN, null));
+            finished[0] = true;
+            then.accept(new CommandResult(ResultCode.OUTCOME_UNKNOWN, null));
           });
     }
-    worker.whenAwake(
+    worker.runWhenResumed(
         () -> {
-          OrderReply reply = worker.orders(token, session, commands);
-          if (reply.code() == Code.OK) {
-            sim.strike("hang, held orders executed");
+          CommandResult reply = worker.executeCommands(token, session, commands);
+          if (reply.code() == ResultCode.OK) {
+            simulation.countFault("hang, held orders executed");
           }
-          if (l != life) {
+          if (startedProcess != processNumber) {
             return;
           }
-          back(
-              sim.delay(),
+          scheduleReply(
+              simulation.randomDelayMs(),
               () -> {
-                if (over[0]) {
+                if (finished[0]) {
                   return;
                 }
-                over[0] = true;
+                finished[0] = true;
                 then.accept(reply);
               });
         });
   }
 
   @Override
-  public void types(Consumer<List<MachineType>> then) {
-    back(20, () -> then.accept(List.of(sim.type)));
+  public void fetchMachineTypes(Consumer<List<MachineType>> then) {
+    scheduleReply(20, () -> then.accept(List.of(simulation.machineType)));
   }
 
   @Override
-  public void rent(RentRequest request, Consumer<RentReply> then) {
-    back(
+  public void scaleOut(ScaleOutRequest request, Consumer<ScaleOutResult> then) {
+    scheduleReply(
         30,
         () -> {
-          List<String> got = sim.rentals.get(request.name());
-          if (got == null) {
-            got = new ArrayList<>();
-            while (got.size() < request.count() && sim.workers.size() < sim.capacity) {
-              got.add(
-                  sim.machine(
+          List<String> machines = simulation.scaleOutResults.get(request.name());
+          if (machines == null) {
+            machines = new ArrayList<>();
+            while (machines.size() < request.count()
+                && simulation.workers.size() < simulation.maxMachines) {
+              machines.add(
+                  simulation.addMachine(
                       request.type(),
                       request.zone(),
                       request.spot(),
-                      2_000 + sim.rnd.nextInt(6_000)));
+                      2_000 + simulation.random.nextInt(6_000)));
             }
-            if (!got.isEmpty()) {
-              sim.rentals.put(request.name(), got);
+            if (!machines.isEmpty()) {
+              simulation.scaleOutResults.put(request.name(), machines);
             }
           }
-          then.accept(new RentReply(got.isEmpty() ? 503 : 200, got));
+          then.accept(new ScaleOutResult(machines.isEmpty() ? 503 : 200, machines));
         });
   }
 
   @Override
-  public void returnMachines(List<String> machines, Consumer<Boolean> then) {
-    if (machines.size() > Constants.RETURN_MAX) { // as the protocol has it
-      back(30, () -> then.accept(false));
+  public void scaleIn(List<String> machines, Consumer<Boolean> then) {
+    if (machines.size() > Constants.SCALE_IN_MACHINES_MAX) { // as the protocol has it
+      scheduleReply(30, () -> then.accept(false));
       return;
     }
-    for (String m : machines) {
-      sim.killMachine(m);
+    for (String machine : machines) {
+      simulation.killMachine(machine);
     }
-    back(30, () -> then.accept(true));
+    scheduleReply(30, () -> then.accept(true));
   }
 
   @Override
-  public void listMachines(String after, Consumer<ListedReply> then) {
-    List<Listed> out = new ArrayList<>();
-    for (SimulatedWorker worker : sim.workers.values()) {
+  public void listMachines(String after, Consumer<InventoryPage> then) {
+    List<ListedMachine> out = new ArrayList<>();
+    for (SimulatedWorker worker : simulation.workers.values()) {
       out.add(
-          new Listed(
+          new ListedMachine(
               worker.id,
               "t8",
               worker.zone,
               worker.spot,
               "running",
-              (sim.now - worker.born) / 1000.0));
+              (simulation.nowMs - worker.bornAtMs) / 1000.0));
     }
-    sim.at(2_000, () -> {});
-    back(2_000, () -> then.accept(new ListedReply(true, out, false)));
+    simulation.schedule(2_000, () -> {});
+    scheduleReply(2_000, () -> then.accept(new InventoryPage(true, out, false)));
   }
 }
--- a/src/test/java/mallowstall/core/SimulatedStateService.java
+++ b/src/test/java/mallowstall/core/SimulatedStateService.java
@@ -6,144 +6,152 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import mallowstall.core.Model.Entry;
+import mallowstall.core.kernel.Condition;
+import mallowstall.core.kernel.KeyValue;
+import mallowstall.core.kernel.PutOperation;
+import mallowstall.core.kernel.ResultCode;
+import mallowstall.core.kernel.Transaction;
+import mallowstall.core.kernel.TransactionResult;
+import mallowstall.core.model.StoredEntry;
 
 /** A stand-in for the state service. */
 final class SimulatedStateService {
-  private final Simulation sim;
+  private final Simulation simulation;
 
   SimulatedStateService(Simulation sim) {
-    this.sim = sim;
+    this.simulation = sim;
   }
 
   /** A stored value. */
-  record Val(Entry value, long version, long lease) {}
+  record StoredValue(StoredEntry value, long version, long leaseId) {}
 
-  final TreeMap<String, Val> keys = new TreeMap<>();
-  final List<Effects.Item> changes = new ArrayList<>();
+  final TreeMap<String, StoredValue> entries = new TreeMap<>();
+  final List<KeyValue> changes = new ArrayList<>();
   final Map<Long, Long> leases = new HashMap<>();
-  final Map<Long, Long> ttls = new HashMap<>();
+  final Map<Long, Long> leaseTtlsMs = new HashMap<>();
   long revision;
-  long leaseNo;
+  long lastLeaseId;
   boolean outage;
 
   /** What it refuses to exceed, null: nothing. What is stored already stays. */
   private Simulation.StateLimits limits;
 
   /** Changes that may come at once, at most a second's; refilled up to that moment. */
-  private double changesLeft;
+  private double changeTokens;
 
-  private long changesLeftAt;
+  private long changeTokensUpdatedMs;
 
   /** Given each transaction right after it was carried out. */
-  Consumer<Effects.Txn> changed = transaction -> {};
+  Consumer<Transaction> onApplied = transaction -> {};
 
   /** From now on these limits hold, without notice. */
-  void limitTo(Simulation.StateLimits now) {
+  void setLimits(Simulation.StateLimits now) {
     limits = now;
-    changesLeft = now.changesPerSecond();
-    changesLeftAt = sim.now;
+    changeTokens = now.changesPerSecond();
+    changeTokensUpdatedMs = simulation.nowMs;
   }
 
   /** Why the transaction exceeds the limits; OK: it doesn't. */
-  private Effects.Code exceeds(Effects.Txn transaction) {
+  private ResultCode checkLimits(Transaction transaction) {
     if (limits == null) {
-      return Effects.Code.OK;
+      return ResultCode.OK;
     }
-    int changes = transaction.puts().size() + transaction.drops().size();
-    boolean large = changes > limits.txnOps() || transaction.when().size() > 4 * limits.txnOps();
-    for (Effects.Put put : transaction.puts()) {
-      large |= Simulation.size(put.value()) > limits.valueBytes();
+    int changes = transaction.puts().size() + transaction.deletes().size();
+    boolean large =
+        changes > limits.txnOps() || transaction.conditions().size() > 4 * limits.txnOps();
+    for (PutOperation put : transaction.puts()) {
+      large |= Simulation.encodedSize(put.value()) > limits.valueBytes();
     }
     if (large) {
-      sim.strike("limits, too large");
-      return Effects.Code.MALFORMED;
+      simulation.countFault("limits, too large");
+      return ResultCode.INVALID;
     }
     double rate = limits.changesPerSecond();
-    changesLeft = Math.min(rate, changesLeft + (sim.now - changesLeftAt) * rate / 1_000);
-    changesLeftAt = sim.now;
-    if (changes > changesLeft) {
-      sim.strike("limits, too many");
-      return Effects.Code.REFUSED;
+    changeTokens =
+        Math.min(rate, changeTokens + (simulation.nowMs - changeTokensUpdatedMs) * rate / 1_000);
+    changeTokensUpdatedMs = simulation.nowMs;
+    if (changes > changeTokens) {
+      simulation.countFault("limits, too many");
+      return ResultCode.REJECTED;
     }
-    changesLeft -= changes;
-    return Effects.Code.OK;
+    changeTokens -= changes;
+    return ResultCode.OK;
   }
 
   /** All transactions that came here, whatever became of them. */
-  final List<Effects.Txn> asked = new ArrayList<>();
+  final List<Transaction> receivedTransactions = new ArrayList<>();
 
-  void set(String key, Entry v, long rev, long lease) {
-    if (v == null) {
-      if (keys.remove(key) == null) {
+  void applyChange(String key, StoredEntry value, long newRevision, long lease) {
+    if (value == null) {
+      if (entries.remove(key) == null) {
         return;
       }
     } else {
-      keys.put(key, new Val(v, rev, lease));
+      entries.put(key, new StoredValue(value, newRevision, lease));
     }
-    changes.add(new Effects.Item(key, v, rev));
+    changes.add(new KeyValue(key, value, newRevision));
   }
 
-  void expire() {
+  void expireLeases() {
     if (outage) {
       return;
     }
-    for (Long l : new ArrayList<>(leases.keySet())) {
-      if (leases.get(l) <= sim.now) {
-        end(l);
+    for (Long leaseId : new ArrayList<>(leases.keySet())) {
+      if (leases.get(leaseId) <= simulation.nowMs) {
+        revokeLease(leaseId);
       }
     }
   }
 
-  void end(long l) {
-    leases.remove(l);
-    List<String> gone = new ArrayList<>();
-    keys.forEach(
-        (k, value) -> {
-          if (value.lease == l) {
-            gone.add(k);
+  void revokeLease(long leaseId) {
+    leases.remove(leaseId);
+    List<String> removedKeys = new ArrayList<>();
+    entries.forEach(
+        (key, value) -> {
+          if (value.leaseId == leaseId) {
+            removedKeys.add(key);
           }
         });
-    if (gone.isEmpty()) {
+    if (removedKeys.isEmpty()) {
       return;
     }
     revision++;
-    for (String k : gone) {
-      set(k, null, revision, 0);
+    for (String key : removedKeys) {
+      applyChange(key, null, revision, 0);
     }
   }
 
-  Effects.TxnReply transact(Effects.Txn transaction) {
-    expire();
-    asked.add(transaction);
-    Effects.Code exceeds = exceeds(transaction);
-    if (exceeds != Effects.Code.OK) {
-      return new Effects.TxnReply(exceeds, 0);
+  TransactionResult transact(Transaction transaction) {
+    expireLeases();
+    receivedTransactions.add(transaction);
+    ResultCode exceeds = checkLimits(transaction);
+    if (exceeds != ResultCode.OK) {
+      return new TransactionResult(exceeds, 0);
     }
-    for (Effects.Put put : transaction.puts()) {
-      if (put.lease() != 0 && !leases.containsKey(put.lease())) {
-        return new Effects.TxnReply(Effects.Code.NO_LEASE, revision);
+    for (PutOperation put : transaction.puts()) {
+      if (put.leaseId() != 0 && !leases.containsKey(put.leaseId())) {
+        return new TransactionResult(ResultCode.LEASE_NOT_FOUND, revision);
       }
     }
-    for (Effects.Cond condition : transaction.when()) {
-      Val value = keys.get(condition.key());
-      if ((value == null ? 0 : value.version) != condition.version()) {
-        return new Effects.TxnReply(Effects.Code.CONFLICT, revision);
+    for (Condition condition : transaction.conditions()) {
+      StoredValue value = entries.get(condition.key());
+      if ((value == null ? 0 : value.version) != condition.modRevision()) {
+        return new TransactionResult(ResultCode.CONFLICT, revision);
       }
     }
     revision++;
-    for (Effects.Put p : transaction.puts()) {
-      set(p.key(), p.value(), revision, p.lease());
+    for (PutOperation appliedPut : transaction.puts()) {
+      applyChange(appliedPut.key(), appliedPut.value(), revision, appliedPut.leaseId());
     }
-    for (String k : transaction.drops()) {
-      set(k, null, revision, 0);
+    for (String key : transaction.deletes()) {
+      applyChange(key, null, revision, 0);
     }
-    changed.accept(transaction);
-    return new Effects.TxnReply(Effects.Code.OK, revision);
+    onApplied.accept(transaction);
+    return new TransactionResult(ResultCode.OK, revision);
   }
 
-  void recover() {
+  void endOutage() {
     outage = false;
-    leases.replaceAll((l, end) -> sim.now + ttls.get(l));
+    leases.replaceAll((leaseId, end) -> simulation.nowMs + leaseTtlsMs.get(leaseId));
   }
 }
--- a/src/test/java/mallowstall/core/SimulatedWorker.java
+++ b/src/test/java/mallowstall/core/SimulatedWorker.java
@@ -5,142 +5,144 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import mallowstall.core.Model.Command;
-import mallowstall.core.Model.ExitReason;
-import mallowstall.core.Model.Report;
-import mallowstall.core.Model.ReportAnswer;
-import mallowstall.core.Model.TaskReport;
-import mallowstall.core.Model.TaskState;
+import mallowstall.core.kernel.CommandResult;
+import mallowstall.core.kernel.ResultCode;
+import mallowstall.core.model.ExitReason;
+import mallowstall.core.model.Heartbeat;
+import mallowstall.core.model.HeartbeatResponse;
+import mallowstall.core.model.TaskReport;
+import mallowstall.core.model.TaskState;
+import mallowstall.core.model.WorkerCommand;
 
 /** A stand-in for a worker and its machine. */
 final class SimulatedWorker {
-  private final Simulation sim;
+  private final Simulation simulation;
   final String id;
   final String zone;
   final boolean spot;
-  final long born;
+  final long bornAtMs;
   long token;
-  long session = 1;
-  long seq;
-  long leaseFrom;
+  long epoch = 1;
+  long heartbeatSequence;
+  long leaseStartMs;
   boolean dead;
-  boolean cut;
+  boolean partitioned;
 
   /** Its reports arrive, answers and commands don't reach it. */
-  boolean deaf;
+  boolean inboundBlocked;
 
   /** Its reports reach no controller; commands reach it and are answered. */
-  boolean mute;
+  boolean outboundBlocked;
 
   /** Answers and commands reach it again. */
-  void hearAgain() {
-    cut = false;
-    deaf = false;
+  void unblockInbound() {
+    partitioned = false;
+    inboundBlocked = false;
   }
 
   /** It executes and sends nothing until then. */
-  private long hangsUntil;
+  private long pausedUntilMs;
 
   /** What has come since it hangs, in order. */
-  private final List<Runnable> held = new ArrayList<>();
+  private final List<Runnable> queuedWhilePaused = new ArrayList<>();
 
   /** Its lease ran out while it hung: the next session begins when it goes on. */
-  private boolean newSession;
+  private boolean newEpochOnResume;
 
   boolean faulty;
 
   /** When the cloud takes it away, by its notice; 0: no notice. */
-  private long goneAt;
+  private long terminatedAtMs;
 
-  String node;
-  long flight;
-  boolean inFlight;
-  long lastReport = -10_000;
-  boolean changed;
-  final Map<String, Long> images = new HashMap<>();
-  final Map<String, T> tasks = new LinkedHashMap<>();
+  String controllerName;
+  long heartbeatId;
+  boolean heartbeatInFlight;
+  long lastHeartbeatMs = -10_000;
+  boolean heartbeatDue;
+  final Map<String, Long> imageFetchedAtMs = new HashMap<>();
+  final Map<String, SimulatedTask> tasks = new LinkedHashMap<>();
 
   /** Tasks that completed here: their results are kept. */
-  private final java.util.Set<String> completed = new java.util.HashSet<>();
+  private final java.util.Set<String> completedTasks = new java.util.HashSet<>();
 
   /** A task on the machine. */
-  final class T {
+  final class SimulatedTask {
     String job;
     int task;
     long attempt;
     TaskState state;
-    ExitReason why;
+    ExitReason exitReason;
     int step;
 
     /** When what it does now is done; later if its machine hangs. */
-    long due;
+    long dueMs;
   }
 
   SimulatedWorker(Simulation sim, String id, String zone, boolean spot) {
-    this.sim = sim;
+    this.simulation = sim;
     this.id = id;
     this.zone = zone;
     this.spot = spot;
-    this.born = sim.now;
-    this.node = Simulation.NODES.get(sim.rnd.nextInt(3));
+    this.bornAtMs = sim.nowMs;
+    this.controllerName = Simulation.NODES.get(sim.random.nextInt(3));
   }
 
   /** The cloud tells it that it will be gone after so long. */
-  void notice(long ms) {
-    if (dead || goneAt != 0) {
+  void giveTerminationNotice(long ms) {
+    if (dead || terminatedAtMs != 0) {
       return;
     }
-    sim.strike("notice");
-    goneAt = sim.now + ms;
-    changed = true;
-    sim.at(ms, () -> sim.killMachine(id));
+    simulation.countFault("notice");
+    terminatedAtMs = simulation.nowMs + ms;
+    heartbeatDue = true;
+    simulation.schedule(ms, () -> simulation.killMachine(id));
   }
 
-  void begin() {
-    leaseFrom = sim.now;
-    loop();
+  void start() {
+    leaseStartMs = simulation.nowMs;
+    runLoop();
   }
 
   /**
    * Executes and sends nothing for so long. Its tasks make no progress meanwhile, and go on unless
    * its lease has run out.
    */
-  void hang(long ms) {
+  void pause(long ms) {
     if (dead) {
       return;
     }
-    sim.strike("hang");
-    long more = Math.max(0, sim.now + ms - Math.max(sim.now, hangsUntil));
-    hangsUntil = Math.max(hangsUntil, sim.now + ms);
-    for (T task : tasks.values()) {
-      task.due += more;
+    simulation.countFault("hang");
+    long more = Math.max(0, simulation.nowMs + ms - Math.max(simulation.nowMs, pausedUntilMs));
+    pausedUntilMs = Math.max(pausedUntilMs, simulation.nowMs + ms);
+    for (SimulatedTask task : tasks.values()) {
+      task.dueMs += more;
     }
-    sim.at(ms, this::goOn);
+    simulation.schedule(ms, this::resume);
   }
 
-  boolean hangs() {
-    return sim.now < hangsUntil;
+  boolean isPaused() {
+    return simulation.nowMs < pausedUntilMs;
   }
 
-  private void goOn() {
-    if (dead || hangs()) {
+  private void resume() {
+    if (dead || isPaused()) {
       return;
     }
-    judgeLease();
-    if (newSession) {
-      leaseFrom = sim.now;
+    checkLease();
+    if (newEpochOnResume) {
+      leaseStartMs = simulation.nowMs;
     }
-    newSession = false;
-    List<Runnable> come = new ArrayList<>(held);
-    held.clear();
-    for (Runnable action : come) {
+    newEpochOnResume = false;
+    List<Runnable> queued = new ArrayList<>(queuedWhilePaused);
+    queuedWhilePaused.clear();
+    for (Runnable action : queued) {
       action.run();
     }
   }
 
-  void whenAwake(Runnable action) {
-    if (hangs()) {
-      held.add(action);
+  void runWhenResumed(Runnable action) {
+    if (isPaused()) {
+      queuedWhilePaused.add(action);
     } else {
       action.run();
     }
@@ -150,241 +152,262 @@
    * While it hangs nothing of this shows; its tasks count as gone from the lease's end on, since it
    * can't go on with them any more.
    */
-  private void judgeLease() {
-    if (sim.now - leaseFrom <= Simulation.LEASE || newSession) {
+  private void checkLease() {
+    if (simulation.nowMs - leaseStartMs <= Simulation.LEASE_MS || newEpochOnResume) {
       return;
     }
-    if (hangs()) {
-      sim.strike("hang, beyond its lease");
+    if (isPaused()) {
+      simulation.countFault("hang, beyond its lease");
     }
-    for (T task : tasks.values()) {
-      sim.rules.left(id, task.job, task.task, false);
+    for (SimulatedTask task : tasks.values()) {
+      simulation.checker.onStopped(id, task.job, task.task, false);
     }
     tasks.clear();
-    session++;
-    leaseFrom = sim.now;
-    newSession = hangs();
-    changed = true;
+    epoch++;
+    leaseStartMs = simulation.nowMs;
+    newEpochOnResume = isPaused();
+    heartbeatDue = true;
   }
 
-  void loop() {
+  void runLoop() {
     if (dead) {
       return;
     }
-    judgeLease();
-    if (hangs()) {
-      sim.at(100, this::loop);
+    checkLease();
+    if (isPaused()) {
+      simulation.schedule(100, this::runLoop);
       return;
     }
     boolean due =
-        sim.now - lastReport
-                >= Simulation.REPORT * 3 / 4 + sim.rnd.nextInt((int) Simulation.REPORT / 2)
-            || (changed && sim.now - lastReport >= 500);
-    if (due && !inFlight) {
-      report();
-    }
-    sim.at(100, this::loop);
+        simulation.nowMs - lastHeartbeatMs
+                >= Simulation.HEARTBEAT_MS * 3 / 4
+                    + simulation.random.nextInt((int) Simulation.HEARTBEAT_MS / 2)
+            || (heartbeatDue && simulation.nowMs - lastHeartbeatMs >= 500);
+    if (due && !heartbeatInFlight) {
+      sendHeartbeat();
+    }
+    simulation.schedule(100, this::runLoop);
   }
 
-  Report snapshot() {
-    List<TaskReport> l = new ArrayList<>();
-    for (T task : tasks.values()) {
-      l.add(new TaskReport(task.job, task.task, task.attempt, task.state, task.why, false));
+  Heartbeat snapshot() {
+    List<TaskReport> taskReports = new ArrayList<>();
+    for (SimulatedTask task : tasks.values()) {
+      taskReports.add(
+          new TaskReport(task.job, task.task, task.attempt, task.state, task.exitReason, false));
     }
-    Double noticeS = goneAt == 0 ? null : (Double) ((goneAt - sim.now) / 1000.0);
-    return new Report(id, id, "t8", zone, spot, session, ++seq, token, noticeS, l);
+    Double noticeS =
+        terminatedAtMs == 0 ? null : (Double) ((terminatedAtMs - simulation.nowMs) / 1000.0);
+    return new Heartbeat(
+        id, id, "t8", zone, spot, epoch, ++heartbeatSequence, token, noticeS, taskReports);
   }
 
-  void report() {
-    inFlight = true;
-    changed = false;
-    lastReport = sim.now;
-    long mine = ++flight;
-    Report report = snapshot();
-    SimulatedController controller = sim.nodes.get(node);
-    sim.at(4_000, () -> whenAwake(() -> giveUp(mine)));
-    if (mute) {
-      sim.strike("mute");
+  void sendHeartbeat() {
+    heartbeatInFlight = true;
+    heartbeatDue = false;
+    lastHeartbeatMs = simulation.nowMs;
+    long ownId = ++heartbeatId;
+    Heartbeat heartbeat = snapshot();
+    SimulatedController controller = simulation.controllers.get(controllerName);
+    simulation.schedule(4_000, () -> runWhenResumed(() -> timeOut(ownId)));
+    if (outboundBlocked) {
+      simulation.countFault("mute");
       return;
     }
-    if (sim.rnd.nextDouble() < sim.lateCopies) {
-      sendLateCopy(report);
+    if (simulation.random.nextDouble() < simulation.duplicateHeartbeatRate) {
+      sendDuplicate(heartbeat);
     }
-    if (cutFrom(controller)) {
-      if (sim.rnd.nextBoolean()) {
-        sendLate(controller, report, 1_000 + sim.rnd.nextInt(20_000));
+    if (isPartitionedFrom(controller)) {
+      if (simulation.random.nextBoolean()) {
+        sendDelayed(controller, heartbeat, 1_000 + simulation.random.nextInt(20_000));
       }
       return;
     }
-    if (!controller.up) {
-      sim.at(5, () -> turnAway(mine));
+    if (!controller.running) {
+      simulation.schedule(5, () -> failConnection(ownId));
       return;
     }
-    if (sim.rnd.nextDouble() < sim.loss) {
+    if (simulation.random.nextDouble() < simulation.messageLossRate) {
       return; // lost, or answered to nobody
     }
-    send(controller, report, mine);
+    deliver(controller, heartbeat, ownId);
   }
 
   /** No response has come for 4 s. */
-  private void giveUp(long mine) {
-    if (flight == mine && inFlight) {
-      next();
+  private void timeOut(long mine) {
+    if (heartbeatId == mine && heartbeatInFlight) {
+      switchController();
     }
   }
 
   /** The connection failed. */
-  private void turnAway(long mine) {
-    if (flight == mine) {
-      next();
+  private void failConnection(long mine) {
+    if (heartbeatId == mine) {
+      switchController();
     }
   }
 
-  private void sendLateCopy(Report report) {
-    SimulatedController any = sim.nodes.get(Simulation.NODES.get(sim.rnd.nextInt(3)));
-    sim.copied++;
-    sendLate(any, report, 200 + sim.rnd.nextInt(3 * (int) Simulation.LEASE));
+  private void sendDuplicate(Heartbeat heartbeat) {
+    SimulatedController any =
+        simulation.controllers.get(Simulation.NODES.get(simulation.random.nextInt(3)));
+    simulation.duplicatedHeartbeats++;
+    sendDelayed(any, heartbeat, 200 + simulation.random.nextInt(3 * (int) Simulation.LEASE_MS));
   }
 
   /** The report arrives so much later; nobody waits for the answer. */
-  private void sendLate(SimulatedController controller, Report report, long ms) {
-    sim.at(
+  private void sendDelayed(SimulatedController controller, Heartbeat heartbeat, long ms) {
+    simulation.schedule(
         ms,
         () -> {
-          if (controller.up) {
-            controller.event(
+          if (controller.running) {
+            controller.enqueueEvent(
                 () ->
-                    controller.core.report(
-                        report, sim.recorder.toWorker(controller, report, answer -> {})));
+                    controller.core.handleHeartbeat(
+                        heartbeat,
+                        simulation.recorder.toWorker(controller, heartbeat, answer -> {})));
           }
         });
   }
 
-  private void send(SimulatedController controller, Report report, long mine) {
-    long sent = sim.now;
-    int life = controller.life;
-    sim.at(
-        sim.delay(),
+  private void deliver(SimulatedController controller, Heartbeat heartbeat, long mine) {
+    long sent = simulation.nowMs;
+    int life = controller.processNumber;
+    simulation.schedule(
+        simulation.randomDelayMs(),
         () -> {
-          if (!controller.up || controller.life != life) {
-            turnAway(mine);
+          if (!controller.running || controller.processNumber != life) {
+            failConnection(mine);
             return;
           }
-          controller.event(
+          controller.enqueueEvent(
               () ->
-                  controller.core.report(
-                      report,
-                      sim.recorder.toWorker(
+                  controller.core.handleHeartbeat(
+                      heartbeat,
+                      simulation.recorder.toWorker(
                           controller,
-                          report,
+                          heartbeat,
                           answer ->
-                              sim.at(
-                                  sim.delay() + controller.lateBy,
+                              simulation.schedule(
+                                  simulation.randomDelayMs() + controller.sendDelayMs,
                                   () ->
-                                      whenAwake(
+                                      runWhenResumed(
                                           () ->
-                                              answered(controller, report, answer, sent, mine))))));
+                                              receiveResponse(
+                                                  controller, heartbeat, answer, sent, mine))))));
         });
   }
 
-  private void answered(
-      SimulatedController controller, Report report, ReportAnswer answer, long sent, long mine) {
+  private void receiveResponse(
+      SimulatedController controller,
+      Heartbeat heartbeat,
+      HeartbeatResponse answer,
+      long sent,
+      long mine) {
     // given up on, though it hung then
-    if (sim.now - sent > 4_000) {
-      giveUp(mine);
+    if (simulation.nowMs - sent > 4_000) {
+      timeOut(mine);
     }
-    if (flight == mine && inFlight && !cutFrom(controller) && !deaf) {
-      answer(answer, sent, report.session());
+    if (heartbeatId == mine
+        && heartbeatInFlight
+        && !isPartitionedFrom(controller)
+        && !inboundBlocked) {
+      applyResponse(answer, sent, heartbeat.session());
     }
   }
 
-  boolean cutFrom(SimulatedController node) {
-    return cut
-        || sim.cutZone != null && zone.equals(sim.cutZone) != node.zone().equals(sim.cutZone);
+  boolean isPartitionedFrom(SimulatedController node) {
+    return partitioned
+        || simulation.partitionedZone != null
+            && zone.equals(simulation.partitionedZone)
+                != node.zone().equals(simulation.partitionedZone);
   }
 
-  private void next() {
-    inFlight = false;
-    flight++;
-    node = Simulation.NODES.get((Simulation.NODES.indexOf(node) + 1) % 3);
-    lastReport = sim.now + 1_000 - Simulation.REPORT * 5 / 4;
+  private void switchController() {
+    heartbeatInFlight = false;
+    heartbeatId++;
+    controllerName = Simulation.NODES.get((Simulation.NODES.indexOf(controllerName) + 1) % 3);
+    lastHeartbeatMs = simulation.nowMs + 1_000 - Simulation.HEARTBEAT_MS * 5 / 4;
   }
 
-  void answer(ReportAnswer answer, long sent, long forSession) {
+  void applyResponse(HeartbeatResponse answer, long sent, long forSession) {
     if (dead) {
       return;
     }
-    inFlight = false;
-    if (answer.status() == 421 && answer.reportTo() != null && !answer.reportTo().equals(node)) {
-      node = answer.reportTo();
-      lastReport = -10_000;
+    heartbeatInFlight = false;
+    if (answer.status() == 421
+        && answer.redirectTo() != null
+        && !answer.redirectTo().equals(controllerName)) {
+      controllerName = answer.redirectTo();
+      lastHeartbeatMs = -10_000;
       return;
     }
     if (answer.status() != 200) {
-      next();
+      switchController();
       return;
     }
-    if (answer.token() < token || forSession != session) {
+    if (answer.fencingToken() < token || forSession != epoch) {
       return;
     }
-    if (answer.token() > token) {
-      token = answer.token();
-      changed = true;
+    if (answer.fencingToken() > token) {
+      token = answer.fencingToken();
+      heartbeatDue = true;
     }
-    leaseFrom = sent;
-    for (Command command : answer.commands()) {
+    leaseStartMs = sent;
+    for (WorkerCommand command : answer.commands()) {
       execute(command);
     }
   }
 
-  Effects.OrderReply orders(long tok, long ses, List<Command> commands) {
+  CommandResult executeCommands(
+      long commandToken, long commandEpoch, List<WorkerCommand> commands) {
     if (dead) {
-      return new Effects.OrderReply(Effects.Code.UNKNOWN, null);
+      return new CommandResult(ResultCode.OUTCOME_UNKNOWN, null);
     }
-    if (tok < token || ses != session) {
-      return new Effects.OrderReply(Effects.Code.CONFLICT, snapshot());
+    if (commandToken < token || commandEpoch != epoch) {
+      return new CommandResult(ResultCode.CONFLICT, snapshot());
     }
-    if (tok > token) {
-      token = tok;
-      changed = true;
+    if (commandToken > token) {
+      token = commandToken;
+      heartbeatDue = true;
     }
-    for (Command command : commands) {
+    for (WorkerCommand command : commands) {
       execute(command);
     }
-    return new Effects.OrderReply(Effects.Code.OK, snapshot());
+    return new CommandResult(ResultCode.OK, snapshot());
   }
 
-  void execute(Command command) {
+  void execute(WorkerCommand command) {
     String key = command.job() + "/" + command.task() + "#" + command.attempt();
-    T task = tasks.get(key);
+    SimulatedTask task = tasks.get(key);
     switch (command.kind()) {
       case START -> {
         if (task != null) {
           return;
         }
-        task = new T();
+        task = new SimulatedTask();
         task.job = command.job();
         task.task = command.task();
         task.attempt = command.attempt();
         tasks.put(key, task);
-        changed = true;
-        for (T o : tasks.values()) {
-          if (o != task
-              && o.job.equals(task.job)
-              && o.task == task.task
-              && o.state != TaskState.EXITED) {
+        heartbeatDue = true;
+        for (SimulatedTask other : tasks.values()) {
+          if (other != task
+              && other.job.equals(task.job)
+              && other.task == task.task
+              && other.state != TaskState.EXITED) {
             task.state = TaskState.EXITED;
-            task.why = ExitReason.BUSY;
+            task.exitReason = ExitReason.BUSY;
             return;
           }
         }
         task.state = TaskState.FETCHING;
-        T x = task;
+        SimulatedTask newTask = task;
         int step = ++task.step;
-        progress(
-            x,
-            images.containsKey(command.job()) ? 1 : 500 + sim.rnd.nextInt(2_000),
-            () -> running(x, key, step));
+        scheduleStep(
+            newTask,
+            imageFetchedAtMs.containsKey(command.job())
+                ? 1
+                : 500 + simulation.random.nextInt(2_000),
+            () -> startRunning(newTask, key, step));
       }
       case STOP -> {
         if (task == null || task.state == TaskState.EXITED) {
@@ -392,7 +415,7 @@
         }
         exit(task, ExitReason.STOPPED);
       }
-      case FORGET -> {
+      case REMOVE -> {
         if (task != null && task.state == TaskState.EXITED) {
           tasks.remove(key);
         }
@@ -400,76 +423,82 @@
     }
   }
 
-  private void progress(T task, long ms, Runnable then) {
-    task.due = sim.now + ms;
-    sim.at(ms, () -> atDue(task, then));
+  private void scheduleStep(SimulatedTask task, long ms, Runnable then) {
+    task.dueMs = simulation.nowMs + ms;
+    simulation.schedule(ms, () -> runWhenDue(task, then));
   }
 
-  private void atDue(T task, Runnable then) {
-    if (sim.now < task.due) {
-      sim.at(task.due - sim.now, () -> atDue(task, then));
+  private void runWhenDue(SimulatedTask task, Runnable then) {
+    if (simulation.nowMs < task.dueMs) {
+      simulation.schedule(task.dueMs - simulation.nowMs, () -> runWhenDue(task, then));
     } else {
       then.run();
     }
   }
 
-  void running(T task, String key, int step) {
+  void startRunning(SimulatedTask task, String key, int step) {
     if (dead || tasks.get(key) != task || task.step != step || task.state != TaskState.FETCHING) {
       return;
     }
-    images.put(task.job, sim.now);
-    if (completed.contains(task.job + "/" + task.task)) {
-      sim.strike("result kept");
+    imageFetchedAtMs.put(task.job, simulation.nowMs);
+    if (completedTasks.contains(task.job + "/" + task.task)) {
+      simulation.countFault("result kept");
       exit(task, ExitReason.DONE);
       return;
     }
     task.state = TaskState.RUNNING;
-    changed = true;
-    sim.rules.started(
-        sim.now, new InvariantChecker.OnMachine(id, task.job, task.task, "t8", zone, spot));
-    if (sim.rules.service(task.job) && !faulty) {
-      if (sim.replicaEnds > 0 && sim.rnd.nextDouble() < sim.replicaEnds) {
-        endByChance(task, key);
+    heartbeatDue = true;
+    simulation.checker.onStarted(
+        simulation.nowMs,
+        new InvariantChecker.RunningTask(id, task.job, task.task, "t8", zone, spot));
+    if (simulation.checker.isService(task.job) && !faulty) {
+      if (simulation.replicaExitRate > 0
+          && simulation.random.nextDouble() < simulation.replicaExitRate) {
+        scheduleRandomExit(task, key);
       }
       return;
     }
-    progress(
+    scheduleStep(
         task,
-        faulty ? 1 : runs(task),
-        () -> endItself(task, key, faulty ? ExitReason.ERROR : ExitReason.DONE));
+        faulty ? 1 : runDurationMs(task),
+        () -> exitIfRunning(task, key, faulty ? ExitReason.ERROR : ExitReason.DONE));
   }
 
-  private void endByChance(T task, String key) {
-    ExitReason why = sim.rnd.nextBoolean() ? ExitReason.DONE : ExitReason.ERROR;
-    sim.strike("replica ended: " + why);
-    progress(task, sim.rnd.nextInt(20_000), () -> endItself(task, key, why));
+  private void scheduleRandomExit(SimulatedTask task, String key) {
+    ExitReason why = simulation.random.nextBoolean() ? ExitReason.DONE : ExitReason.ERROR;
+    simulation.countFault("replica ended: " + why);
+    scheduleStep(task, simulation.random.nextInt(20_000), () -> exitIfRunning(task, key, why));
   }
 
-  private void endItself(T task, String key, ExitReason why) {
+  private void exitIfRunning(SimulatedTask task, String key, ExitReason why) {
     if (dead || tasks.get(key) != task || task.state != TaskState.RUNNING) {
       return;
     }
     exit(task, why);
   }
 
-  private long runs(T task) {
-    Long own = sim.runOf.get(task.job + "/" + task.task);
-    return own != null ? own : sim.runMs > 0 ? sim.runMs : 1_000 + sim.rnd.nextInt(6_000);
+  private long runDurationMs(SimulatedTask task) {
+    Long own = simulation.taskRunMsByTask.get(task.job + "/" + task.task);
+    return own != null
+        ? own
+        : simulation.taskRunMs > 0
+            ? simulation.taskRunMs
+            : 1_000 + simulation.random.nextInt(6_000);
   }
 
-  void exit(T task, ExitReason why) {
-    boolean was = task.state == TaskState.RUNNING;
+  void exit(SimulatedTask task, ExitReason reason) {
+    boolean wasRunning = task.state == TaskState.RUNNING;
     task.state = TaskState.EXITED;
-    task.why = why;
-    changed = true;
-    if (was) {
-      sim.rules.left(id, task.job, task.task, why == ExitReason.DONE);
+    task.exitReason = reason;
+    heartbeatDue = true;
+    if (wasRunning) {
+      simulation.checker.onStopped(id, task.job, task.task, reason == ExitReason.DONE);
     }
-    if (why == ExitReason.DONE) {
-      completed.add(task.job + "/" + task.task);
+    if (reason == ExitReason.DONE) {
+      completedTasks.add(task.job + "/" + task.task);
     }
-    if (was && why == ExitReason.DONE) {
-      sim.cancelAtItsEnd(task.job);
+    if (wasRunning && reason == ExitReason.DONE) {
+      simulation.maybeCancelAtEnd(task.job);
     }
   }
 }
