--- a/src/test/java/mallowstall/core/Simulation.java
+++ b/src/test/java/mallowstall/core/Simulation.java
@@ -10,19 +10,27 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import mallowstall.core.Model.Entry;
-import mallowstall.core.Model.ExitReason;
-import mallowstall.core.Model.GroupRec;
-import mallowstall.core.Model.JobKind;
-import mallowstall.core.Model.JobRec;
-import mallowstall.core.Model.JobSpec;
-import mallowstall.core.Model.MachineRec;
-import mallowstall.core.Model.MachineType;
-import mallowstall.core.Model.Priority;
-import mallowstall.core.Model.RosterTask;
-import mallowstall.core.Model.TaskState;
-import mallowstall.core.Model.Team;
-import mallowstall.core.Model.UserAnswer;
+import mallowstall.core.cluster.MachineView;
+import mallowstall.core.kv.JobBitmaps;
+import mallowstall.core.kv.StateStore;
+import mallowstall.core.model.ApiResponse;
+import mallowstall.core.model.ExitReason;
+import mallowstall.core.model.JobEntry;
+import mallowstall.core.model.JobKind;
+import mallowstall.core.model.JobSpec;
+import mallowstall.core.model.MachineEntry;
+import mallowstall.core.model.MachineGroupEntry;
+import mallowstall.core.model.MachineType;
+import mallowstall.core.model.Priority;
+import mallowstall.core.model.ProgramVersion;
+import mallowstall.core.model.StoredEntry;
+import mallowstall.core.model.TaskState;
+import mallowstall.core.model.TaskStatus;
+import mallowstall.core.model.Team;
+import mallowstall.core.placement.Policy;
+import mallowstall.core.placement.Policy.Block;
+import mallowstall.core.placement.Policy.Facts;
+import mallowstall.core.placement.Policy.Strategy;
 import mallowstall.state.StoredEntries;
 
 /**
@@ -31,92 +39,94 @@
  */
 final class Simulation {
   static final List<String> NODES = List.of("n0", "n1", "n2");
-  static final Map<String, String> ZONES = Map.of("n0", "a", "n1", "b", "n2", "a");
+  static final Map<String, String> ZONE_BY_NODE = Map.of("n0", "a", "n1", "b", "n2", "a");
 
   /** The class of a job of each priority; spelt out, so as to depend on no name in the program. */
   private static final List<String> CLASSES =
       List.of("c-LOW", "c-NORMAL", "c-HIGH", "c-PRODUCTION");
 
-  static final long REPORT = 1_000;
-  static final long LEASE = 10_000;
-  static final long CANCEL = 35_000;
+  static final long HEARTBEAT_MS = 1_000;
+  static final long LEASE_MS = 10_000;
+  static final long CANCEL_MS = 35_000;
 
   /** Something that happens at a time; of like times the first one planned comes first. */
-  private record Ev(long at, long order, Runnable run) {}
+  private record ScheduledEvent(long atMs, long order, Runnable action) {}
 
-  private final PriorityQueue<Ev> queue =
+  private final PriorityQueue<ScheduledEvent> queue =
       new PriorityQueue<>(
-          (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
-  private long order;
-  long now = 1;
-  final SplittableRandom rnd;
+          (a, b) ->
+              a.atMs != b.atMs ? Long.compare(a.atMs, b.atMs) : Long.compare(a.order, b.order));
+  private long nextEventOrder;
+  long nowMs = 1;
+  final SplittableRandom random;
   final Map<String, Team> teams =
       Map.of("free", new Team("free", 0, 0, 0, 0), "tight", new Team("tight", 8, 24, 0, 0));
-  final InvariantChecker rules = new InvariantChecker(teams, CANCEL);
-  final SimulatedStateService state = new SimulatedStateService(this);
-  final Map<String, SimulatedController> nodes = new LinkedHashMap<>();
+  final InvariantChecker checker = new InvariantChecker(teams, CANCEL_MS);
+  final SimulatedStateService stateService = new SimulatedStateService(this);
+  final Map<String, SimulatedController> controllers = new LinkedHashMap<>();
   final Map<String, SimulatedWorker> workers = new LinkedHashMap<>();
-  final Map<String, List<String>> rentals = new HashMap<>();
-  private int machineNo;
-  int capacity = 12;
+  final Map<String, List<String>> scaleOutResults = new HashMap<>();
+  private int nextMachineNumber;
+  int maxMachines = 12;
 
   /** Share of messages to the state service and to workers that go astray. */
-  double loss;
+  double messageLossRate;
 
   /** Share of rosters that are lost, and of those that come once more, late. */
-  double rosterChaos;
+  double statusUpdateFaultRate;
 
   /** Share of reports of which a copy comes late, to any controller. */
-  double lateCopies;
+  double duplicateHeartbeatRate;
 
-  int copied;
+  int duplicatedHeartbeats;
 
   /** Every direct command is executed late and its answer is lost. */
-  boolean strayOrders;
+  boolean delayAllCommands;
 
-  int strayed;
+  int delayedCommands;
 
   /**
    * This zone is cut off from everything outside it; what goes in or out is held and comes late.
    */
-  String cutZone;
+  String partitionedZone;
 
   /** By how much a cut between controllers delays what it holds, in ms; 0: 2 to 10 s. */
-  long heldMs;
+  long partitionDelayMs;
 
   /** Share of transactions that get no answer and are carried out 2 to 12 s later. */
-  double lateWrites;
+  double delayedTransactionRate;
 
   /** Longest delay of the state service's answers to all, in ms, from 300 on; 0: it isn't slow. */
-  int slowState;
+  int maxStateDelayMs;
 
   /** Share of jobs called off as their last task ends, and as the last but one does. */
-  double cancelAtEnd;
+  double cancelAtEndRate;
 
   /** How often each trouble has struck, by its name. */
-  final Map<String, Integer> struck = new TreeMap<>();
+  final Map<String, Integer> faultCounts = new TreeMap<>();
 
-  private int impossibleNo;
+  private int nextUnplaceableNumber;
 
   /** Share of replicas that end by themselves within 20 s, as done or with an error. */
-  double replicaEnds;
+  double replicaExitRate;
 
   /** How long tasks run, in ms; 0: 1 to 7 s. */
-  long runMs;
+  long taskRunMs;
 
   /** How long single tasks run, by job and number. */
-  final Map<String, Long> runOf = new HashMap<>();
+  final Map<String, Long> taskRunMsByTask = new HashMap<>();
 
-  long evaluations;
+  long policyEvaluations;
   long ticks;
 
-  final MachineType type = new MachineType("t8", 8, 0, 32, 20, 1, 1.0, 0.3, 8, List.of("a", "b"));
+  final MachineType machineType =
+      new MachineType("t8", 8, 0, 32, 20, 1, 1.0, 0.3, 8, List.of("a", "b"));
 
   /** Limits of the state service: bytes of a value, changes in a transaction and in a second. */
   record StateLimits(int valueBytes, int txnOps, double changesPerSecond) {}
 
   /** What the controllers keep to. */
-  final StateLimits kept;
+  final StateLimits controllerLimits;
 
   final Recorder recorder;
 
@@ -129,8 +139,8 @@
     this(seed, programVersion, Recorder.OFF);
   }
 
-  Simulation(long seed, StateLimits kept) {
-    this(seed, ProgramVersion.CURRENT, kept, Recorder.OFF);
+  Simulation(long seed, StateLimits controllerLimits) {
+    this(seed, ProgramVersion.CURRENT, controllerLimits, Recorder.OFF);
   }
 
   /** What leaves the controllers' cores goes to the recorder. */
@@ -138,69 +148,70 @@
     this(seed, programVersion, new StateLimits(8_192, 24, 120), recorder);
   }
 
-  private Simulation(long seed, int programVersion, StateLimits kept, Recorder recorder) {
-    this.kept = kept;
+  private Simulation(
+      long seed, int programVersion, StateLimits controllerLimits, Recorder recorder) {
+    this.controllerLimits = controllerLimits;
     this.recorder = recorder;
-    rnd = new SplittableRandom(seed);
-    for (String n : NODES) {
-      nodes.put(n, new SimulatedController(this, n, programVersion));
+    random = new SplittableRandom(seed);
+    for (String name : NODES) {
+      controllers.put(name, new SimulatedController(this, name, programVersion));
     }
     addMachines(4);
-    at(0, this::watchRules);
+    schedule(0, this::checkInvariants);
   }
 
-  void at(long delay, Runnable action) {
-    queue.add(new Ev(now + Math.max(0, delay), order++, action));
+  void schedule(long delay, Runnable action) {
+    queue.add(new ScheduledEvent(nowMs + Math.max(0, delay), nextEventOrder++, action));
   }
 
-  void run(long until) {
-    while (!queue.isEmpty() && queue.peek().at <= until) {
-      Ev e = queue.poll();
-      now = Math.max(now, e.at);
-      e.run.run();
+  void runUntil(long until) {
+    while (!queue.isEmpty() && queue.peek().atMs <= until) {
+      ScheduledEvent next = queue.poll();
+      nowMs = Math.max(nowMs, next.atMs);
+      next.action.run();
     }
-    now = until;
+    nowMs = until;
   }
 
   /** From now on nothing goes wrong by chance. */
-  void endChance() {
-    loss = 0;
-    rosterChaos = 0;
-    lateCopies = 0;
-    lateWrites = 0;
-    cancelAtEnd = 0;
-    replicaEnds = 0;
+  void stopRandomFaults() {
+    messageLossRate = 0;
+    statusUpdateFaultRate = 0;
+    duplicateHeartbeatRate = 0;
+    delayedTransactionRate = 0;
+    cancelAtEndRate = 0;
+    replicaExitRate = 0;
   }
 
-  void strike(String trouble) {
-    struck.merge(trouble, 1, Integer::sum);
+  void countFault(String trouble) {
+    faultCounts.merge(trouble, 1, Integer::sum);
   }
 
-  private void watchRules() {
-    rules.step(now);
-    for (SimulatedController node : nodes.values()) {
-      if (node.up) {
-        compare(node.core);
+  private void checkInvariants() {
+    checker.check(nowMs);
+    for (SimulatedController node : controllers.values()) {
+      if (node.running) {
+        checkDerivedCounts(node.core);
       }
     }
-    at(500, this::watchRules);
+    schedule(500, this::checkInvariants);
   }
 
   /**
    * What the core keeps up to date with each change, against counting all of it anew: a machine
    * that is not told although it changed would let a start pass for one that never arrived.
    */
-  private void compare(Core c) {
-    for (String id : c.unpublishedChanges()) {
-      rules.broken.add(now + " untold: " + id);
+  private void checkDerivedCounts(ControllerCore core) {
+    for (String id : core.unpublishedChanges()) {
+      checker.violations.add(nowMs + " untold: " + id);
     }
     Map<String, Integer> placed = new HashMap<>();
     Map<String, Integer> running = new HashMap<>();
-    for (View.Seen machine : c.view().machines.values()) {
-      if (machine.state == null) {
+    for (MachineView machine : core.view().machines.values()) {
+      if (machine.status == null) {
         continue;
       }
-      for (RosterTask task : machine.state.tasks()) {
+      for (TaskStatus task : machine.status.tasks()) {
         if (task.state() != TaskState.EXITED) {
           placed.merge(task.job(), 1, Integer::sum);
         }
@@ -210,128 +221,129 @@
       }
     }
     for (String id : jobs) {
-      if (c.view().placed(id) != placed.getOrDefault(id, 0)
-          || c.view().running(id) != running.getOrDefault(id, 0)) {
-        rules.broken.add(now + " miscounted: " + id);
+      if (core.view().placedTasks(id) != placed.getOrDefault(id, 0)
+          || core.view().runningTasks(id) != running.getOrDefault(id, 0)) {
+        checker.violations.add(nowMs + " miscounted: " + id);
       }
     }
   }
 
-  long delay() {
-    return rnd.nextInt(100) < 3 ? 100 + rnd.nextInt(300) : 1 + rnd.nextInt(8);
+  long randomDelayMs() {
+    return random.nextInt(100) < 3 ? 100 + random.nextInt(300) : 1 + random.nextInt(8);
   }
 
   // ---- state service ------------------------------------------------------------------------
   /** Bytes of the value as the real state service gets it. */
-  static int size(Entry value) {
+  static int encodedSize(StoredEntry value) {
     return StoredEntries.encode(value).length;
   }
 
   // ---- nodes --------------------------------------------------------------------------------
 
-  static JobRec asBatch(JobRec job) {
-    return new JobRec(
+  static JobEntry asBatch(JobEntry job) {
+    return new JobEntry(
         withKind(job.spec(), JobKind.BATCH),
         job.submittedMs(),
-        job.holder(),
+        job.leader(),
         job.incarnation(),
         job.epoch(),
-        job.done(),
-        job.doneCount(),
-        job.grant(),
-        job.fin());
+        job.completionBits(),
+        job.completedTaskCount(),
+        job.quotaReservedTasks(),
+        job.outcome());
   }
 
   /** Its turn in the upgrade has come: it is killed, and every later process is of the present. */
   void upgrade(SimulatedController node, long downMs) {
-    node.installed = ProgramVersion.CURRENT;
-    strike(node.up ? "upgrade" : "upgrade, while down");
-    if (node.up) {
+    node.installedVersion = ProgramVersion.CURRENT;
+    countFault(node.running ? "upgrade" : "upgrade, while down");
+    if (node.running) {
       node.crash(downMs);
     }
   }
 
   /** Whether every controller is up with the present version. */
   boolean allUpgraded() {
-    return nodes.values().stream()
-        .allMatch(node -> node.up && node.running == ProgramVersion.CURRENT);
+    return controllers.values().stream()
+        .allMatch(node -> node.running && node.runningVersion == ProgramVersion.CURRENT);
   }
 
   // ---- workers ------------------------------------------------------------------------------
-  String machine(String t, String zone, boolean spot, long bootMs) {
-    String id = String.format("m-%06d", machineNo++);
+  String addMachine(String typeName, String zone, boolean spot, long bootMs) {
+    String id = String.format("m-%06d", nextMachineNumber++);
     SimulatedWorker worker = new SimulatedWorker(this, id, zone, spot);
     workers.put(id, worker);
-    at(
+    schedule(
         bootMs,
         () -> {
-          worker.begin();
+          worker.start();
           if (!worker.dead) {
-            rules.machineUp(new InvariantChecker.Machine(id, t, zone, spot, type.cpus()));
+            checker.onMachineUp(
+                new InvariantChecker.Machine(id, typeName, zone, spot, machineType.cpus()));
           }
         });
     return id;
   }
 
-  /** Without state service and peers, but with its workers, until {@link #rejoin}. */
+  /** Without state service and peers, but with its workers, until {@link #healPartitions}. */
   void isolate(SimulatedController node) {
-    node.noState = true;
-    for (SimulatedController controller : nodes.values()) {
+    node.stateServiceUnreachable = true;
+    for (SimulatedController controller : controllers.values()) {
       if (controller != node) {
-        part(controller, node);
+        partition(controller, node);
       }
     }
   }
 
-  /** The zone is cut off from everything, its controllers too, until {@link #rejoin}. */
-  void cutOff(String zone) {
-    cutZone = zone;
-    for (SimulatedController node : nodes.values()) {
+  /** The zone is cut off from everything, its controllers too, until {@link #healPartitions}. */
+  void partitionZone(String zone) {
+    partitionedZone = zone;
+    for (SimulatedController node : controllers.values()) {
       if (!node.zone().equals(zone)) {
         continue;
       }
-      node.noState = true;
-      for (SimulatedController controller : nodes.values()) {
+      node.stateServiceUnreachable = true;
+      for (SimulatedController controller : controllers.values()) {
         if (!controller.zone().equals(zone)) {
-          part(node, controller);
+          partition(node, controller);
         }
       }
     }
   }
 
-  /** Controllers refuse each other's connections, all of them, until {@link #rejoin}. */
-  void refusePeers() {
-    for (SimulatedController node : nodes.values()) {
-      for (SimulatedController controller : nodes.values()) {
+  /** Controllers refuse each other's connections, all of them, until {@link #healPartitions}. */
+  void partitionPeers() {
+    for (SimulatedController node : controllers.values()) {
+      for (SimulatedController controller : controllers.values()) {
         if (node != controller) {
-          part(node, controller);
+          partition(node, controller);
         }
       }
     }
   }
 
-  private static void part(SimulatedController a, SimulatedController b) {
-    a.cut.put(b.name, true);
-    b.cut.put(a.name, true);
-    a.drop(b.name);
-    b.drop(a.name);
+  private static void partition(SimulatedController first, SimulatedController second) {
+    first.partitionedPeers.put(second.name, true);
+    second.partitionedPeers.put(first.name, true);
+    first.disconnect(second.name);
+    second.disconnect(first.name);
   }
 
-  void rejoin() {
-    if (cutZone != null) {
-      for (SimulatedController node : nodes.values()) {
-        node.noState &= !node.zone().equals(cutZone);
+  void healPartitions() {
+    if (partitionedZone != null) {
+      for (SimulatedController node : controllers.values()) {
+        node.stateServiceUnreachable &= !node.zone().equals(partitionedZone);
       }
     }
-    cutZone = null;
-    for (SimulatedController controller : nodes.values()) {
-      controller.cut.clear();
+    partitionedZone = null;
+    for (SimulatedController controller : controllers.values()) {
+      controller.partitionedPeers.clear();
     }
   }
 
   /** All controllers end, and are back after so long. */
   void crashAll(long downMs) {
-    for (SimulatedController node : nodes.values()) {
+    for (SimulatedController node : controllers.values()) {
       node.crash(downMs);
     }
   }
@@ -339,29 +351,29 @@
   /** So many ordinary machines more, half of them in either zone. */
   void addMachines(int count) {
     for (int i = 0; i < count; i++) {
-      machine("t8", i % 2 == 0 ? "a" : "b", false, 0);
+      addMachine("t8", i % 2 == 0 ? "a" : "b", false, 0);
     }
   }
 
   /** The job's entry in the state service. */
-  JobRec entry(String id) {
-    return (JobRec) state.keys.get(Store.JOBS + id).value();
+  JobEntry jobEntry(String id) {
+    return (JobEntry) stateService.entries.get(StateStore.JOB_PREFIX + id).value();
   }
 
   /** All tasks of the job that are readable as done in the state service. */
   BitSet doneBits(String id) {
-    return JobEntries.done(
-        entry(id),
+    return JobBitmaps.completedTasks(
+        jobEntry(id),
         key -> {
-          SimulatedStateService.Val value = state.keys.get(key);
-          return value == null ? null : new Store.Held(value.value(), value.version());
+          SimulatedStateService.StoredValue value = stateService.entries.get(key);
+          return value == null ? null : new StateStore.Held(value.value(), value.version());
         });
   }
 
   /** The machine's record as the first controller that is up has it. */
-  MachineRec machineRec(String id) {
-    for (SimulatedController node : nodes.values()) {
-      if (node.up) {
+  MachineEntry machineEntry(String id) {
+    for (SimulatedController node : controllers.values()) {
+      if (node.running) {
         return node.core.store().machine(id);
       }
     }
@@ -369,9 +381,9 @@
   }
 
   /** Ends a running replica as if by itself; false: it runs nowhere. */
-  boolean endReplica(String job, int number, ExitReason why) {
+  boolean exitReplica(String job, int number, ExitReason why) {
     for (SimulatedWorker worker : workers.values()) {
-      for (SimulatedWorker.T task : worker.tasks.values()) {
+      for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
         if (!task.job.equals(job) || task.task != number || task.state != TaskState.RUNNING) {
           continue;
         }
@@ -388,13 +400,13 @@
       return;
     }
     worker.dead = true;
-    rules.machineGone(id);
+    checker.onMachineTerminated(id);
   }
 
   // ---- users --------------------------------------------------------------------------------
   final List<String> jobs = new ArrayList<>();
 
-  JobSpec job(
+  JobSpec batchSpec(
       String id,
       int tasks,
       double cpus,
@@ -428,7 +440,7 @@
   }
 
   /** A service: placed like a batch job, but its replicas run until it is cancelled. */
-  JobSpec service(
+  JobSpec serviceSpec(
       String id,
       int replicas,
       double cpus,
@@ -438,7 +450,7 @@
       boolean spread,
       boolean spot,
       String zone) {
-    JobSpec batch = job(id, replicas, cpus, priority, team, oneZone, spread, spot, zone);
+    JobSpec batch = batchSpec(id, replicas, cpus, priority, team, oneZone, spread, spot, zone);
     return withKind(batch, JobKind.SERVICE);
   }
 
@@ -454,102 +466,103 @@
         spec.memoryGb(),
         spec.image(),
         spec.imageGb(),
-        spec.types(),
+        spec.machineTypes(),
         spec.zone(),
-        spec.oneZone(),
+        spec.singleZone(),
         spec.spread(),
         spec.spot(),
-        kind == JobKind.SERVICE ? 0 : spec.estimateS(),
-        spec.checkpointS(),
-        spec.saveS(),
+        kind == JobKind.SERVICE ? 0 : spec.estimatedRunS(),
+        spec.checkpointIntervalS(),
+        spec.checkpointSaveS(),
         kind == JobKind.SERVICE ? null : spec.deadlineS(),
         kind);
   }
 
   /** Asks this controller, whose adapter refuses the kinds of jobs that its version lacks. */
-  void submitAt(SimulatedController node, JobSpec spec, Consumer<UserAnswer> reply) {
-    if (spec.service() && !node.knowsServices()) {
-      node.event(
+  void submitAt(SimulatedController node, JobSpec spec, Consumer<ApiResponse> reply) {
+    if (spec.isService() && !node.supportsServices()) {
+      node.enqueueEvent(
           () ->
-              node.core.refuse(
+              node.core.rejectSubmission(
                   spec.id(), "oficio must be batch", recorder.toUser(node, spec.id(), reply)));
     } else {
-      node.event(() -> node.core.submit(spec, recorder.toUser(node, spec.id(), reply)));
+      node.enqueueEvent(() -> node.core.submit(spec, recorder.toUser(node, spec.id(), reply)));
     }
   }
 
   void submit(JobSpec spec) {
-    rules.submitted(spec);
+    checker.onSubmitted(spec);
     jobs.add(spec.id());
-    trySubmit(spec, now + 60_000);
+    submitWithRetry(spec, nowMs + 60_000);
   }
 
-  private void trySubmit(JobSpec spec, long until) {
-    if (now > until) {
+  private void submitWithRetry(JobSpec spec, long until) {
+    if (nowMs > until) {
       return;
     }
-    SimulatedController node = nodes.get(NODES.get(rnd.nextInt(3)));
-    long asked = now;
+    SimulatedController node = controllers.get(NODES.get(random.nextInt(3)));
+    long asked = nowMs;
     boolean[] answered = {false};
-    if (node.up) {
+    if (node.running) {
       submitAt(
           node,
           spec,
           answer -> {
             answered[0] = true;
-            if (rnd.nextDouble() < loss) {
+            if (random.nextDouble() < messageLossRate) {
               answered[0] = false;
             } // the user doesn't get it
             else {
-              rules.told(now, asked, spec.id(), answer.status(), answer.state());
+              checker.onAnswer(nowMs, asked, spec.id(), answer.status(), answer.state());
             }
             if (answered[0] && answer.state() != null) {
               poll(spec.id());
             } else {
-              at(1_000, () -> trySubmit(spec, until));
+              schedule(1_000, () -> submitWithRetry(spec, until));
             }
           });
     }
-    at(
+    schedule(
         5_000,
         () -> {
-          if (!answered[0] && now - asked >= 5_000 && rules.lastTold(spec.id()) == null) {
-            trySubmit(spec, until);
+          if (!answered[0] && nowMs - asked >= 5_000 && checker.lastState(spec.id()) == null) {
+            submitWithRetry(spec, until);
           }
         });
   }
 
   private void poll(String id) {
-    String last = rules.lastTold(id);
+    String last = checker.lastState(id);
     if ("done".equals(last) || "cancelled".equals(last)) {
-      if (rnd.nextInt(4) > 0) {
+      if (random.nextInt(4) > 0) {
         return;
       }
     }
-    SimulatedController node = nodes.get(NODES.get(rnd.nextInt(3)));
-    long asked = now;
-    if (node.up) {
-      node.event(
+    SimulatedController node = controllers.get(NODES.get(random.nextInt(3)));
+    long asked = nowMs;
+    if (node.running) {
+      node.enqueueEvent(
           () ->
               node.core.query(
                   id,
                   recorder.toUser(
                       node,
                       id,
-                      answer -> rules.told(now, asked, id, answer.status(), answer.state()))));
+                      answer ->
+                          checker.onAnswer(nowMs, asked, id, answer.status(), answer.state()))));
     }
-    at(2_000 + rnd.nextInt(3_000), () -> poll(id));
+    schedule(2_000 + random.nextInt(3_000), () -> poll(id));
   }
 
   void cancel(String id) {
-    rules.asksToCancel(id);
-    SimulatedController node = nodes.get(NODES.get(rnd.nextInt(3)));
-    if (!node.up) {
-      at(1_000, () -> cancel(id));
+    checker.onCancelRequested(id);
+    SimulatedController node = controllers.get(NODES.get(random.nextInt(3)));
+    if (!node.running) {
+      schedule(1_000, () -> cancel(id));
       return;
     }
-    long asked = now;
-    node.event(
+    long asked = nowMs;
+    node.enqueueEvent(
         () ->
             node.core.cancel(
                 id,
@@ -557,60 +570,60 @@
                     node,
                     id,
                     answer -> {
-                      rules.told(now, asked, id, answer.status(), answer.state());
+                      checker.onAnswer(nowMs, asked, id, answer.status(), answer.state());
                       if (answer.state() == null && answer.status() != 404) {
-                        at(1_000, () -> cancel(id));
+                        schedule(1_000, () -> cancel(id));
                       }
                     })));
   }
 
-  void cancelAtItsEnd(String job) {
-    if (cancelAtEnd <= 0) {
+  void maybeCancelAtEnd(String job) {
+    if (cancelAtEndRate <= 0) {
       return;
     }
-    if (rules.service(job)) {
-      cancelAtReplicasEnd(job);
+    if (checker.isService(job)) {
+      maybeCancelService(job);
       return;
     }
-    if (rules.tasksLeft(job) > 1) {
+    if (checker.remainingTasks(job) > 1) {
       return;
     }
-    if (rnd.nextDouble() >= cancelAtEnd) {
+    if (random.nextDouble() >= cancelAtEndRate) {
       return;
     }
-    strike(rules.tasksLeft(job) == 0 ? "cancelAtEnd" : "cancelAtEnd, one task short");
-    at(0, () -> cancel(job));
+    countFault(checker.remainingTasks(job) == 0 ? "cancelAtEnd" : "cancelAtEnd, one task short");
+    schedule(0, () -> cancel(job));
   }
 
-  private void cancelAtReplicasEnd(String service) {
-    if (rnd.nextDouble() >= cancelAtEnd / 4) {
+  private void maybeCancelService(String service) {
+    if (random.nextDouble() >= cancelAtEndRate / 4) {
       return;
     }
-    strike("cancelAtEnd, replica");
-    at(0, () -> cancel(service));
+    countFault("cancelAtEnd, replica");
+    schedule(0, () -> cancel(service));
   }
 
   /** Calls off up that many jobs that run, within 200 ms; up to eight of their machines hang. */
-  void cancelNow(int count, long hangMs) {
-    List<String> ids = new ArrayList<>(rules.running());
-    java.util.Set<String> theirs = new java.util.TreeSet<>();
+  void cancelRunningJobs(int count, long hangMs) {
+    List<String> ids = new ArrayList<>(checker.runningJobs());
+    java.util.Set<String> machines = new java.util.TreeSet<>();
     for (int i = 0; i < count && !ids.isEmpty(); i++) {
-      String id = ids.remove(rnd.nextInt(ids.size()));
-      strike("cancelNow");
-      theirs.addAll(rules.machinesOf(id));
-      at(rnd.nextInt(200), () -> cancel(id));
+      String id = ids.remove(random.nextInt(ids.size()));
+      countFault("cancelNow");
+      machines.addAll(checker.machinesOf(id));
+      schedule(random.nextInt(200), () -> cancel(id));
     }
     if (hangMs <= 0) {
       return;
     }
-    int n = 0;
-    for (String m : theirs) {
-      SimulatedWorker worker = workers.get(m);
-      if (worker == null || n++ >= 8) {
+    int hung = 0;
+    for (String machineId : machines) {
+      SimulatedWorker worker = workers.get(machineId);
+      if (worker == null || hung++ >= 8) {
         continue;
       }
-      strike("cancelNow, hang");
-      worker.hang(hangMs);
+      countFault("cancelNow, hang");
+      worker.pause(hangMs);
     }
   }
 
@@ -618,68 +631,68 @@
    * Within 20 s so many requests that users shouldn't send: submissions of accepted jobs again,
    * over or not, cancellations of done jobs, questions about no job, jobs that can never run.
    */
-  void oddRequests(int n) {
-    for (int i = 0; i < n; i++) {
-      at(rnd.nextInt(20_000), this::oddRequest);
+  void scheduleInvalidRequests(int count) {
+    for (int i = 0; i < count; i++) {
+      schedule(random.nextInt(20_000), this::sendInvalidRequest);
     }
   }
 
-  private void oddRequest() {
-    List<String> told = new ArrayList<>();
+  private void sendInvalidRequest() {
+    List<String> answeredJobs = new ArrayList<>();
     List<String> done = new ArrayList<>();
     for (String id : jobs) {
-      if (rules.lastTold(id) != null) {
-        told.add(id);
+      if (checker.lastState(id) != null) {
+        answeredJobs.add(id);
       }
-      if ("done".equals(rules.lastTold(id))) {
+      if ("done".equals(checker.lastState(id))) {
         done.add(id);
       }
     }
-    SimulatedController node = nodes.get(NODES.get(rnd.nextInt(3)));
-    switch (rnd.nextInt(4)) {
+    SimulatedController node = controllers.get(NODES.get(random.nextInt(3)));
+    switch (random.nextInt(4)) {
       case 0 -> {
-        if (!told.isEmpty() && node.up) {
-          submitAgain(node, told.get(rnd.nextInt(told.size())));
+        if (!answeredJobs.isEmpty() && node.running) {
+          resubmit(node, answeredJobs.get(random.nextInt(answeredJobs.size())));
         }
       }
       case 1 -> {
         if (!done.isEmpty()) {
-          strike("oddRequests, cancel done");
-          cancel(done.get(rnd.nextInt(done.size())));
+          countFault("oddRequests, cancel done");
+          cancel(done.get(random.nextInt(done.size())));
         }
       }
       case 2 -> {
-        strike("oddRequests, nobody's");
-        askForNobody();
+        countFault("oddRequests, nobody's");
+        queryUnknownJob();
       }
       default -> {
-        if (node.up) {
-          submitImpossible(node);
+        if (node.running) {
+          submitUnplaceable(node);
         }
       }
     }
   }
 
-  private void submitAgain(SimulatedController node, String id) {
-    String last = rules.lastTold(id);
+  private void resubmit(SimulatedController node, String id) {
+    String last = checker.lastState(id);
     boolean over = "done".equals(last) || "cancelled".equals(last);
-    strike(over ? "oddRequests, over again" : "oddRequests, again");
-    long asked = now;
+    countFault(over ? "oddRequests, over again" : "oddRequests, again");
+    long asked = nowMs;
     submitAt(
         node,
-        rules.spec(id),
-        answer -> rules.told(now, asked, id, answer.status(), answer.state()));
+        checker.spec(id),
+        answer -> checker.onAnswer(nowMs, asked, id, answer.status(), answer.state()));
   }
 
   /** A job of an unknown team, or whose tasks no machine holds. */
-  private void submitImpossible(SimulatedController node) {
-    strike("oddRequests, impossible");
-    boolean team = rnd.nextBoolean();
-    String id = String.format("wk-9%05d", impossibleNo++);
+  private void submitUnplaceable(SimulatedController node) {
+    countFault("oddRequests, impossible");
+    boolean team = random.nextBoolean();
+    String id = String.format("wk-9%05d", nextUnplaceableNumber++);
     JobSpec spec =
-        job(
+        batchSpec(
             id,
-            1 + rnd.nextInt(4),
+            1 + random.nextInt(4),
             team ? 1 : 9,
             Priority.NORMAL,
             team ? "nobody" : "free",
@@ -687,7 +700,7 @@
             false,
             true,
             null);
-    node.event(
+    node.enqueueEvent(
         () ->
             node.core.submit(
                 spec,
@@ -695,94 +708,96 @@
                     node,
                     id,
                     answer -> {
-                      rules.toldImpossible(now, id, answer.status());
-                      at(500, () -> askFor(id));
+                      checker.onUnplaceableAnswer(nowMs, id, answer.status());
+                      schedule(500, () -> queryJob(id));
                     })));
   }
 
   /** Ends whoever owns most machines and whoever holds most jobs, for 100 to 900 ms. */
-  void changeLeaders() {
-    Map<String, Integer> owned = new TreeMap<>();
-    Map<String, Integer> held = new TreeMap<>();
-    for (SimulatedStateService.Val value : state.keys.values()) {
-      if (value.value() instanceof MachineRec record) {
-        owned.merge(record.node(), 1, Integer::sum);
+  void crashBusiestLeaders() {
+    Map<String, Integer> machinesByLeader = new TreeMap<>();
+    Map<String, Integer> jobsByLeader = new TreeMap<>();
+    for (SimulatedStateService.StoredValue value : stateService.entries.values()) {
+      if (value.value() instanceof MachineEntry machineEntry) {
+        machinesByLeader.merge(machineEntry.node(), 1, Integer::sum);
       }
-      if (value.value() instanceof GroupRec group) {
-        owned.merge(group.node(), group.machines().size(), Integer::sum);
+      if (value.value() instanceof MachineGroupEntry group) {
+        machinesByLeader.merge(group.node(), group.machines().size(), Integer::sum);
       }
-      if (value.value() instanceof JobRec job && job.open()) {
-        held.merge(job.holder(), 1, Integer::sum);
+      if (value.value() instanceof JobEntry job && job.needsLeader()) {
+        jobsByLeader.merge(job.leader(), 1, Integer::sum);
       }
     }
-    for (Map<String, Integer> m : List.of(owned, held)) {
+    for (Map<String, Integer> counts : List.of(machinesByLeader, jobsByLeader)) {
       SimulatedController most = null;
-      for (SimulatedController node : nodes.values()) {
-        if (!node.up || !m.containsKey(node.name)) {
+      for (SimulatedController node : controllers.values()) {
+        if (!node.running || !counts.containsKey(node.name)) {
           continue;
         }
-        if (most == null || m.get(node.name) > m.get(most.name)) {
+        if (most == null || counts.get(node.name) > counts.get(most.name)) {
           most = node;
         }
       }
       if (most == null) {
         continue;
       }
-      strike(state.outage ? "changeLeaders, in an outage" : "changeLeaders");
-      most.crash(100 + rnd.nextInt(800));
+      countFault(stateService.outage ? "changeLeaders, in an outage" : "changeLeaders");
+      most.crash(100 + random.nextInt(800));
     }
   }
 
   /** The state service refuses one controller alone, and right after it all of them. */
-  void refusedThenOutage(SimulatedController node, long aloneMs, long outageMs) {
-    strike("refusedThenOutage");
-    node.noState = true;
-    at(
+  void rejectOneThenOutage(SimulatedController node, long aloneMs, long outageMs) {
+    countFault("refusedThenOutage");
+    node.stateServiceUnreachable = true;
+    schedule(
         aloneMs,
         () -> {
-          node.noState = false;
-          state.outage = true;
-          at(outageMs, state::recover);
+          node.stateServiceUnreachable = false;
+          stateService.outage = true;
+          schedule(outageMs, stateService::endOutage);
         });
   }
 
   /** A service of more replicas than its team may run at once is asked for. */
-  void askForImpossibleService() {
-    SimulatedController node = nodes.get(NODES.get(rnd.nextInt(3)));
-    if (!node.up) {
+  void submitUnplaceableService() {
+    SimulatedController node = controllers.get(NODES.get(random.nextInt(3)));
+    if (!node.running) {
       return;
     }
-    strike("impossible service");
-    String id = String.format("wk-8%05d", impossibleNo++);
-    JobSpec tooMany = service(id, 7, 4, Priority.NORMAL, "tight", false, false, true, null);
-    submitAt(node, tooMany, answer -> rules.toldImpossible(now, id, answer.status()));
+    countFault("impossible service");
+    String id = String.format("wk-8%05d", nextUnplaceableNumber++);
+    JobSpec tooMany = serviceSpec(id, 7, 4, Priority.NORMAL, "tight", false, false, true, null);
+    submitAt(node, tooMany, answer -> checker.onUnplaceableAnswer(nowMs, id, answer.status()));
   }
 
-  void askForNobody() {
-    askFor("wk-999999");
+  void queryUnknownJob() {
+    queryJob("wk-999999");
   }
 
-  private void askFor(String id) {
-    SimulatedController node = nodes.get(NODES.get(rnd.nextInt(3)));
-    if (node.up) {
-      node.event(
+  private void queryJob(String id) {
+    SimulatedController node = controllers.get(NODES.get(random.nextInt(3)));
+    if (node.running) {
+      node.enqueueEvent(
           () ->
               node.core.query(
                   id,
                   recorder.toUser(
-                      node, id, answer -> rules.told(now, id, answer.status(), answer.state()))));
+                      node,
+                      id,
+                      answer -> checker.onAnswer(nowMs, id, answer.status(), answer.state()))));
     }
   }
 
   /** A small policy: any machine, the emptiest last. */
-  record TestPolicy(String name, Runnable seen) implements Policy {
+  record TestPolicy(String name, Runnable onEvaluate) implements Policy {
     @Override
     public List<Block> blocks() {
       return List.of(
           new Block() {
             @Override
             public boolean workers(Facts facts) {
-              seen.run();
+              onEvaluate.run();
               return true;
             }
 
@@ -798,7 +813,7 @@
 
             @Override
             public double score(Facts facts) {
-              return 1 - facts.used;
+              return 1 - facts.cpuUtilization;
             }
           });
     }
--- a/src/test/java/mallowstall/core/UpgradeTest.java
+++ b/src/test/java/mallowstall/core/UpgradeTest.java
@@ -7,213 +7,216 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import mallowstall.core.Model.ExitReason;
-import mallowstall.core.Model.Final;
-import mallowstall.core.Model.JobSpec;
-import mallowstall.core.Model.Priority;
-import mallowstall.core.Model.UserAnswer;
+import mallowstall.core.model.ApiResponse;
+import mallowstall.core.model.ExitReason;
+import mallowstall.core.model.JobOutcome;
+import mallowstall.core.model.JobSpec;
+import mallowstall.core.model.Priority;
+import mallowstall.core.model.ProgramVersion;
 import org.junit.jupiter.api.Test;
 
 /** Single moments of an upgrade from the version without services, on simulated time. */
 class UpgradeTest {
-  private static final String SERVICE = "wk-000001";
-  private static final String BATCH = "wk-000002";
+  private static final String SERVICE_JOB = "wk-000001";
+  private static final String BATCH_JOB = "wk-000002";
   private static final int REPLICAS = 3;
-  private static final long ANSWER_WITHIN_MS = 3_000;
+  private static final long RESPONSE_TIMEOUT_MS = 3_000;
 
   /** For what was taken over to be placed and run again. */
-  private static final long RUNS_AGAIN_MS = 40_000;
+  private static final long RESTART_TIMEOUT_MS = 40_000;
 
-  private static JobSpec service(Simulation sim) {
-    return sim.service(SERVICE, REPLICAS, 2, Priority.NORMAL, "free", false, false, true, null);
+  private static JobSpec serviceSpec(Simulation sim) {
+    return sim.serviceSpec(
+        SERVICE_JOB, REPLICAS, 2, Priority.NORMAL, "free", false, false, true, null);
   }
 
-  private static JobSpec batch(Simulation sim, int tasks) {
-    return sim.job(BATCH, tasks, 2, Priority.NORMAL, "free", false, false, true, null);
+  private static JobSpec batchSpec(Simulation sim, int tasks) {
+    return sim.batchSpec(BATCH_JOB, tasks, 2, Priority.NORMAL, "free", false, false, true, null);
   }
 
   /** What the controller answers, which the rules are told too. */
-  private static UserAnswer answer(
-      Simulation sim, String job, Consumer<Consumer<UserAnswer>> question) {
-    List<UserAnswer> got = new ArrayList<>();
-    question.accept(got::add);
-    long until = sim.now + ANSWER_WITHIN_MS;
-    while (got.isEmpty() && sim.now < until) {
-      sim.run(sim.now + 10);
+  private static ApiResponse awaitResponse(
+      Simulation sim, String job, Consumer<Consumer<ApiResponse>> question) {
+    List<ApiResponse> responses = new ArrayList<>();
+    question.accept(responses::add);
+    long until = sim.nowMs + RESPONSE_TIMEOUT_MS;
+    while (responses.isEmpty() && sim.nowMs < until) {
+      sim.runUntil(sim.nowMs + 10);
     }
-    UserAnswer answer = got.isEmpty() ? null : got.get(0);
+    ApiResponse answer = responses.isEmpty() ? null : responses.get(0);
     assertNotNull(answer, "no answer about " + job);
-    sim.rules.told(sim.now, job, answer.status(), answer.state());
+    sim.checker.onAnswer(sim.nowMs, job, answer.status(), answer.state());
     return answer;
   }
 
-  private static UserAnswer submitAt(Simulation sim, SimulatedController node, JobSpec job) {
-    sim.rules.submitted(job);
-    return answer(sim, job.id(), reply -> sim.submitAt(node, job, reply));
+  private static ApiResponse submitAt(Simulation sim, SimulatedController node, JobSpec job) {
+    sim.checker.onSubmitted(job);
+    return awaitResponse(sim, job.id(), reply -> sim.submitAt(node, job, reply));
   }
 
-  private static UserAnswer queryAt(Simulation sim, SimulatedController node, String job) {
-    return answer(sim, job, reply -> node.event(() -> node.core.query(job, reply)));
+  private static ApiResponse queryAt(Simulation sim, SimulatedController node, String job) {
+    return awaitResponse(sim, job, reply -> node.enqueueEvent(() -> node.core.query(job, reply)));
   }
 
   private static void upgrade(Simulation sim, String... nodes) {
-    for (String n : nodes) {
-      sim.upgrade(sim.nodes.get(n), 500);
-      sim.run(sim.now + 8_000);
+    for (String name : nodes) {
+      sim.upgrade(sim.controllers.get(name), 500);
+      sim.runUntil(sim.nowMs + 8_000);
     }
   }
 
   /** A cluster of which these controllers are of the present version, and the others old. */
-  private static Simulation mixed(long seed, String... upgraded) {
+  private static Simulation startMixedVersions(long seed, String... upgraded) {
     Simulation sim = new Simulation(seed, ProgramVersion.UNKNOWN);
-    sim.run(8_000);
+    sim.runUntil(8_000);
     upgrade(sim, upgraded);
     return sim;
   }
 
-  private static Simulation withService(long seed) {
-    Simulation sim = mixed(seed, "n0", "n1", "n2");
-    assertEquals(201, submitAt(sim, sim.nodes.get("n0"), service(sim)).status());
-    sim.run(sim.now + 10_000);
-    assertEquals(REPLICAS, sim.rules.replicasOn(SERVICE));
+  private static Simulation startWithService(long seed) {
+    Simulation sim = startMixedVersions(seed, "n0", "n1", "n2");
+    assertEquals(201, submitAt(sim, sim.controllers.get("n0"), serviceSpec(sim)).status());
+    sim.runUntil(sim.nowMs + 10_000);
+    assertEquals(REPLICAS, sim.checker.runningReplicas(SERVICE_JOB));
     return sim;
   }
 
   @Test
-  void aServiceIsAcceptedOnceEveryControllerIsUpgraded() {
-    Simulation sim = mixed(301, "n0", "n1");
-    SimulatedController asked = sim.nodes.get("n0");
-    UserAnswer early = submitAt(sim, asked, service(sim));
+  void serviceIsAcceptedOnceAllControllersAreUpgraded() {
+    Simulation sim = startMixedVersions(301, "n0", "n1");
+    SimulatedController asked = sim.controllers.get("n0");
+    ApiResponse early = submitAt(sim, asked, serviceSpec(sim));
     assertEquals(503, early.status());
     assertTrue(early.retryAfterS() >= 1, "Retry-After: " + early.retryAfterS());
-    sim.upgrade(sim.nodes.get("n2"), 500);
-    sim.run(sim.now + 300);
-    assertEquals(503, submitAt(sim, asked, service(sim)).status(), "it is down and was old");
-    sim.run(sim.now + 8_000);
-    assertEquals(201, submitAt(sim, asked, service(sim)).status());
-    sim.run(sim.now + 10_000);
-    assertEquals("running", queryAt(sim, asked, SERVICE).state());
-    assertEquals(REPLICAS, sim.rules.replicasOn(SERVICE));
-    assertEquals(List.of(), sim.rules.broken);
+    sim.upgrade(sim.controllers.get("n2"), 500);
+    sim.runUntil(sim.nowMs + 300);
+    assertEquals(503, submitAt(sim, asked, serviceSpec(sim)).status(), "it is down and was old");
+    sim.runUntil(sim.nowMs + 8_000);
+    assertEquals(201, submitAt(sim, asked, serviceSpec(sim)).status());
+    sim.runUntil(sim.nowMs + 10_000);
+    assertEquals("running", queryAt(sim, asked, SERVICE_JOB).state());
+    assertEquals(REPLICAS, sim.checker.runningReplicas(SERVICE_JOB));
+    assertEquals(List.of(), sim.checker.violations);
   }
 
   /** The versions shown stay through the crash of one that has been upgraded. */
   @Test
-  void aServiceIsAcceptedWhileAnUpgradedControllerIsDown() {
-    Simulation sim = mixed(302, "n0", "n1", "n2");
-    sim.nodes.get("n2").crash(30_000);
-    sim.run(sim.now + 10_000);
-    assertEquals(201, submitAt(sim, sim.nodes.get("n0"), service(sim)).status());
-    assertEquals(List.of(), sim.rules.broken);
+  void serviceIsAcceptedWhileUpgradedControllerIsDown() {
+    Simulation sim = startMixedVersions(302, "n0", "n1", "n2");
+    sim.controllers.get("n2").crash(30_000);
+    sim.runUntil(sim.nowMs + 10_000);
+    assertEquals(201, submitAt(sim, sim.controllers.get("n0"), serviceSpec(sim)).status());
+    assertEquals(List.of(), sim.checker.violations);
   }
 
   @Test
-  void aRepetitionIsToldTheStateWhateverTheOthersRun() {
-    Simulation sim = withService(303);
-    SimulatedController old = sim.nodes.get("n2");
-    comesBackOld(sim, old);
-    for (String n : List.of("n0", "n1")) {
-      UserAnswer again = submitAt(sim, sim.nodes.get(n), service(sim));
+  void resubmissionReportsStateInMixedVersions() {
+    Simulation sim = startWithService(303);
+    SimulatedController old = sim.controllers.get("n2");
+    restartOldVersion(sim, old);
+    for (String name : List.of("n0", "n1")) {
+      ApiResponse again = submitAt(sim, sim.controllers.get(name), serviceSpec(sim));
       assertEquals(200, again.status());
       assertEquals("running", again.state());
       JobSpec other =
-          sim.service("wk-000003", 1, 2, Priority.NORMAL, "free", false, false, true, null);
-      assertEquals(503, submitAt(sim, sim.nodes.get(n), other).status());
+          sim.serviceSpec("wk-000003", 1, 2, Priority.NORMAL, "free", false, false, true, null);
+      assertEquals(503, submitAt(sim, sim.controllers.get(name), other).status());
     }
-    assertEquals(List.of(), sim.rules.broken);
+    assertEquals(List.of(), sim.checker.violations);
   }
 
   /** Unsupported, and yet no harm: what it can't read it neither runs nor forgets nor ends. */
   @Test
-  void aControllerThatComesBackOldLeavesServicesToTheOthers() {
+  void restartedOldControllerLeavesServicesToOthers() {
     for (String name : Simulation.NODES) {
-      Simulation sim = withService(304);
-      sim.submit(batch(sim, 6));
-      SimulatedController old = sim.nodes.get(name);
-      old.installed = ProgramVersion.UNKNOWN;
+      Simulation sim = startWithService(304);
+      sim.submit(batchSpec(sim, 6));
+      SimulatedController old = sim.controllers.get(name);
+      old.installedVersion = ProgramVersion.UNKNOWN;
       old.crash(500);
-      sim.run(sim.now + RUNS_AGAIN_MS);
-      assertEquals(503, queryAt(sim, old, SERVICE).status());
-      for (SimulatedController node : sim.nodes.values()) {
+      sim.runUntil(sim.nowMs + RESTART_TIMEOUT_MS);
+      assertEquals(503, queryAt(sim, old, SERVICE_JOB).status());
+      for (SimulatedController node : sim.controllers.values()) {
         if (node != old) {
-          assertEquals("running", queryAt(sim, node, SERVICE).state(), node.name);
+          assertEquals("running", queryAt(sim, node, SERVICE_JOB).state(), node.name);
         }
       }
-      assertEquals(REPLICAS, sim.rules.replicasOn(SERVICE), "old: " + name);
-      assertEquals("done", sim.rules.lastTold(BATCH));
-      assertEquals(Final.SERVING, sim.entry(SERVICE).fin());
-      assertTrue(sim.endReplica(SERVICE, 0, ExitReason.DONE));
-      sim.run(sim.now + RUNS_AGAIN_MS);
-      assertEquals(REPLICAS, sim.rules.replicasOn(SERVICE), "old: " + name);
-      assertEquals(List.of(), sim.rules.broken);
+      assertEquals(REPLICAS, sim.checker.runningReplicas(SERVICE_JOB), "old: " + name);
+      assertEquals("done", sim.checker.lastState(BATCH_JOB));
+      assertEquals(JobOutcome.SERVING, sim.jobEntry(SERVICE_JOB).outcome());
+      assertTrue(sim.exitReplica(SERVICE_JOB, 0, ExitReason.DONE));
+      sim.runUntil(sim.nowMs + RESTART_TIMEOUT_MS);
+      assertEquals(REPLICAS, sim.checker.runningReplicas(SERVICE_JOB), "old: " + name);
+      assertEquals(List.of(), sim.checker.violations);
     }
   }
 
   /** Also when it alone is up for long: then nobody looks after the service. */
   @Test
-  void anOldControllerLeftAloneDoesNotEndAService() {
-    Simulation sim = withService(305);
-    SimulatedController old = sim.nodes.get("n1");
-    old.installed = ProgramVersion.UNKNOWN;
-    for (SimulatedController node : sim.nodes.values()) {
+  void loneOldControllerDoesNotEndService() {
+    Simulation sim = startWithService(305);
+    SimulatedController old = sim.controllers.get("n1");
+    old.installedVersion = ProgramVersion.UNKNOWN;
+    for (SimulatedController node : sim.controllers.values()) {
       node.crash(node == old ? 500 : 60_000);
     }
-    sim.run(sim.now + 50_000);
-    assertEquals(503, queryAt(sim, old, SERVICE).status());
-    assertEquals(Final.SERVING, sim.entry(SERVICE).fin());
-    sim.run(sim.now + 10_000 + RUNS_AGAIN_MS);
-    assertEquals("running", queryAt(sim, sim.nodes.get("n0"), SERVICE).state());
-    assertEquals(REPLICAS, sim.rules.replicasOn(SERVICE));
-    assertEquals(List.of(), sim.rules.broken);
+    sim.runUntil(sim.nowMs + 50_000);
+    assertEquals(503, queryAt(sim, old, SERVICE_JOB).status());
+    assertEquals(JobOutcome.SERVING, sim.jobEntry(SERVICE_JOB).outcome());
+    sim.runUntil(sim.nowMs + 10_000 + RESTART_TIMEOUT_MS);
+    assertEquals("running", queryAt(sim, sim.controllers.get("n0"), SERVICE_JOB).state());
+    assertEquals(REPLICAS, sim.checker.runningReplicas(SERVICE_JOB));
+    assertEquals(List.of(), sim.checker.violations);
   }
 
   /** An old controller reads the cancelled entry, and what it writes keeps it cancelled. */
   @Test
-  void aServiceCancelledBesideAnOldControllerStaysCancelled() {
-    Simulation sim = withService(306);
-    SimulatedController old = sim.nodes.get("n1");
-    comesBackOld(sim, old);
-    sim.rules.asksToCancel(SERVICE);
-    SimulatedController node = sim.nodes.get("n2");
-    answer(sim, SERVICE, reply -> node.event(() -> node.core.cancel(SERVICE, reply)));
-    for (SimulatedController other : sim.nodes.values()) {
+  void serviceCancelledBesideOldControllerStaysCancelled() {
+    Simulation sim = startWithService(306);
+    SimulatedController old = sim.controllers.get("n1");
+    restartOldVersion(sim, old);
+    sim.checker.onCancelRequested(SERVICE_JOB);
+    SimulatedController node = sim.controllers.get("n2");
+    awaitResponse(
+        sim, SERVICE_JOB, reply -> node.enqueueEvent(() -> node.core.cancel(SERVICE_JOB, reply)));
+    for (SimulatedController other : sim.controllers.values()) {
       if (other != old) {
         other.crash(15_000);
       }
     }
-    sim.run(sim.now + 10_000);
-    assertEquals("cancelled", queryAt(sim, old, SERVICE).state());
-    sim.run(sim.now + Simulation.CANCEL);
-    assertEquals(0, sim.rules.replicasOn(SERVICE));
-    for (SimulatedController each : sim.nodes.values()) {
-      assertEquals("cancelled", queryAt(sim, each, SERVICE).state());
+    sim.runUntil(sim.nowMs + 10_000);
+    assertEquals("cancelled", queryAt(sim, old, SERVICE_JOB).state());
+    sim.runUntil(sim.nowMs + Simulation.CANCEL_MS);
+    assertEquals(0, sim.checker.runningReplicas(SERVICE_JOB));
+    for (SimulatedController each : sim.controllers.values()) {
+      assertEquals("cancelled", queryAt(sim, each, SERVICE_JOB).state());
     }
-    assertEquals(List.of(), sim.rules.broken);
+    assertEquals(List.of(), sim.checker.violations);
   }
 
   @Test
-  void aControllerThatDiesBeforeItsTurnComesBackOldAndWorkGoesOn() {
-    Simulation sim = mixed(307, "n0");
-    sim.submit(batch(sim, 12));
-    sim.run(sim.now + 3_000);
-    SimulatedController early = sim.nodes.get("n2");
+  void controllerCrashBeforeUpgradeRestartsOldVersion() {
+    Simulation sim = startMixedVersions(307, "n0");
+    sim.submit(batchSpec(sim, 12));
+    sim.runUntil(sim.nowMs + 3_000);
+    SimulatedController early = sim.controllers.get("n2");
     early.crash(1_000);
-    sim.run(sim.now + 10_000);
-    assertTrue(early.up && !early.knowsServices(), "it is back, and old");
-    assertEquals(503, submitAt(sim, sim.nodes.get("n0"), service(sim)).status());
-    sim.run(sim.now + RUNS_AGAIN_MS);
-    assertEquals("done", sim.rules.lastTold(BATCH));
+    sim.runUntil(sim.nowMs + 10_000);
+    assertTrue(early.running && !early.supportsServices(), "it is back, and old");
+    assertEquals(503, submitAt(sim, sim.controllers.get("n0"), serviceSpec(sim)).status());
+    sim.runUntil(sim.nowMs + RESTART_TIMEOUT_MS);
+    assertEquals("done", sim.checker.lastState(BATCH_JOB));
     upgrade(sim, "n2", "n1");
-    assertEquals(201, submitAt(sim, sim.nodes.get("n2"), service(sim)).status());
-    sim.run(sim.now + 10_000);
-    assertEquals(REPLICAS, sim.rules.replicasOn(SERVICE));
-    assertEquals(List.of(), sim.rules.broken);
+    assertEquals(201, submitAt(sim, sim.controllers.get("n2"), serviceSpec(sim)).status());
+    sim.runUntil(sim.nowMs + 10_000);
+    assertEquals(REPLICAS, sim.checker.runningReplicas(SERVICE_JOB));
+    assertEquals(List.of(), sim.checker.violations);
   }
 
   /** The controller ends and comes back at once with the version that knows no services. */
-  private static void comesBackOld(Simulation sim, SimulatedController node) {
-    node.installed = ProgramVersion.UNKNOWN;
+  private static void restartOldVersion(Simulation sim, SimulatedController node) {
+    node.installedVersion = ProgramVersion.UNKNOWN;
     node.crash(500);
-    sim.run(sim.now + 10_000);
+    sim.runUntil(sim.nowMs + 10_000);
   }
 }
--- a/src/test/java/mallowstall/core/ValueSizeTest.java
+++ b/src/test/java/mallowstall/core/ValueSizeTest.java
@@ -5,59 +5,67 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import mallowstall.core.Model.DigestRec;
-import mallowstall.core.Model.GroupMachine;
-import mallowstall.core.Model.GroupRec;
-import mallowstall.core.Model.Room;
+import mallowstall.core.kv.ValueSize;
+import mallowstall.core.model.DigestEntry;
+import mallowstall.core.model.FreeCapacity;
+import mallowstall.core.model.MachineGroupEntry;
+import mallowstall.core.model.MachineGroupMember;
 import org.junit.jupiter.api.Test;
 
 /** Lists are cut by the size of the encoded value, whatever the names in them. */
 class ValueSizeTest {
-  private static final int LIMIT = 2_048;
+  private static final int LIMIT_BYTES = 2_048;
 
-  private static List<Room> rooms(int count, int nameLength) {
-    List<Room> out = new ArrayList<>();
+  private static List<FreeCapacity> capacities(int count, int nameLength) {
+    List<FreeCapacity> out = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       String name = "m".repeat(nameLength - 6) + String.format("%06d", i);
-      out.add(new Room(name, 12.300000000000001, 0.30000000000000004, 119.19999999999999));
+      out.add(new FreeCapacity(name, 12.300000000000001, 0.30000000000000004, 119.19999999999999));
     }
     return out;
   }
 
   @Test
-  void aDigestFitsAndLeavesNoRoomForTwiceAsMany() {
+  void digestFillsAtLeastHalfTheLimit() {
     for (int nameLength : new int[] {8, 40, 200}) {
-      List<Room> all = rooms(200, nameLength);
-      List<Room> some =
-          ValueSize.fitting(
-              all, r -> Simulation.size(new DigestRec(Long.MAX_VALUE, r, 1e17)), LIMIT);
-      int bytes = Simulation.size(new DigestRec(Long.MAX_VALUE, some, 1e17));
-      assertTrue(bytes <= LIMIT, "bytes: " + bytes);
-      assertTrue(bytes > LIMIT / 2, "bytes: " + bytes);
+      List<FreeCapacity> all = capacities(200, nameLength);
+      List<FreeCapacity> some =
+          ValueSize.longestFittingPrefix(
+              all,
+              r -> Simulation.encodedSize(new DigestEntry(Long.MAX_VALUE, r, 1e17)),
+              LIMIT_BYTES);
+      int bytes = Simulation.encodedSize(new DigestEntry(Long.MAX_VALUE, some, 1e17));
+      assertTrue(bytes <= LIMIT_BYTES, "bytes: " + bytes);
+      assertTrue(bytes > LIMIT_BYTES / 2, "bytes: " + bytes);
       assertEquals(all.subList(0, some.size()), some);
     }
   }
 
   @Test
-  void aGroupFitsWhateverItsNames() {
+  void groupFitsForAnyNames() {
     for (int nameLength : new int[] {8, 40, 200}) {
       String name = "t".repeat(nameLength);
-      List<GroupMachine> all = new ArrayList<>();
-      for (Room room : rooms(100, nameLength)) {
-        all.add(new GroupMachine(room.machine(), name, name, false));
+      List<MachineGroupMember> all = new ArrayList<>();
+      for (FreeCapacity room : capacities(100, nameLength)) {
+        all.add(new MachineGroupMember(room.machine(), name, name, false));
       }
-      List<GroupMachine> some =
-          ValueSize.fitting(
-              all, g -> Simulation.size(new GroupRec(name, Long.MAX_VALUE, g)), LIMIT);
-      int bytes = Simulation.size(new GroupRec(name, Long.MAX_VALUE, some));
-      assertTrue(bytes <= LIMIT, "bytes: " + bytes);
-      assertTrue(bytes > LIMIT / 2, "bytes: " + bytes);
+      List<MachineGroupMember> some =
+          ValueSize.longestFittingPrefix(
+              all,
+              g -> Simulation.encodedSize(new MachineGroupEntry(name, Long.MAX_VALUE, g)),
+              LIMIT_BYTES);
+      int bytes = Simulation.encodedSize(new MachineGroupEntry(name, Long.MAX_VALUE, some));
+      assertTrue(bytes <= LIMIT_BYTES, "bytes: " + bytes);
+      assertTrue(bytes > LIMIT_BYTES / 2, "bytes: " + bytes);
     }
   }
 
   @Test
-  void whatFitsIsLeftWhole() {
-    List<Room> all = rooms(3, 8);
-    assertEquals(all, ValueSize.fitting(all, r -> Simulation.size(new DigestRec(1, r, 0)), LIMIT));
+  void valuesThatFitAreUnchanged() {
+    List<FreeCapacity> all = capacities(3, 8);
+    assertEquals(
+        all,
+        ValueSize.longestFittingPrefix(
+            all, r -> Simulation.encodedSize(new DigestEntry(1, r, 0)), LIMIT_BYTES));
   }
 }
--- a/src/test/java/mallowstall/peers/GoldenMessagesTest.java
+++ b/src/test/java/mallowstall/peers/GoldenMessagesTest.java
@@ -11,25 +11,25 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import mallowstall.Fixtures;
-import mallowstall.core.Model.ExitReason;
-import mallowstall.core.Model.PeerMessage;
-import mallowstall.core.Model.Refusal;
-import mallowstall.core.Model.Roster;
-import mallowstall.core.Model.RosterMachine;
-import mallowstall.core.Model.RosterTask;
-import mallowstall.core.Model.StartOrder;
-import mallowstall.core.Model.Starts;
-import mallowstall.core.Model.StopOrder;
-import mallowstall.core.Model.Stops;
-import mallowstall.core.Model.TaskRef;
-import mallowstall.core.Model.TaskState;
+import mallowstall.core.model.ExitReason;
+import mallowstall.core.model.MachineStatus;
+import mallowstall.core.model.PeerMessage;
+import mallowstall.core.model.StartBatch;
+import mallowstall.core.model.StartRejection;
+import mallowstall.core.model.StartRequest;
+import mallowstall.core.model.StatusUpdate;
+import mallowstall.core.model.StopBatch;
+import mallowstall.core.model.StopRequest;
+import mallowstall.core.model.TaskRef;
+import mallowstall.core.model.TaskState;
+import mallowstall.core.model.TaskStatus;
 import org.junit.jupiter.api.Test;
 
 /** Every message between controllers is written to the same bytes as ever, and read from them. */
 class GoldenMessagesTest {
   /** A machine whose seven flags are the bits of a number, in the order of the record. */
-  private static RosterMachine machine(String id, String addr, int flags) {
-    return new RosterMachine(
+  private static MachineStatus machine(String id, String addr, int flags) {
+    return new MachineStatus(
         id,
         addr,
         31,
@@ -52,13 +52,13 @@
         40,
         List.of("img-1", "img-2"),
         List.of(
-            new RosterTask("wk-1", 0, 51, null, null),
-            new RosterTask("wk-2", 99_999, 1L << 40, TaskState.FETCHING, null),
-            new RosterTask("wk-3", 1, 52, TaskState.EXITED, ExitReason.BUSY)));
+            new TaskStatus("wk-1", 0, 51, null, null),
+            new TaskStatus("wk-2", 99_999, 1L << 40, TaskState.FETCHING, null),
+            new TaskStatus("wk-3", 1, 52, TaskState.EXITED, ExitReason.BUSY)));
   }
 
-  private static Roster roster(long since, List<RosterMachine> machines) {
-    return new Roster(
+  private static StatusUpdate roster(long since, List<MachineStatus> machines) {
+    return new StatusUpdate(
         "n3",
         12,
         21,
@@ -73,12 +73,12 @@
         List.of("wk-8", "wk-9"),
         machines,
         since == 0 ? List.of() : List.of("m-8", "m-9"),
-        List.of(new Refusal("m-1", "wk-4", 7, 53, "no room \u00e9")));
+        List.of(new StartRejection("m-1", "wk-4", 7, 53, "no room \u00e9")));
   }
 
   private static Map<String, PeerMessage> messages() {
     Map<String, PeerMessage> all = new LinkedHashMap<>();
-    List<RosterMachine> full = new java.util.ArrayList<>();
+    List<MachineStatus> full = new java.util.ArrayList<>();
     full.add(machine("m-none", null, 0));
     for (int bit = 1; bit < 128; bit *= 2) {
       full.add(machine("m-" + bit, "10.0.0.1:9000", bit));
@@ -87,18 +87,18 @@
     all.put("roster-incremental", roster(20, List.of(machine("m-1", "10.0.0.1:9000", 3))));
     all.put(
         "roster-empty",
-        new Roster(
+        new StatusUpdate(
             "n3", 12, 1, 0, 0, 0, 0, 0, 0, 0, 0, List.of(), List.of(), List.of(), List.of()));
     all.put(
         "starts",
-        new Starts(
+        new StartBatch(
             "n3",
             12,
             2,
             23,
             List.of(
-                new StartOrder("m-1", "wk-1", 3, 54, 6, 1_700_000_000_123L, List.of()),
-                new StartOrder(
+                new StartRequest("m-1", "wk-1", 3, 54, 6, 1_700_000_000_123L, List.of()),
+                new StartRequest(
                     "m-2",
                     "wk-2",
                     4,
@@ -106,16 +106,17 @@
                     7,
                     0,
                     List.of(new TaskRef("wk-5", 1, 56), new TaskRef("wk-6", 2, 57))))));
-    all.put("starts-empty", new Starts("n3", 12, 2, 24, List.of()));
+    all.put("starts-empty", new StartBatch("n3", 12, 2, 24, List.of()));
     all.put(
         "stops",
-        new Stops(
+        new StopBatch(
             "n3",
             12,
             List.of(
-                new StopOrder("m-1", "wk-1", 3, 54, 4.5), new StopOrder("m-2", "wk-2", 4, 55, 0)),
+                new StopRequest("m-1", "wk-1", 3, 54, 4.5),
+                new StopRequest("m-2", "wk-2", 4, 55, 0)),
             List.of("m-3", "m-4")));
-    all.put("stops-empty", new Stops("n3", 12, List.of(), List.of()));
+    all.put("stops-empty", new StopBatch("n3", 12, List.of(), List.of()));
     return all;
   }
 
@@ -141,8 +142,8 @@
     StringBuilder written = new StringBuilder();
     for (TaskState state : TaskState.values()) {
       for (ExitReason why : ExitReason.values()) {
-        RosterMachine machine =
-            new RosterMachine(
+        MachineStatus machine =
+            new MachineStatus(
                 "m",
                 null,
                 0,
@@ -164,7 +165,7 @@
                 0,
                 0,
                 List.of(),
-                List.of(new RosterTask("j", 0, 0, state, why)));
+                List.of(new TaskStatus("j", 0, 0, state, why)));
         byte[] bytes = PeerCodec.encode(roster(0, List.of(machine)));
         written.append(HexFormat.of().formatHex(bytes)).append('\n');
       }
--- a/src/test/java/mallowstall/peers/PeerCodecTest.java
+++ b/src/test/java/mallowstall/peers/PeerCodecTest.java
@@ -8,18 +8,18 @@
 import java.io.InputStream;
 import java.util.List;
 import java.util.SplittableRandom;
-import mallowstall.core.Model.ExitReason;
-import mallowstall.core.Model.PeerMessage;
-import mallowstall.core.Model.Refusal;
-import mallowstall.core.Model.Roster;
-import mallowstall.core.Model.RosterMachine;
-import mallowstall.core.Model.RosterTask;
-import mallowstall.core.Model.StartOrder;
-import mallowstall.core.Model.Starts;
-import mallowstall.core.Model.StopOrder;
-import mallowstall.core.Model.Stops;
-import mallowstall.core.Model.TaskRef;
-import mallowstall.core.Model.TaskState;
+import mallowstall.core.model.ExitReason;
+import mallowstall.core.model.MachineStatus;
+import mallowstall.core.model.PeerMessage;
+import mallowstall.core.model.StartBatch;
+import mallowstall.core.model.StartRejection;
+import mallowstall.core.model.StartRequest;
+import mallowstall.core.model.StatusUpdate;
+import mallowstall.core.model.StopBatch;
+import mallowstall.core.model.StopRequest;
+import mallowstall.core.model.TaskRef;
+import mallowstall.core.model.TaskState;
+import mallowstall.core.model.TaskStatus;
 import org.apache.avro.Schema;
 import org.apache.avro.generic.GenericDatumReader;
 import org.apache.avro.generic.GenericRecord;
@@ -28,8 +28,8 @@
 
 /** Messages between controllers, read back with Avro's own reader. */
 class PeerCodecTest {
-  static final Roster ROSTER =
-      new Roster(
+  static final StatusUpdate ROSTER =
+      new StatusUpdate(
           "n1",
           3,
           9,
@@ -43,7 +43,7 @@
           40,
           List.of("wk-000009", "wk-000010"),
           List.of(
-              new RosterMachine(
+              new MachineStatus(
                   "m-000007",
                   "10.1.0.7:9000",
                   5,
@@ -66,22 +66,22 @@
                   900,
                   List.of("img-1", "img-2"),
                   List.of(
-                      new RosterTask(
+                      new TaskStatus(
                           "wk-000001", 3, (2L << 24) + 5, TaskState.EXITED, ExitReason.DONE),
-                      new RosterTask("wk-000001", 4, (2L << 24) + 6, null, null)))),
+                      new TaskStatus("wk-000001", 4, (2L << 24) + 6, null, null)))),
           List.of("m-000008"),
-          List.of(new Refusal("m-000007", "wk-000002", 0, 8, "no room")));
+          List.of(new StartRejection("m-000007", "wk-000002", 0, 8, "no room")));
 
   @Test
   void everyMessageSurvivesTheWire() throws IOException {
-    Starts starts =
-        new Starts(
+    StartBatch startBatch =
+        new StartBatch(
             "n1",
             3,
             2,
             18,
             List.of(
-                new StartOrder(
+                new StartRequest(
                     "m-000007",
                     "wk-000002",
                     1,
@@ -89,10 +89,10 @@
                     4,
                     1_700_000_000_000L,
                     List.of(new TaskRef("wk-000003", 7, 5)))));
-    Stops stops =
-        new Stops(
-            "n1", 3, List.of(new StopOrder("m-000007", "wk-000002", 1, 99, 4.5)), List.of("m-1"));
-    for (PeerMessage message : List.of(ROSTER, starts, stops)) {
+    StopBatch stopBatch =
+        new StopBatch(
+            "n1", 3, List.of(new StopRequest("m-000007", "wk-000002", 1, 99, 4.5)), List.of("m-1"));
+    for (PeerMessage message : List.of(ROSTER, startBatch, stopBatch)) {
       assertEquals(message, PeerCodec.decode(PeerCodec.encode(message)));
     }
   }
--- a/src/test/java/mallowstall/policy/PoliciesTest.java
+++ b/src/test/java/mallowstall/policy/PoliciesTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import mallowstall.core.Policy;
+import mallowstall.core.placement.Policy;
 import org.junit.jupiter.api.Test;
 
 /** The policy language, its checker and the bundled policies. */
@@ -22,9 +22,9 @@
   /** Replicas once waited 12 s for a small machine while larger ones stood idle. */
   @Test
   void servicesUseScarceMachinesAtOnceAndBatchJobsAfterAWait() {
-    Policy policy = Policies.bundled().forClass("any");
+    Policy policy = Policies.bundled().forJobClass("any");
     Policy.Facts facts = new Policy.Facts();
-    facts.scarce = true;
+    facts.scarceType = true;
     facts.priority = 3;
     assertFalse(takes(policy, facts), "batch job that has just come");
     facts.service = true;
@@ -37,9 +37,9 @@
   /** Spread over empty machines, they left none of them room for two large tasks. */
   @Test
   void servicesFillUpScarceMachinesThatAreInUse() {
-    Policy policy = Policies.bundled().forClass("any");
+    Policy policy = Policies.bundled().forJobClass("any");
     Policy.Facts facts = new Policy.Facts();
-    facts.scarce = true;
+    facts.scarceType = true;
     facts.service = true;
     facts.priority = 3;
     Policy.Block block =
@@ -47,10 +47,10 @@
             .filter(some -> some.workers(facts) && !some.invalidate(facts))
             .findFirst()
             .orElseThrow();
-    facts.used = 0;
+    facts.cpuUtilization = 0;
     facts.imagePresent = true;
     double empty = block.score(facts);
-    facts.used = 0.5;
+    facts.cpuUtilization = 0.5;
     facts.imagePresent = false;
     facts.fetchS = 5;
     assertTrue(block.score(facts) < empty, "half used beats an image that is there");
@@ -68,7 +68,7 @@
             "class default { block { strategy: lowest 1 + 2 * 3 - -4\n"
                 + "workers: machine.fetch < 2min and not machine.spot or machine.zone == \"b\" } }");
     assertEquals(List.of(), policies.diagnostics());
-    Policy.Block block = policies.forClass("any").blocks().get(0);
+    Policy.Block block = policies.forJobClass("any").blocks().get(0);
     Policy.Facts facts = new Policy.Facts();
     assertEquals(11, block.score(facts));
     facts.fetchS = 119;
--- a/src/test/java/mallowstall/state/GoldenEntriesTest.java
+++ b/src/test/java/mallowstall/state/GoldenEntriesTest.java
@@ -11,32 +11,32 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import mallowstall.Fixtures;
-import mallowstall.core.Model.BitsRec;
-import mallowstall.core.Model.CounterRec;
-import mallowstall.core.Model.DigestRec;
-import mallowstall.core.Model.DutyRec;
-import mallowstall.core.Model.Entry;
-import mallowstall.core.Model.Final;
-import mallowstall.core.Model.GroupMachine;
-import mallowstall.core.Model.GroupRec;
-import mallowstall.core.Model.JobKind;
-import mallowstall.core.Model.JobRec;
-import mallowstall.core.Model.JobSpec;
-import mallowstall.core.Model.MachineRec;
-import mallowstall.core.Model.Priority;
-import mallowstall.core.Model.Room;
-import mallowstall.core.Model.SessionRec;
-import mallowstall.core.Model.TeamRec;
-import mallowstall.core.Model.VersionRec;
+import mallowstall.core.model.AutoscalerLeaderEntry;
+import mallowstall.core.model.CompletionBitsEntry;
+import mallowstall.core.model.DigestEntry;
+import mallowstall.core.model.FreeCapacity;
+import mallowstall.core.model.IncarnationCounterEntry;
+import mallowstall.core.model.JobEntry;
+import mallowstall.core.model.JobKind;
+import mallowstall.core.model.JobOutcome;
+import mallowstall.core.model.JobSpec;
+import mallowstall.core.model.MachineEntry;
+import mallowstall.core.model.MachineGroupEntry;
+import mallowstall.core.model.MachineGroupMember;
+import mallowstall.core.model.Priority;
+import mallowstall.core.model.SessionEntry;
+import mallowstall.core.model.StoredEntry;
+import mallowstall.core.model.TeamUsageEntry;
+import mallowstall.core.model.VersionEntry;
 import mallowstall.json.JsonReader;
 import org.junit.jupiter.api.Test;
 
 /** Every kind of stored entry is written to the same bytes as ever, and read back from them. */
 class GoldenEntriesTest {
   /** An entry and a key that it would stand under. */
-  private record Stored(String key, Entry entry) {}
+  private record Stored(String key, StoredEntry entry) {}
 
-  private static JobRec job(Priority priority, JobKind kind, byte[] done, Final fin) {
+  private static JobEntry job(Priority priority, JobKind kind, byte[] done, JobOutcome fin) {
     JobSpec spec =
         new JobSpec(
             "wk-000999",
@@ -59,49 +59,55 @@
             4.5,
             kind == JobKind.BATCH ? 3600.5 : null,
             kind);
-    return new JobRec(spec, 1_700_000_000_123L, "n3", 12, 7, done, 2, 5, fin);
+    return new JobEntry(spec, 1_700_000_000_123L, "n3", 12, 7, done, 2, 5, fin);
   }
 
   private static Map<String, Stored> entries() {
     Map<String, Stored> all = new LinkedHashMap<>();
     byte[] bits = {3, -1, 0, 127, -128};
     String job = "c/j/wk-000999";
-    all.put("session", new Stored("c/n/n3", new SessionRec("n3", Long.MAX_VALUE)));
-    all.put("version", new Stored("c/v/n3", new VersionRec("n3", 12, 4)));
-    all.put("batch", new Stored(job, job(Priority.PRODUCTION, JobKind.BATCH, bits, Final.NONE)));
+    all.put("session", new Stored("c/n/n3", new SessionEntry("n3", Long.MAX_VALUE)));
+    all.put("version", new Stored("c/v/n3", new VersionEntry("n3", 12, 4)));
     all.put(
-        "service", new Stored(job, job(Priority.LOW, JobKind.SERVICE, new byte[0], Final.SERVING)));
+        "batch", new Stored(job, job(Priority.PRODUCTION, JobKind.BATCH, bits, JobOutcome.NONE)));
+    all.put(
+        "service",
+        new Stored(job, job(Priority.LOW, JobKind.SERVICE, new byte[0], JobOutcome.SERVING)));
     all.put(
         "service-cancelled",
-        new Stored(job, job(Priority.HIGH, JobKind.SERVICE, new byte[0], Final.CANCELLED)));
-    all.put("batch-done", new Stored(job, job(Priority.NORMAL, JobKind.BATCH, bits, Final.DONE)));
-    all.put("piece", new Stored("c/b/wk-000999/2", new BitsRec(bits)));
-    all.put("piece-empty", new Stored("c/b/wk-000999/3", new BitsRec(new byte[0])));
-    all.put("machine", new Stored("c/m/m-1", new MachineRec("n3", 12, 98, "g8", "b", false)));
+        new Stored(job, job(Priority.HIGH, JobKind.SERVICE, new byte[0], JobOutcome.CANCELLED)));
+    all.put(
+        "batch-done", new Stored(job, job(Priority.NORMAL, JobKind.BATCH, bits, JobOutcome.DONE)));
+    all.put("piece", new Stored("c/b/wk-000999/2", new CompletionBitsEntry(bits)));
+    all.put("piece-empty", new Stored("c/b/wk-000999/3", new CompletionBitsEntry(new byte[0])));
+    all.put("machine", new Stored("c/m/m-1", new MachineEntry("n3", 12, 98, "g8", "b", false)));
     all.put(
         "group",
         new Stored(
             "c/g/12-1",
-            new GroupRec(
+            new MachineGroupEntry(
                 "n3",
                 12,
                 List.of(
-                    new GroupMachine("m-1", "g8", "b", false),
-                    new GroupMachine("m-2", "t16", "c", true)))));
-    all.put("group-empty", new Stored("c/g/12-2", new GroupRec("n3", 12, List.of())));
-    all.put("team", new Stored("c/t/vision", new TeamRec(0.30000000000000004, 0)));
+                    new MachineGroupMember("m-1", "g8", "b", false),
+                    new MachineGroupMember("m-2", "t16", "c", true)))));
+    all.put("group-empty", new Stored("c/g/12-2", new MachineGroupEntry("n3", 12, List.of())));
+    all.put("team", new Stored("c/t/vision", new TeamUsageEntry(0.30000000000000004, 0)));
     all.put(
         "digest",
         new Stored(
             "c/d/n3",
-            new DigestRec(12, List.of(new Room("m-1", 1, 2, 3), new Room("m-2", 0, 0.5, 1e8)), 0)));
-    all.put("digest-empty", new Stored("c/d/n3", new DigestRec(12, List.of(), 1e-3)));
-    all.put("duty", new Stored("c/cloud", new DutyRec("n3", 12)));
-    all.put("counter", new Stored("c/incarnations", new CounterRec(13)));
+            new DigestEntry(
+                12,
+                List.of(new FreeCapacity("m-1", 1, 2, 3), new FreeCapacity("m-2", 0, 0.5, 1e8)),
+                0)));
+    all.put("digest-empty", new Stored("c/d/n3", new DigestEntry(12, List.of(), 1e-3)));
+    all.put("duty", new Stored("c/cloud", new AutoscalerLeaderEntry("n3", 12)));
+    all.put("counter", new Stored("c/incarnations", new IncarnationCounterEntry(13)));
     return all;
   }
 
-  private static String encoded(Entry entry) {
+  private static String encoded(StoredEntry entry) {
     return new String(StoredEntries.encode(entry), StandardCharsets.UTF_8);
   }
 
@@ -118,7 +124,7 @@
       String written = Fixtures.text("entries/" + each.getKey() + ".json");
       Stored stored = each.getValue();
 
-      Entry read =
+      StoredEntry read =
           JsonReader.read(
               written.getBytes(StandardCharsets.UTF_8), in -> StoredEntries.read(stored.key(), in));
 
@@ -133,6 +139,6 @@
         entries().values().stream()
             .map(stored -> stored.entry().getClass())
             .collect(Collectors.toSet());
-    assertEquals(Set.copyOf(Arrays.asList(Entry.class.getPermittedSubclasses())), fixed);
+    assertEquals(Set.copyOf(Arrays.asList(StoredEntry.class.getPermittedSubclasses())), fixed);
   }
 }
--- a/src/test/java/mallowstall/state/ProductionFixturesTest.java
+++ b/src/test/java/mallowstall/state/ProductionFixturesTest.java
@@ -10,16 +10,16 @@
 import java.util.HexFormat;
 import java.util.Map;
 import java.util.TreeMap;
-import mallowstall.core.Model.BitsRec;
-import mallowstall.core.Model.Entry;
-import mallowstall.core.Model.Final;
-import mallowstall.core.Model.JobKind;
-import mallowstall.core.Model.JobRec;
-import mallowstall.core.Model.PeerMessage;
-import mallowstall.core.Model.Priority;
-import mallowstall.core.Model.Roster;
-import mallowstall.core.Model.Starts;
-import mallowstall.core.Model.Stops;
+import mallowstall.core.model.CompletionBitsEntry;
+import mallowstall.core.model.JobEntry;
+import mallowstall.core.model.JobKind;
+import mallowstall.core.model.JobOutcome;
+import mallowstall.core.model.PeerMessage;
+import mallowstall.core.model.Priority;
+import mallowstall.core.model.StartBatch;
+import mallowstall.core.model.StatusUpdate;
+import mallowstall.core.model.StopBatch;
+import mallowstall.core.model.StoredEntry;
 import mallowstall.json.JsonReader;
 import mallowstall.peers.PeerCodec;
 import org.junit.jupiter.api.Test;
@@ -48,7 +48,13 @@
 
   private static final Map<String, Class<? extends PeerMessage>> MESSAGES =
       new TreeMap<>(
-          Map.of("roster.hex", Roster.class, "starts.hex", Starts.class, "stops.hex", Stops.class));
+          Map.of(
+              "roster.hex",
+              StatusUpdate.class,
+              "starts.hex",
+              StartBatch.class,
+              "stops.hex",
+              StopBatch.class));
 
   private static String text(String file) throws IOException {
     try (InputStream in = ProductionFixturesTest.class.getResourceAsStream("/production/" + file)) {
@@ -57,13 +63,13 @@
     }
   }
 
-  private static Entry value(String file) throws IOException {
+  private static StoredEntry value(String file) throws IOException {
     byte[] written = text(file).getBytes(StandardCharsets.UTF_8);
     return JsonReader.read(written, in -> StoredEntries.read(VALUES.get(file), in));
   }
 
-  private static JobRec job(String file) throws IOException {
-    return (JobRec) value(file);
+  private static JobEntry job(String file) throws IOException {
+    return (JobEntry) value(file);
   }
 
   @Test
@@ -76,16 +82,16 @@
 
   @Test
   void whatTheValuesSayIsUnderstood() throws IOException {
-    JobRec open = job("job-open.json");
-    assertEquals(Final.NONE, open.fin());
+    JobEntry open = job("job-open.json");
+    assertEquals(JobOutcome.NONE, open.outcome());
     assertEquals(JobKind.BATCH, open.spec().kind());
     assertEquals(Priority.HIGH, open.spec().priority());
-    assertEquals("[5, 1]", Arrays.toString(open.done()));
-    assertEquals(4, open.grant());
-    assertEquals(Final.CANCELLED, job("job-cancelled.json").fin());
-    assertEquals(Final.DONE, job("job-done.json").fin());
-    BitsRec bits = (BitsRec) value("bits.json");
-    assertEquals("[1, 0, -128]", Arrays.toString(bits.done()));
+    assertEquals("[5, 1]", Arrays.toString(open.completionBits()));
+    assertEquals(4, open.quotaReservedTasks());
+    assertEquals(JobOutcome.CANCELLED, job("job-cancelled.json").outcome());
+    assertEquals(JobOutcome.DONE, job("job-done.json").outcome());
+    CompletionBitsEntry bits = (CompletionBitsEntry) value("bits.json");
+    assertEquals("[1, 0, -128]", Arrays.toString(bits.bits()));
   }
 
   @Test
--- a/src/test/java/mallowstall/users/GoldenAnswersTest.java
+++ b/src/test/java/mallowstall/users/GoldenAnswersTest.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import mallowstall.Fixtures;
 import mallowstall.OneController;
-import mallowstall.core.Model.Entry;
-import mallowstall.core.Model.MachineType;
+import mallowstall.core.model.MachineType;
+import mallowstall.core.model.StoredEntry;
 import mallowstall.json.JsonReader;
 import mallowstall.net.HttpServer.Request;
 import mallowstall.net.HttpServer.Responder;
@@ -65,7 +65,7 @@
             .replace("wk-000412", "wk-000413")
             .replace("\"batch\"", "\"daemon\"")
             .replace("\"piezas\":16", "\"piezas\":2");
-    Entry done =
+    StoredEntry done =
         JsonReader.read(
             Fixtures.bytes("entries/batch-done.json"),
             in -> StoredEntries.read("c/j/wk-000999", in));
--- a/src/test/java/mallowstall/users/SubmissionTest.java
+++ b/src/test/java/mallowstall/users/SubmissionTest.java
@@ -6,9 +6,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.charset.StandardCharsets;
-import mallowstall.core.Model.JobKind;
-import mallowstall.core.Model.JobSpec;
-import mallowstall.core.Model.Priority;
+import mallowstall.core.model.JobKind;
+import mallowstall.core.model.JobSpec;
+import mallowstall.core.model.Priority;
 import org.junit.jupiter.api.Test;
 
 /** Submissions: which are taken, and what is said of those that are wrong. */
@@ -32,7 +32,7 @@
     assertEquals(Priority.HIGH, spec.priority());
     assertNull(spec.zone());
     assertEquals(900.0, spec.deadlineS());
-    assertNull(parse(GOOD.replace("\"calibres\":[\"g8\"],", "")).types());
+    assertNull(parse(GOOD.replace("\"calibres\":[\"g8\"],", "")).machineTypes());
   }
 
   /** A service has no run time to estimate, so 0 is right and no deadline needed. */
@@ -44,7 +44,7 @@
             .replace("\"despacho_s\":900.0", "\"despacho_s\":null");
     JobSpec spec = parse(daemon);
     assertEquals(JobKind.SERVICE, spec.kind());
-    assertEquals(0, spec.estimateS());
+    assertEquals(0, spec.estimatedRunS());
     assertNull(spec.deadlineS());
     assertEquals(JobKind.BATCH, parse(GOOD).kind());
     assertThrows(
--- a/src/test/java/mallowstall/workers/GoldenReportAnswersTest.java
+++ b/src/test/java/mallowstall/workers/GoldenReportAnswersTest.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import mallowstall.Fixtures;
 import mallowstall.OneController;
-import mallowstall.core.Model.MachineType;
-import mallowstall.core.Model.SessionRec;
+import mallowstall.core.model.MachineType;
+import mallowstall.core.model.SessionEntry;
 import mallowstall.net.HttpServer.Request;
 import mallowstall.net.HttpServer.Responder;
 import mallowstall.users.Examples;
@@ -77,7 +77,7 @@
   @Test
   void workersAreSentToTheirController() throws IOException {
     OneController controller = new OneController(List.of("n2"), List.of(TYPE));
-    controller.put("c/n/n2", new SessionRec("n2", 1));
+    controller.put("c/n/n2", new SessionEntry("n2", 1));
     controller.pass(2_000);
 
     for (int i = 1; i <= 4; i++) {
