--- /dev/null
+++ b/src/main/java/mallowstall/core/placement/package-info.java
@@ -0,0 +1,12 @@
+/**
+ * Starts the waiting tasks of led jobs on machines of the view. {@link
+ * mallowstall.core.placement.PlacementScheduler} runs a scheduling pass: it orders the jobs, asks
+ * their policies for candidates, preempts where that is allowed, and sends the starts to the
+ * machine leaders. It owns the back-off of each policy and the counts of one pass; attempts belong
+ * to jobs, capacity to the view.
+ *
+ * <p>One event at a time; no I/O, clock or threads. May depend on model, kernel, kv, cluster, jobs,
+ * quota and on the demand of autoscaling. See docs/design.md, "What was kept", "Exceptions to the
+ * design" and "Cost at size"; docs/policies.md for the language of policies.
+ */
+package mallowstall.core.placement;
--- /dev/null
+++ b/src/main/java/mallowstall/core/quota/package-info.java
@@ -0,0 +1,11 @@
+/**
+ * Teams' limits and guaranteed shares. {@link mallowstall.core.quota.QuotaLedger} raises and lowers
+ * the quota reservations of led jobs, each together with the team's sum in one transaction, and
+ * owns only the requests under way: the reservations themselves stand in the entries of jobs and
+ * teams. {@link mallowstall.core.quota.GuaranteedShares} counts which jobs their team's guarantee
+ * covers.
+ *
+ * <p>One event at a time; no I/O, clock or threads. May depend on model, kernel, kv, cluster and
+ * jobs. See docs/design.md, "quota" and "Exceptions to the design".
+ */
+package mallowstall.core.quota;
