--- a/src/main/java/mallowstall/core/autoscaling/Autoscaler.java
+++ b/src/main/java/mallowstall/core/autoscaling/Autoscaler.java
@@ -236,7 +236,7 @@
     boolean leaderUnresponsive =
         leaderLive
             && !entry.node().equals(settings.node())
-            && now - view.peer(entry.node()).lastUpdateMs > Constants.STATUS_UPDATE_STALE_MS;
+            && now - view.peer(entry.node()).lastUpdateMs() > Constants.STATUS_UPDATE_STALE_MS;
     if (leaderUnresponsive) {
       fleetState.addMachine(entry.type());
       return;
@@ -253,24 +253,24 @@
 
   /** A machine whose owner lives and tells of it. */
   private void countAccounted(MachineView machine, FleetState fleetState, long now) {
-    if (machine.status.unresponsive()) {
+    if (machine.status().unresponsive()) {
       long unresponsiveMs = machine.idleMs(now);
       if (isReclaimedByCloud(machine, now)
           || unresponsiveMs
               > settings.workerLeaseMs() + Constants.UNRESPONSIVE_SCALE_IN_MARGIN_MS) {
-        fleetState.toReturn.add(machine.id);
+        fleetState.toReturn.add(machine.id());
         return;
       }
       fleetState.unresponsive++;
       if (unresponsiveMs > unresponsiveHostMs() && view.hostsReplicas(machine)) {
-        fleetState.unresponsiveHosts.add(machine.id);
+        fleetState.unresponsiveHosts.add(machine.id());
       }
-    } else if (machine.status.needsReplacement()) {
-      if (!view.hostsReplicas(machine) || isReplacementOverdue(machine.id, now)) {
-        fleetState.toReturn.add(machine.id);
+    } else if (machine.status().needsReplacement()) {
+      if (!view.hostsReplicas(machine) || isReplacementOverdue(machine.id(), now)) {
+        fleetState.toReturn.add(machine.id());
       }
-    } else if (machine.status.interruptionNoticeS() < 0) {
-      fleetState.addMachine(machine.status.type());
+    } else if (machine.status().interruptionNoticeS() < 0) {
+      fleetState.addMachine(machine.status().type());
       fleetState.available.add(machine);
     }
   }
@@ -330,8 +330,9 @@
    * lease would prove only later.
    */
   private static boolean isReclaimedByCloud(MachineView machine, long now) {
-    double remainingS = machine.status.interruptionNoticeS() - (now - machine.updatedAtMs) / 1000.0;
-    return machine.status.interruptionNoticeS() >= 0
+    double remainingS =
+        machine.status().interruptionNoticeS() - (now - machine.updatedAtMs()) / 1000.0;
+    return machine.status().interruptionNoticeS() >= 0
         && remainingS < Constants.INTERRUPTION_IMMINENT_S;
   }
 
@@ -357,8 +358,8 @@
     double reservedCpus = 0;
     double freeCpus = 0;
     for (MachineView machine : available) {
-      freeCpus += machine.status.freeCpus();
-      for (TaskStatus task : machine.status.tasks()) {
+      freeCpus += machine.status().freeCpus();
+      for (TaskStatus task : machine.status().tasks()) {
         JobEntry job = store.job(task.job());
         if (job == null || task.state() == TaskState.EXITED) {
           continue;
@@ -434,15 +435,17 @@
     List<MachineView> idle = new ArrayList<>();
     List<String> drainedMachines = new ArrayList<>();
     for (MachineView machine : available) {
-      if (!machine.status.type().equals(type)
-          || !machine.status.tasks().isEmpty()
-          || scaleIn.isReturnInFlight(machine.id)) {
+      if (!machine.status().type().equals(type)
+          || !machine.status().tasks().isEmpty()
+          || scaleIn.isReturnInFlight(machine.id())) {
         continue;
       }
       long idleTimeoutMs =
-          machine.status.spot() ? Constants.SCALE_IN_IDLE_MS : Constants.SCALE_IN_IDLE_ON_DEMAND_MS;
-      if (machine.status.draining()) {
-        drainedMachines.add(machine.id);
+          machine.status().spot()
+              ? Constants.SCALE_IN_IDLE_MS
+              : Constants.SCALE_IN_IDLE_ON_DEMAND_MS;
+      if (machine.status().draining()) {
+        drainedMachines.add(machine.id());
       } else if (machine.idleMs(now) > idleTimeoutMs) {
         idle.add(machine);
       }
@@ -453,18 +456,18 @@
     }
     // the dear ones first, then those that have waited longest
     idle.sort(
-        Comparator.comparing((MachineView machine) -> machine.status.spot())
+        Comparator.comparing((MachineView machine) -> machine.status().spot())
             .thenComparing(machine -> -machine.idleMs(now)));
     int maxDrains = Math.max(1, current / Constants.DRAIN_BATCH_DIVISOR);
     int remaining = current;
     Map<String, List<String>> drainsByLeader = new HashMap<>();
     for (MachineView machine : idle) {
       if (current - remaining >= maxDrains
-          || remaining <= (machine.status.spot() ? keepTotal : keepOnDemand)) {
+          || remaining <= (machine.status().spot() ? keepTotal : keepOnDemand)) {
         break;
       }
       remaining--;
-      drainsByLeader.computeIfAbsent(machine.leader, k -> new ArrayList<>()).add(machine.id);
+      drainsByLeader.computeIfAbsent(machine.leader(), k -> new ArrayList<>()).add(machine.id());
     }
     drainsByLeader.forEach(messenger::sendDrain);
   }
--- a/src/main/java/mallowstall/core/autoscaling/MachineDemand.java
+++ b/src/main/java/mallowstall/core/autoscaling/MachineDemand.java
@@ -247,12 +247,12 @@
       }
     }
     available.sort(
-        Comparator.comparing((MachineView candidateView) -> candidateView.status.spot())
-            .thenComparing(candidate -> candidate.id));
+        Comparator.comparing((MachineView candidateView) -> candidateView.status().spot())
+            .thenComparing(candidate -> candidate.id()));
     for (Map.Entry<String, TypeDemand> entry : demandByType.entrySet()) {
       long total =
           available.stream()
-              .filter(machineView -> machineView.status.type().equals(entry.getKey()))
+              .filter(machineView -> machineView.status().type().equals(entry.getKey()))
               .count();
       long remaining =
           Math.min(
@@ -262,10 +262,10 @@
         if (remaining <= 0) {
           break;
         }
-        if (!machineView.status.type().equals(entry.getKey())) {
+        if (!machineView.status().type().equals(entry.getKey())) {
           continue;
         }
-        reserved.add(machineView.id);
+        reserved.add(machineView.id());
         remaining--;
       }
     }
--- a/src/main/java/mallowstall/core/autoscaling/ScaleOut.java
+++ b/src/main/java/mallowstall/core/autoscaling/ScaleOut.java
@@ -96,8 +96,8 @@
     Map<String, Integer> countByZone = new HashMap<>();
     Map<String, Integer> onDemandByZone = new HashMap<>();
     for (MachineView machine : available) {
-      if (machine.status.type().equals(type)) {
-        countMachine(machine.status.zone(), machine.status.spot(), countByZone, onDemandByZone);
+      if (machine.status().type().equals(type)) {
+        countMachine(machine.status().zone(), machine.status().spot(), countByZone, onDemandByZone);
       }
     }
     for (PendingMachine pending : pendingMachines.values()) {
@@ -231,8 +231,8 @@
   private List<String> zonesByFewest(String type) {
     Map<String, Integer> countByZone = new HashMap<>();
     for (MachineView machine : view.machines.values()) {
-      if (machine.status != null && machine.status.type().equals(type)) {
-        countByZone.merge(machine.status.zone(), 1, Integer::sum);
+      if (machine.status() != null && machine.status().type().equals(type)) {
+        countByZone.merge(machine.status().zone(), 1, Integer::sum);
       }
     }
     for (PendingMachine pending : pendingMachines.values()) {
--- a/src/main/java/mallowstall/core/autoscaling/UnplaceableJobs.java
+++ b/src/main/java/mallowstall/core/autoscaling/UnplaceableJobs.java
@@ -101,7 +101,7 @@
     int tasksElsewhere = 0;
     for (MachineView machine : available) {
       int tasks = tasksOn(machine, job.id());
-      if (machine.status.zone().equals(zone)) {
+      if (machine.status().zone().equals(zone)) {
         tasksInZone += tasks;
       } else {
         tasksElsewhere += tasks;
@@ -115,7 +115,7 @@
 
   private static int tasksOn(MachineView machine, String job) {
     int tasks = 0;
-    for (TaskStatus task : machine.status.tasks()) {
+    for (TaskStatus task : machine.status().tasks()) {
       if (task.job().equals(job) && task.state() != TaskState.EXITED) {
         tasks++;
       }
@@ -125,14 +125,15 @@
 
   private static boolean hasCapacity(JobSpec job, List<String> zones, List<MachineView> available) {
     for (MachineView machine : available) {
-      if (!job.allowsMachine(machine.status.type(), machine.status.zone(), machine.status.spot())) {
+      if (!job.allowsMachine(
+          machine.status().type(), machine.status().zone(), machine.status().spot())) {
         continue;
       }
       boolean fits =
-          machine.status.freeCpus() >= job.cpus() - 1e-9
-              && machine.status.freeGpus() >= job.gpus() - 1e-9
-              && machine.status.freeMemoryGb() >= job.memoryGb() - 1e-9;
-      if (fits && zones.contains(machine.status.zone())) {
+          machine.status().freeCpus() >= job.cpus() - 1e-9
+              && machine.status().freeGpus() >= job.gpus() - 1e-9
+              && machine.status().freeMemoryGb() >= job.memoryGb() - 1e-9;
+      if (fits && zones.contains(machine.status().zone())) {
         return true;
       }
     }
--- a/src/main/java/mallowstall/core/cluster/ClusterView.java
+++ b/src/main/java/mallowstall/core/cluster/ClusterView.java
@@ -62,32 +62,32 @@
    */
   boolean applyStatusUpdate(StatusUpdate statusUpdate) {
     PeerState sender = peer(statusUpdate.node());
-    if (statusUpdate.incarnation() < sender.incarnation) {
+    if (statusUpdate.incarnation() < sender.incarnation()) {
       return false;
     }
-    if (statusUpdate.incarnation() > sender.incarnation) {
+    if (statusUpdate.incarnation() > sender.incarnation()) {
       sender.startIncarnation(statusUpdate.incarnation());
     }
     // statements count from 1, so a process that has none of this one's is told all
-    if (statusUpdate.serial() <= sender.serial || statusUpdate.baseSerial() > sender.serial) {
+    if (statusUpdate.serial() <= sender.serial() || statusUpdate.baseSerial() > sender.serial()) {
       return false;
     }
-    sender.lastUpdateOrdinal = ++updatesReceived;
+    sender.setLastUpdateOrdinal(++updatesReceived);
     sender.applyHeader(statusUpdate, store.incarnation(), clock.now());
     Set<String> listedMachines = applyMachines(statusUpdate, sender);
     boolean isFullUpdate = statusUpdate.baseSerial() == 0;
     if (isFullUpdate) {
-      for (String id : sender.machines) {
+      for (String id : sender.machines()) {
         if (!listedMachines.contains(id)) {
           clearLeader(statusUpdate.node(), id);
         }
       }
-      sender.machines = listedMachines;
+      sender.setMachines(listedMachines);
     } else {
-      sender.machines.addAll(listedMachines);
+      sender.machines().addAll(listedMachines);
     }
     for (String id : statusUpdate.releasedMachines()) {
-      if (sender.machines.remove(id)) {
+      if (sender.machines().remove(id)) {
         clearLeader(statusUpdate.node(), id);
       }
     }
@@ -109,23 +109,23 @@
         continue;
       }
       MachineView machine = machines.computeIfAbsent(status.machine(), MachineView::new);
-      if (machine.status != null && machine.status.fencingToken() > status.fencingToken()) {
+      if (machine.status() != null && machine.status().fencingToken() > status.fencingToken()) {
         continue;
       }
       listedMachines.add(status.machine());
-      boolean leaderChanged = !sender.node.equals(machine.leader);
-      if (leaderChanged && machine.leader != null) {
-        peer(machine.leader).machines.remove(status.machine());
+      boolean leaderChanged = !sender.node().equals(machine.leader());
+      if (leaderChanged && machine.leader() != null) {
+        peer(machine.leader()).machines().remove(status.machine());
       }
       lastUpdateChangedMachines |=
           leaderChanged
-              || machine.status == null
-              || !status.sameIgnoringElapsedTime(machine.status);
-      machine.leader = sender.node;
-      machine.leaderIncarnation = statusUpdate.incarnation();
-      machine.updatedAtMs = clock.now();
-      adjustCount(machine.status, -1);
-      machine.status = status;
+              || machine.status() == null
+              || !status.sameIgnoringElapsedTime(machine.status());
+      machine.setLeader(sender.node());
+      machine.setLeaderIncarnation(statusUpdate.incarnation());
+      machine.setUpdatedAtMs(clock.now());
+      adjustCount(machine.status(), -1);
+      machine.setStatus(status);
       adjustCount(status, 1);
     }
     return listedMachines;
@@ -164,28 +164,28 @@
 
   /** Brings what follows from the machine's tasks up to date with what its owner told last. */
   public void updateDerivedState(MachineView machine) {
-    if (machine.derivedFrom == machine.status) {
+    if (machine.derivedFrom() == machine.status()) {
       return;
     }
-    machine.derivedFrom = machine.status;
-    Set<String> images = new LinkedHashSet<>(machine.status.images());
-    machine.fetchingImages = new ArrayList<>();
-    for (TaskStatus task : machine.status.tasks()) {
+    machine.setDerivedFrom(machine.status());
+    Set<String> images = new LinkedHashSet<>(machine.status().images());
+    machine.setFetchingImages(new ArrayList<>());
+    for (TaskStatus task : machine.status().tasks()) {
       JobEntry job = task.state() == TaskState.EXITED ? null : store.job(task.job());
       if (job == null) {
         continue;
       }
       images.add(job.spec().image());
       if (task.state() == null || task.state() == TaskState.FETCHING) {
-        machine.fetchingImages.add(job.spec().image());
+        machine.fetchingImages().add(job.spec().image());
       }
     }
-    machine.images = images.toArray(new String[0]);
+    machine.setImages(images.toArray(new String[0]));
   }
 
   /** Whether replicas of services are on the machine, as its owner last told. */
   public boolean hostsReplicas(MachineView machine) {
-    for (TaskStatus task : machine.status.tasks()) {
+    for (TaskStatus task : machine.status().tasks()) {
       JobEntry job = task.state() == TaskState.EXITED ? null : store.job(task.job());
       if (job != null && job.spec().isService() && !job.isTerminal()) {
         return true;
@@ -196,14 +196,14 @@
 
   private void clearLeader(String node, String machine) {
     MachineView machineView = machines.get(machine);
-    if (machineView != null && node.equals(machineView.leader)) {
-      machineView.leader = null;
+    if (machineView != null && node.equals(machineView.leader())) {
+      machineView.setLeader(null);
     }
   }
 
   /** When the machine's owner was last heard; what it has not changed since then still holds. */
   public long lastUpdateMs(MachineView machine) {
-    return machine.leader == null ? Long.MIN_VALUE / 2 : peer(machine.leader).lastUpdateMs;
+    return machine.leader() == null ? Long.MIN_VALUE / 2 : peer(machine.leader()).lastUpdateMs();
   }
 
   /** Whether the machine's owner was heard so lately that a start has a chance there. */
@@ -215,10 +215,10 @@
   public void removeMachine(String machine) {
     MachineView machineView = machines.remove(machine);
     if (machineView != null) {
-      adjustCount(machineView.status, -1);
+      adjustCount(machineView.status(), -1);
     }
-    if (machineView != null && machineView.leader != null) {
-      peer(machineView.leader).machines.remove(machine);
+    if (machineView != null && machineView.leader() != null) {
+      peer(machineView.leader()).machines().remove(machine);
     }
   }
 
@@ -229,11 +229,11 @@
   public boolean isFullyReported(String machine, MachineEntry entry) {
     MachineView machineView = machines.get(machine);
     return machineView != null
-        && machineView.leader != null
-        && machineView.status != null
-        && machineView.leader.equals(entry.node())
-        && machineView.leaderIncarnation == entry.incarnation()
-        && machineView.status.fencingToken() == entry.fencingToken()
-        && machineView.status.tokenAcknowledged();
+        && machineView.leader() != null
+        && machineView.status() != null
+        && machineView.leader().equals(entry.node())
+        && machineView.leaderIncarnation() == entry.incarnation()
+        && machineView.status().fencingToken() == entry.fencingToken()
+        && machineView.status().tokenAcknowledged();
   }
 }
--- a/src/main/java/mallowstall/core/cluster/Connectivity.java
+++ b/src/main/java/mallowstall/core/cluster/Connectivity.java
@@ -34,7 +34,7 @@
       return true;
     }
     for (String peer : settings.peers()) {
-      if (clock.now() - view.peer(peer).cancellationsKnownAtMs >= limit) {
+      if (clock.now() - view.peer(peer).cancellationsKnownAtMs() >= limit) {
         return false;
       }
     }
@@ -51,8 +51,8 @@
   public String peerWithStateAccess() {
     for (String name : settings.peers()) {
       PeerState peer = view.peer(name);
-      if (clock.now() - peer.lastUpdateMs < Constants.STATUS_UPDATE_STALE_MS
-          && clock.now() - peer.replicaFreshAtMs
+      if (clock.now() - peer.lastUpdateMs() < Constants.STATUS_UPDATE_STALE_MS
+          && clock.now() - peer.replicaFreshAtMs()
               < Constants.STATE_CUT_OFF_MS + Constants.WATCH_TIMEOUT_MS) {
         return name;
       }
--- a/src/main/java/mallowstall/core/cluster/MachineView.java
+++ b/src/main/java/mallowstall/core/cluster/MachineView.java
@@ -10,31 +10,31 @@
 
 /** One machine as seen from here. Mutable. */
 public final class MachineView {
-  public final String id;
-  public String leader;
-  public long leaderIncarnation;
+  private final String id;
+  private String leader;
+  private long leaderIncarnation;
 
   /** When {@link #m} was told. */
-  public long updatedAtMs;
+  private long updatedAtMs;
 
-  public MachineStatus status;
+  private MachineStatus status;
 
   /** Room taken by starts sent from here and not yet in the owner's roster. */
-  double reservedCpus;
+  private double reservedCpus;
 
-  double reservedGpus;
-  double reservedMemoryGb;
+  private double reservedGpus;
+  private double reservedMemoryGb;
 
   /** Images that are there or that a task there needs, as of {@link #m}. */
-  public String[] images = {};
+  private String[] images = {};
 
   /** For each task there that waits for its image, or was only accepted, that image. */
-  public List<String> fetchingImages = List.of();
+  private List<String> fetchingImages = List.of();
 
-  MachineStatus derivedFrom;
+  private MachineStatus derivedFrom;
 
   /** Tasks there that this controller has asked to be stopped for others, until when. */
-  public final Map<TaskRef, Long> preemptedUntilMs = new HashMap<>();
+  private final Map<TaskRef, Long> preemptedUntilMs = new HashMap<>();
 
   /** Wires this module to the ones that it uses; it does nothing before its first event. */
   public MachineView(String id) {
@@ -101,4 +101,99 @@
   public long idleMs(long now) {
     return status.idleMs() == 0 ? 0 : status.idleMs() + now - updatedAtMs;
   }
+
+  /** The id. */
+  public String id() {
+    return id;
+  }
+
+  /** The leader. */
+  public String leader() {
+    return leader;
+  }
+
+  /** Sets the leader. */
+  public void setLeader(String newValue) {
+    this.leader = newValue;
+  }
+
+  /** The leader incarnation. */
+  public long leaderIncarnation() {
+    return leaderIncarnation;
+  }
+
+  /** Sets the leader incarnation. */
+  public void setLeaderIncarnation(long newValue) {
+    this.leaderIncarnation = newValue;
+  }
+
+  /** When {@link #m} was told. */
+  public long updatedAtMs() {
+    return updatedAtMs;
+  }
+
+  /** Sets the updated at, in ms of the steady clock. */
+  public void setUpdatedAtMs(long newValue) {
+    this.updatedAtMs = newValue;
+  }
+
+  /** The status. */
+  public MachineStatus status() {
+    return status;
+  }
+
+  /** Sets the status. */
+  public void setStatus(MachineStatus newValue) {
+    this.status = newValue;
+  }
+
+  /** Room taken by starts sent from here and not yet in the owner's roster. */
+  double reservedCpus() {
+    return reservedCpus;
+  }
+
+  /** The reserved gpus. */
+  double reservedGpus() {
+    return reservedGpus;
+  }
+
+  /** The reserved memory, in GB. */
+  double reservedMemoryGb() {
+    return reservedMemoryGb;
+  }
+
+  /** Images that are there or that a task there needs, as of {@link #m}. */
+  public String[] images() {
+    return images;
+  }
+
+  /** Sets the images. */
+  public void setImages(String[] newValue) {
+    this.images = newValue;
+  }
+
+  /** For each task there that waits for its image, or was only accepted, that image. */
+  public List<String> fetchingImages() {
+    return fetchingImages;
+  }
+
+  /** Sets the fetching images. */
+  public void setFetchingImages(List<String> newValue) {
+    this.fetchingImages = newValue;
+  }
+
+  /** The derived from. */
+  MachineStatus derivedFrom() {
+    return derivedFrom;
+  }
+
+  /** Sets the derived from. */
+  void setDerivedFrom(MachineStatus newValue) {
+    this.derivedFrom = newValue;
+  }
+
+  /** Tasks there that this controller has asked to be stopped for others, until when. */
+  public Map<TaskRef, Long> preemptedUntilMs() {
+    return preemptedUntilMs;
+  }
 }
--- a/src/main/java/mallowstall/core/cluster/PeerMessenger.java
+++ b/src/main/java/mallowstall/core/cluster/PeerMessenger.java
@@ -41,14 +41,14 @@
   /** A new connection to the peer stands; numbers only grow within a process. */
   public void peerConnected(String node, long connection) {
     PeerState peer = view.peer(node);
-    peer.connection = connection;
+    peer.setConnection(connection);
     // perhaps another process, which knows nothing yet
-    peer.acknowledgedSerial = 0;
+    peer.setAcknowledgedSerial(0);
     // says which connection counts from now on, so that starts lost with the last one are resolved
     effects.send(
         node,
         new StartBatch(
-            settings.node(), store.incarnation(), connection, peer.nextSequence++, List.of()));
+            settings.node(), store.incarnation(), connection, peer.takeSequence(), List.of()));
   }
 
   /** Sends starts to the controller that leads their machines. */
--- a/src/main/java/mallowstall/core/cluster/StartBatchReceiver.java
+++ b/src/main/java/mallowstall/core/cluster/StartBatchReceiver.java
@@ -17,24 +17,24 @@
   /** A controller, perhaps this one, has sent starts. */
   public void receive(StartBatch startBatch) {
     PeerState peer = view.peer(startBatch.node());
-    if (startBatch.incarnation() < peer.lastStartsIncarnation) {
+    if (startBatch.incarnation() < peer.lastStartsIncarnation()) {
       return;
     }
-    if (startBatch.incarnation() > peer.lastStartsIncarnation) {
-      peer.lastStartsIncarnation = startBatch.incarnation();
-      peer.lastStartsConnection = 0;
-      peer.lastStartsSequence = 0;
+    if (startBatch.incarnation() > peer.lastStartsIncarnation()) {
+      peer.setLastStartsIncarnation(startBatch.incarnation());
+      peer.setLastStartsConnection(0);
+      peer.setLastStartsSequence(0);
     }
     // what an older connection still delivers was already answered as never arrived
-    if (startBatch.connection() < peer.lastStartsConnection) {
+    if (startBatch.connection() < peer.lastStartsConnection()) {
       return;
     }
-    if (startBatch.connection() == peer.lastStartsConnection
-        && startBatch.sequence() <= peer.lastStartsSequence) {
+    if (startBatch.connection() == peer.lastStartsConnection()
+        && startBatch.sequence() <= peer.lastStartsSequence()) {
       return;
     }
-    peer.lastStartsConnection = startBatch.connection();
-    peer.lastStartsSequence = startBatch.sequence();
+    peer.setLastStartsConnection(startBatch.connection());
+    peer.setLastStartsSequence(startBatch.sequence());
     handler.accept(startBatch);
   }
 }
--- a/src/main/java/mallowstall/core/cluster/StatusUpdateReceiver.java
+++ b/src/main/java/mallowstall/core/cluster/StatusUpdateReceiver.java
@@ -52,7 +52,8 @@
       return;
     }
     PeerState peer = view.peer(update.node());
-    peer.cancellationsKnownAtMs =
-        Math.max(peer.cancellationsKnownAtMs, publishedAt.applyAsLong(update.acknowledgedSerial()));
+    peer.setCancellationsKnownAtMs(
+        Math.max(
+            peer.cancellationsKnownAtMs(), publishedAt.applyAsLong(update.acknowledgedSerial())));
   }
 }
--- a/src/main/java/mallowstall/core/jobs/JobLeader.java
+++ b/src/main/java/mallowstall/core/jobs/JobLeader.java
@@ -94,7 +94,7 @@
   /** Whether this controller leads the job and may place its tasks. */
   public boolean mayPlace(String id) {
     LedJob ledJob = jobs.get(id);
-    return ledJob != null && ledJob.recovered;
+    return ledJob != null && ledJob.recovered();
   }
 
   /** Tasks of the job that status updates show as running, whoever leads it. */
@@ -106,7 +106,7 @@
   /** Whether the job's tasks fail on so many machines that the job itself is at fault. */
   public boolean atFault(String id) {
     LedJob ledJob = jobs.get(id);
-    return ledJob != null && ledJob.machinesWithErrors.size() >= Constants.JOB_FAULT_MACHINES;
+    return ledJob != null && ledJob.machinesWithErrors().size() >= Constants.JOB_FAULT_MACHINES;
   }
 
   /** Processors that the pending tasks of the jobs led here need. */
@@ -114,7 +114,7 @@
     double pending = 0;
     for (LedJob ledJob : jobs.values()) {
       if (!ledJob.finished()) {
-        pending += ledJob.pending() * ledJob.spec.cpus();
+        pending += ledJob.pending() * ledJob.spec().cpus();
       }
     }
     return pending;
@@ -123,7 +123,7 @@
   /** Whether a service job is led here. */
   public boolean anyService() {
     for (LedJob ledJob : jobs.values()) {
-      if (ledJob.spec.isService()) {
+      if (ledJob.spec().isService()) {
         return true;
       }
     }
@@ -146,29 +146,29 @@
       return;
     }
     long modRevision = store.modRevision(StateStore.JOB_PREFIX + id);
-    boolean newEpoch = ledJob == null || ledJob.entry.epoch() != job.epoch();
+    boolean newEpoch = ledJob == null || ledJob.entry().epoch() != job.epoch();
     if (newEpoch) {
       if (ledJob != null) {
         removeJob(ledJob);
       }
       ledJob = new LedJob(id, job.spec());
-      ledJob.leaderSinceMs = clock.now();
-      ledJob.claimRevision = modRevision;
-      ledJob.statusUpdatesBeforeClaim = view.updatesReceived;
+      ledJob.setLeaderSinceMs(clock.now());
+      ledJob.setClaimRevision(modRevision);
+      ledJob.setStatusUpdatesBeforeClaim(view.updatesReceived);
       // the first epoch of this very process: nobody can have started anything before
-      ledJob.recovered = job.epoch() == 1;
+      ledJob.setRecovered(job.epoch() == 1);
       loadCompletionBits(ledJob, job);
       jobs.put(id, ledJob);
     }
-    if (modRevision > ledJob.modRevision) {
-      ledJob.writeOutcomeUnknown = false;
+    if (modRevision > ledJob.modRevision()) {
+      ledJob.setWriteOutcomeUnknown(false);
     }
-    if (ledJob.entry != null && job.quotaReservedTasks() > ledJob.entry.quotaReservedTasks()) {
-      ledJob.quotaIdleSinceMs = clock.now();
+    if (ledJob.entry() != null && job.quotaReservedTasks() > ledJob.entry().quotaReservedTasks()) {
+      ledJob.setQuotaIdleSinceMs(clock.now());
     }
-    ledJob.entry = job;
-    ledJob.modRevision = modRevision;
-    if (newEpoch && !ledJob.recovered) {
+    ledJob.setEntry(job);
+    ledJob.setModRevision(modRevision);
+    if (newEpoch && !ledJob.recovered()) {
       applyKnownTaskStatuses(id);
     }
     placementTrigger.request();
@@ -180,69 +180,70 @@
    */
   private void applyKnownTaskStatuses(String id) {
     for (MachineView machine : view.machines.values()) {
-      if (machine.status == null || machine.leader == null) {
+      if (machine.status() == null || machine.leader() == null) {
         continue; // its next owner tells it all
       }
-      for (TaskStatus taskStatus : machine.status.tasks()) {
+      for (TaskStatus taskStatus : machine.status().tasks()) {
         if (taskStatus.job().equals(id)) {
-          applyTaskStatus(machine.leader, machine.leaderIncarnation, machine.status, taskStatus);
+          applyTaskStatus(
+              machine.leader(), machine.leaderIncarnation(), machine.status(), taskStatus);
         }
       }
     }
   }
 
   private void loadCompletionBits(LedJob ledJob, JobEntry job) {
-    ledJob.completed.or(jobBitmaps.completedTasks(job));
-    ledJob.completedCount = ledJob.completed.cardinality();
+    ledJob.completed().or(jobBitmaps.completedTasks(job));
+    ledJob.setCompletedCount(ledJob.completed().cardinality());
   }
 
   /** Bits of the job that came after its entry, which may have been read on its own. */
   public void reloadCompletionBits(String id) {
     LedJob ledJob = jobs.get(id);
     if (ledJob != null) {
-      loadCompletionBits(ledJob, ledJob.entry);
+      loadCompletionBits(ledJob, ledJob.entry());
     }
   }
 
   private void removeJob(LedJob ledJob) {
-    jobs.remove(ledJob.id);
-    for (ActiveAttempt active : ledJob.activeAttempts.values()) {
+    jobs.remove(ledJob.id());
+    for (ActiveAttempt active : ledJob.activeAttempts().values()) {
       removeFromMachineIndex(active);
     }
   }
 
   private void removeFromMachineIndex(ActiveAttempt active) {
     unobservedStarts.remove(active);
-    Set<ActiveAttempt> attempts = attemptsByMachine.get(active.machine);
+    Set<ActiveAttempt> attempts = attemptsByMachine.get(active.machine());
     if (attempts == null) {
       return;
     }
     attempts.remove(active);
     if (attempts.isEmpty()) {
-      attemptsByMachine.remove(active.machine);
+      attemptsByMachine.remove(active.machine());
     }
   }
 
   /** Tracks an attempt until it is proven to be on no machine. */
   public void trackAttempt(ActiveAttempt active) {
-    active.job.activeAttempts.put(active.task, active);
-    active.placedAtMs = clock.now();
-    if (!active.observedOnMachine) {
+    active.job().activeAttempts().put(active.task(), active);
+    active.setPlacedAtMs(clock.now());
+    if (!active.observedOnMachine()) {
       unobservedStarts.add(active);
     }
-    attemptsByMachine.computeIfAbsent(active.machine, key -> new LinkedHashSet<>()).add(active);
+    attemptsByMachine.computeIfAbsent(active.machine(), key -> new LinkedHashSet<>()).add(active);
   }
 
   private void releaseAttempt(ActiveAttempt active, boolean retry) {
-    if (active.job.activeAttempts.get(active.task) == active) {
-      active.job.activeAttempts.remove(active.task);
+    if (active.job().activeAttempts().get(active.task()) == active) {
+      active.job().activeAttempts().remove(active.task());
     }
     removeFromMachineIndex(active);
-    if (active.job.activeAttempts.isEmpty() || active.job.quotaIdleSinceMs == 0) {
-      active.job.quotaIdleSinceMs = clock.now();
+    if (active.job().activeAttempts().isEmpty() || active.job().quotaIdleSinceMs() == 0) {
+      active.job().setQuotaIdleSinceMs(clock.now());
     }
-    if (retry && !active.job.completed.get(active.task)) {
-      active.job.requeue(active.task);
+    if (retry && !active.job().completed().get(active.task())) {
+      active.job().requeue(active.task());
     }
     placementTrigger.request();
   }
@@ -255,7 +256,7 @@
     }
     for (MachineStatus status : update.machines()) {
       MachineView machineView = view.machines.get(status.machine());
-      if (machineView != null && machineView.status == status) { // else a larger term is known
+      if (machineView != null && machineView.status() == status) { // else a larger term is known
         applyMachineStatus(update, status);
       }
     }
@@ -263,13 +264,13 @@
     // without anything new on the machine if the start never arrived.
     PeerState peer = view.peer(update.node());
     for (ActiveAttempt active : new ArrayList<>(unobservedStarts)) {
-      MachineView machine = view.machines.get(active.machine);
+      MachineView machine = view.machines.get(active.machine());
       boolean reported =
           machine != null
-              && machine.status != null
-              && update.node().equals(machine.leader)
-              && machine.status.tokenAcknowledged();
-      if (!active.inLatestStatus && reported && startOutcomeKnown(active, update, peer)) {
+              && machine.status() != null
+              && update.node().equals(machine.leader())
+              && machine.status().tokenAcknowledged();
+      if (!active.inLatestStatus() && reported && startOutcomeKnown(active, update, peer)) {
         attemptTerminated(active);
       }
     }
@@ -280,7 +281,7 @@
     Set<ActiveAttempt> attempts = attemptsByMachine.get(status.machine());
     if (attempts != null) {
       for (ActiveAttempt active : attempts) {
-        active.inLatestStatus = false;
+        active.setInLatestStatus(false);
       }
     }
     for (TaskStatus taskStatus : status.tasks()) {
@@ -291,8 +292,8 @@
     }
     for (ActiveAttempt active : new ArrayList<>(attempts)) {
       // a later session of the machine has none of an earlier one's tasks, whoever owns it
-      boolean reported = status.tokenAcknowledged() || status.session() > active.workerSession;
-      if (!active.inLatestStatus && active.observedOnMachine && reported) {
+      boolean reported = status.tokenAcknowledged() || status.session() > active.workerSession();
+      if (!active.inLatestStatus() && active.observedOnMachine() && reported) {
         attemptTerminated(active);
       }
     }
@@ -301,30 +302,30 @@
   private void attemptTerminated(ActiveAttempt active) {
     LOG.debug(
         "task {}/{} attempt {} is no longer on {}",
-        active.job.id,
-        active.task,
-        active.attempt,
-        active.machine);
+        active.job().id(),
+        active.task(),
+        active.attempt(),
+        active.machine());
     releaseAttempt(active, true);
   }
 
   /** Whether this roster already tells the outcome of a start that was only sent. */
   private boolean startOutcomeKnown(ActiveAttempt active, StatusUpdate update, PeerState peer) {
-    if (!active.machineLeader.equals(update.node())) {
+    if (!active.machineLeader().equals(update.node())) {
       // The machine has moved, but the start may still be on its way to the owner it was sent to,
       // which may own the machine again by the time it arrives.
-      peer = view.peer(active.machineLeader);
-      if (clock.now() - active.placedAtMs
+      peer = view.peer(active.machineLeader());
+      if (clock.now() - active.placedAtMs()
           > Constants.START_EXPIRY_MS + Constants.START_EXPIRY_MARGIN_MS) {
         return true;
       }
     }
-    if (peer.incarnation > active.machineLeaderIncarnation) {
+    if (peer.incarnation() > active.machineLeaderIncarnation()) {
       return true;
     }
-    return peer.acknowledgedConnection > active.connection
-        || (peer.acknowledgedConnection == active.connection
-            && peer.acknowledgedSequence >= active.sequence);
+    return peer.acknowledgedConnection() > active.connection()
+        || (peer.acknowledgedConnection() == active.connection()
+            && peer.acknowledgedSequence() >= active.sequence());
   }
 
   private void handleStartRejection(StartRejection rejection) {
@@ -332,22 +333,24 @@
     if (ledJob == null) {
       return;
     }
-    ActiveAttempt active = ledJob.activeAttempts.get(rejection.task());
-    if (active == null || active.attempt != rejection.attempt() || active.observedOnMachine) {
+    ActiveAttempt active = ledJob.activeAttempts().get(rejection.task());
+    if (active == null || active.attempt() != rejection.attempt() || active.observedOnMachine()) {
       return;
     }
     boolean retrySoon = rejection.reason().equals(StartRejection.JOB_NOT_KNOWN);
-    if (retrySoon && ledJob.spec.isService()) {
+    if (retrySoon && ledJob.spec().isService()) {
       // tried meanwhile, all replicas went to the one machine whose owner knew of the job
-      ledJob.startNotBeforeMs =
-          Math.max(ledJob.startNotBeforeMs, clock.now() + Constants.REPLICA_LAG_COOLDOWN_MS);
-    }
-    ledJob.machineCooldownUntilMs.put(
-        rejection.machine(),
-        clock.now()
-            + (retrySoon
-                ? Constants.REPLICA_LAG_COOLDOWN_MS
-                : Constants.START_REJECTED_COOLDOWN_MS));
+      ledJob.setStartNotBeforeMs(
+          Math.max(ledJob.startNotBeforeMs(), clock.now() + Constants.REPLICA_LAG_COOLDOWN_MS));
+    }
+    ledJob
+        .machineCooldownUntilMs()
+        .put(
+            rejection.machine(),
+            clock.now()
+                + (retrySoon
+                    ? Constants.REPLICA_LAG_COOLDOWN_MS
+                    : Constants.START_REJECTED_COOLDOWN_MS));
     releaseAttempt(active, true);
   }
 
@@ -355,26 +358,27 @@
   private void applyTaskStatus(
       String machineLeader, long incarnation, MachineStatus status, TaskStatus taskStatus) {
     LedJob ledJob = jobs.get(taskStatus.job());
-    if (ledJob == null || taskStatus.task() >= ledJob.spec.tasks()) {
+    if (ledJob == null || taskStatus.task() >= ledJob.spec().tasks()) {
       return;
     }
-    ActiveAttempt active = ledJob.activeAttempts.get(taskStatus.task());
+    ActiveAttempt active = ledJob.activeAttempts().get(taskStatus.task());
     boolean sameAttempt =
         active != null
-            && active.attempt == taskStatus.attempt()
-            && active.machine.equals(status.machine());
+            && active.attempt() == taskStatus.attempt()
+            && active.machine().equals(status.machine());
     if (sameAttempt) {
-      active.inLatestStatus = true;
+      active.setInLatestStatus(true);
     }
     if (taskStatus.state() == TaskState.RUNNING || taskStatus.exitReason() == ExitReason.DONE) {
-      ledJob.lastRunningMs = clock.now();
+      ledJob.setLastRunningMs(clock.now());
     }
     if (taskStatus.state() == TaskState.EXITED) {
       handleTaskExit(ledJob, sameAttempt ? active : null, status.machine(), taskStatus);
     } else if (sameAttempt) {
       markObserved(active, status, taskStatus);
-    } else if (!ledJob.completed.get(
-        taskStatus.task())) { // else its owner stops it once the bit is recorded
+    } else if (!ledJob
+        .completed()
+        .get(taskStatus.task())) { // else its owner stops it once the bit is recorded
       resolveAttemptConflict(ledJob, active, machineLeader, incarnation, status, taskStatus);
     }
   }
@@ -382,16 +386,14 @@
   /** A task has ended; {@code active}: the attempt that is known here, if it is that one. */
   private void handleTaskExit(
       LedJob ledJob, ActiveAttempt active, String machine, TaskStatus taskStatus) {
-    if (ledJob.spec.isService()) {
+    if (ledJob.spec().isService()) {
       if (active != null) {
         handleReplicaExit(active, machine, taskStatus.exitReason());
       }
     } else if (taskStatus.exitReason() == ExitReason.DONE) {
-      if (!ledJob.completed.get(taskStatus.task())) {
-        ledJob.completed.set(taskStatus.task());
-        ledJob.completedCount++;
-        ledJob.dirtyPieces.add(JobBitmaps.pieceIndex(taskStatus.task()));
-        ledJob.machinesWithErrors.clear();
+      if (!ledJob.completed().get(taskStatus.task())) {
+        ledJob.markCompleted(taskStatus.task());
+        ledJob.machinesWithErrors().clear();
       }
       if (active != null) {
         releaseAttempt(active, false);
@@ -404,14 +406,14 @@
 
   /** The attempt is where it was sent. */
   private void markObserved(ActiveAttempt active, MachineStatus status, TaskStatus taskStatus) {
-    if (taskStatus.state() == TaskState.RUNNING && active.runningSinceMs == 0) {
-      active.runningSinceMs = clock.now();
+    if (taskStatus.state() == TaskState.RUNNING && active.runningSinceMs() == 0) {
+      active.setRunningSinceMs(clock.now());
     }
     if (taskStatus.state() != null) {
       // from now on only its owner's list says where it is
-      active.observedOnMachine = true;
-      active.workerSession = status.session();
-      active.state = taskStatus.state();
+      active.setObservedOnMachine(true);
+      active.setWorkerSession(status.session());
+      active.setState(taskStatus.state());
       unobservedStarts.remove(active);
     }
   }
@@ -426,26 +428,27 @@
       TaskStatus taskStatus) {
     if (active == null) {
       trackDiscoveredAttempt(ledJob, machineLeader, incarnation, status, taskStatus);
-    } else if (taskStatus.attempt() > active.attempt) {
+    } else if (taskStatus.attempt() > active.attempt()) {
       // both are on machines: the task isn't free before the later one is gone too
       releaseAttempt(active, false);
       applyTaskStatus(machineLeader, incarnation, status, taskStatus);
-    } else if (taskStatus.attempt() < active.attempt
+    } else if (taskStatus.attempt() < active.attempt()
         && status.tokenAcknowledged()
         && store.isSessionValid()) {
       // without a session what is known here may be old: a controller cut off from the state
       // service called tasks doubled that were on a machine returned meanwhile
       LOG.error(
           "task {}/{} attempt {} is on {} beside attempt {} on {}",
-          ledJob.id,
+          ledJob.id(),
           taskStatus.task(),
           taskStatus.attempt(),
           status.machine(),
-          active.attempt,
-          active.machine);
+          active.attempt(),
+          active.machine());
       messenger.sendStop(
           machineLeader,
-          new StopRequest(status.machine(), ledJob.id, taskStatus.task(), taskStatus.attempt(), 0));
+          new StopRequest(
+              status.machine(), ledJob.id(), taskStatus.task(), taskStatus.attempt(), 0));
     }
   }
 
@@ -467,17 +470,17 @@
             incarnation,
             0,
             0);
-    discovered.observedOnMachine = true;
-    discovered.state = taskStatus.state();
-    discovered.inLatestStatus = true;
-    discovered.workerSession = status.session();
+    discovered.setObservedOnMachine(true);
+    discovered.setState(taskStatus.state());
+    discovered.setInLatestStatus(true);
+    discovered.setWorkerSession(status.session());
     if (taskStatus.state() == TaskState.RUNNING) {
-      discovered.runningSinceMs = clock.now();
+      discovered.setRunningSinceMs(clock.now());
     }
     trackAttempt(discovered);
     LOG.debug(
         "task {}/{} attempt {} found on {}",
-        ledJob.id,
+        ledJob.id(),
         taskStatus.task(),
         taskStatus.attempt(),
         status.machine());
@@ -486,52 +489,55 @@
   /** A task has ended and must run again: remembers where it shouldn't be tried. */
   private void recordFailedAttempt(ActiveAttempt active, ExitReason reason) {
     if (reason == ExitReason.ERROR) {
-      recordTaskError(active.job, active.machine);
+      recordTaskError(active.job(), active.machine());
     } else if (reason == ExitReason.INSUFFICIENT_CAPACITY) {
-      active.job.machineCooldownUntilMs.put(
-          active.machine, clock.now() + Constants.INSUFFICIENT_CAPACITY_COOLDOWN_MS);
+      active
+          .job()
+          .machineCooldownUntilMs()
+          .put(active.machine(), clock.now() + Constants.INSUFFICIENT_CAPACITY_COOLDOWN_MS);
     }
     LOG.info(
         "task {}/{} attempt {} ended on {}: {}",
-        active.job.id,
-        active.task,
-        active.attempt,
-        active.machine,
+        active.job().id(),
+        active.task(),
+        active.attempt(),
+        active.machine(),
         reason);
   }
 
   /** Whatever a replica says of its end, it must run again until its job is cancelled. */
   private void handleReplicaExit(ActiveAttempt active, String machine, ExitReason reason) {
-    LedJob ledJob = active.job;
-    long ranMs = active.runningSinceMs == 0 ? 0 : clock.now() - active.runningSinceMs;
+    LedJob ledJob = active.job();
+    long ranMs = active.runningSinceMs() == 0 ? 0 : clock.now() - active.runningSinceMs();
     // errors of long ago, each on another machine, don't make it the job's own fault
     if (ranMs >= Constants.REPLICA_STABLE_MS) {
-      ledJob.machinesWithErrors.clear();
+      ledJob.machinesWithErrors().clear();
     }
     recordFailedAttempt(active, reason);
     // its result is kept there; for longer than it waits, so that it is tried elsewhere
     if (reason == ExitReason.DONE) {
-      ledJob.machineCooldownUntilMs.put(machine, clock.now() + Constants.JOB_MACHINE_COOLDOWN_MS);
+      ledJob.machineCooldownUntilMs().put(machine, clock.now() + Constants.JOB_MACHINE_COOLDOWN_MS);
     }
     boolean startFailed =
         reason == ExitReason.STOPPED
             || reason == ExitReason.INSUFFICIENT_CAPACITY
             || reason == ExitReason.BUSY;
-    boolean startable = startFailed || ledJob.restarts.recordExit(active.task, ranMs, clock.now());
+    boolean startable =
+        startFailed || ledJob.restarts().recordExit(active.task(), ranMs, clock.now());
     releaseAttempt(active, startable);
   }
 
   private void recordTaskError(LedJob ledJob, String machine) {
     long now = clock.now();
-    ledJob.machinesWithErrors.add(machine);
-    ledJob.machineCooldownUntilMs.put(machine, now + Constants.JOB_MACHINE_COOLDOWN_MS);
+    ledJob.machinesWithErrors().add(machine);
+    ledJob.machineCooldownUntilMs().put(machine, now + Constants.JOB_MACHINE_COOLDOWN_MS);
     // replicas wait one by one: the others may be well
-    if (ledJob.machinesWithErrors.size() >= Constants.JOB_FAULT_MACHINES
-        && !ledJob.spec.isService()) {
-      ledJob.startNotBeforeMs = now + Constants.JOB_FAULT_RETRY_INTERVAL_MS;
+    if (ledJob.machinesWithErrors().size() >= Constants.JOB_FAULT_MACHINES
+        && !ledJob.spec().isService()) {
+      ledJob.setStartNotBeforeMs(now + Constants.JOB_FAULT_RETRY_INTERVAL_MS);
       LOG.info(
           "job {} fails on every machine, next try in {} ms",
-          ledJob.id,
+          ledJob.id(),
           Constants.JOB_FAULT_RETRY_INTERVAL_MS);
     }
   }
@@ -544,7 +550,11 @@
     }
     for (ActiveAttempt active : new ArrayList<>(attempts)) {
       LOG.debug(
-          "task {}/{} attempt {} is gone with {}", active.job.id, active.task, active.attempt, id);
+          "task {}/{} attempt {} is gone with {}",
+          active.job().id(),
+          active.task(),
+          active.attempt(),
+          id);
       releaseAttempt(active, true);
     }
   }
@@ -558,8 +568,8 @@
     for (String id : new ArrayList<>(attemptsByMachine.keySet())) {
       MachineView machineView = view.machines.get(id);
       if (machineView == null
-          || machineView.status == null
-          || !store.returned(id, machineView.status.entryRevision())) {
+          || machineView.status() == null
+          || !store.returned(id, machineView.status().entryRevision())) {
         continue;
       }
       view.removeMachine(id);
@@ -577,8 +587,8 @@
     completeRecoveries();
     claimLeaderlessJobs();
     for (LedJob ledJob : new ArrayList<>(jobs.values())) {
-      if (ledJob.spec.isService()) {
-        ledJob.restarts.releaseDue(clock.now(), ledJob::requeue);
+      if (ledJob.spec().isService()) {
+        ledJob.restarts().releaseDue(clock.now(), ledJob::requeue);
       }
       // a service has no bits, but a change of unknown outcome is resolved by the next write
       writeEntryIfDue(ledJob);
@@ -592,7 +602,7 @@
   private void completeRecoveries() {
     boolean anyRecovering = false;
     for (LedJob ledJob : jobs.values()) {
-      anyRecovering |= !ledJob.recovered;
+      anyRecovering |= !ledJob.recovered();
     }
     if (!anyRecovering) {
       return;
@@ -607,9 +617,9 @@
       String id = entry.getKey().substring(StateStore.MACHINE_PREFIX.length());
       MachineView machine = view.machines.get(id);
       PeerState peer = view.peer(machineEntry.node());
-      long revision = view.isFullyReported(id, machineEntry) ? peer.replicaRevision : -1;
+      long revision = view.isFullyReported(id, machineEntry) ? peer.replicaRevision() : -1;
       if (revision >= 0) {
-        oldestUpdate = Math.min(oldestUpdate, peer.lastUpdateOrdinal);
+        oldestUpdate = Math.min(oldestUpdate, peer.lastUpdateOrdinal());
       }
       if (revision < coveredRevision) {
         coveredRevision = revision;
@@ -617,22 +627,22 @@
       }
     }
     for (LedJob ledJob : jobs.values()) {
-      if (ledJob.recovered || ledJob.claimRevision > store.revision()) {
+      if (ledJob.recovered() || ledJob.claimRevision() > store.revision()) {
         continue;
       }
       // A roster may know of the claim before its claimant does, whose own answer was slow. Its
       // tasks went unnoticed then, and one was started twice: only rosters received since count.
-      if (coveredRevision >= ledJob.claimRevision
-          && oldestUpdate > ledJob.statusUpdatesBeforeClaim) {
-        ledJob.recovered = true;
+      if (coveredRevision >= ledJob.claimRevision()
+          && oldestUpdate > ledJob.statusUpdatesBeforeClaim()) {
+        ledJob.setRecovered(true);
         LOG.info(
             "job {} epoch {} rebuilt: {} tasks on machines",
-            ledJob.id,
-            ledJob.entry.epoch(),
-            ledJob.activeAttempts.size());
+            ledJob.id(),
+            ledJob.entry().epoch(),
+            ledJob.activeAttempts().size());
         placementTrigger.request();
       } else {
-        LOG.debug("job {} waits for machine {}", ledJob.id, blockingMachine);
+        LOG.debug("job {} waits for machine {}", ledJob.id(), blockingMachine);
       }
     }
   }
@@ -707,27 +717,27 @@
   private void writeEntryIfDue(LedJob ledJob) {
     long now = clock.now();
     boolean allCompleted =
-        !ledJob.spec.isService()
-            && ledJob.completedCount == ledJob.spec.tasks()
+        !ledJob.spec().isService()
+            && ledJob.completedCount() == ledJob.spec().tasks()
             && !ledJob.finished();
-    boolean layoutOutdated = jobBitmaps.needsLayoutMigration(ledJob.entry);
-    if (ledJob.dirtyPieces.isEmpty()
+    boolean layoutOutdated = jobBitmaps.needsLayoutMigration(ledJob.entry());
+    if (ledJob.dirtyPieces().isEmpty()
         && !allCompleted
-        && !ledJob.writeOutcomeUnknown
+        && !ledJob.writeOutcomeUnknown()
         && !layoutOutdated) {
       return;
     }
-    if (!ledJob.writeRetry.isDue(now) || !completionBitsReplicated(ledJob)) {
+    if (!ledJob.writeRetry().isDue(now) || !completionBitsReplicated(ledJob)) {
       return;
     }
-    if (ledJob.writeInFlight
-        || ledJob.quotaWriteInFlight
-        || (!allCompleted && now - ledJob.lastWriteMs < Constants.JOB_WRITE_INTERVAL_MIN_MS)) {
+    if (ledJob.writeInFlight()
+        || ledJob.quotaWriteInFlight()
+        || (!allCompleted && now - ledJob.lastWriteMs() < Constants.JOB_WRITE_INTERVAL_MIN_MS)) {
       return;
     }
-    if (ledJob.finished() && ledJob.entry.outcome() == JobOutcome.CANCELLED) {
-      ledJob.dirtyPieces.clear();
-      if (!ledJob.writeOutcomeUnknown && !layoutOutdated) {
+    if (ledJob.finished() && ledJob.entry().outcome() == JobOutcome.CANCELLED) {
+      ledJob.dirtyPieces().clear();
+      if (!ledJob.writeOutcomeUnknown() && !layoutOutdated) {
         return;
       }
     }
@@ -738,38 +748,38 @@
   private void writeCompletion(LedJob ledJob, long now) {
     JobBitmaps.Write write =
         jobBitmaps.writeRecordingCompletions(
-            ledJob.entry, ledJob.modRevision, ledJob.completed, ledJob.dirtyPieces);
-    List<Integer> pieces = new ArrayList<>(ledJob.dirtyPieces);
+            ledJob.entry(), ledJob.modRevision(), ledJob.completed(), ledJob.dirtyPieces());
+    List<Integer> pieces = new ArrayList<>(ledJob.dirtyPieces());
     pieces.retainAll(write.pieces());
-    ledJob.writeInFlight = true;
-    ledJob.lastWriteMs = now;
-    ledJob.dirtyPieces.removeAll(pieces);
+    ledJob.setWriteInFlight(true);
+    ledJob.setLastWriteMs(now);
+    ledJob.dirtyPieces().removeAll(pieces);
     boolean accepted =
         store.transact(
             StateStore.Urgency.JOB,
             new Transaction(write.conditions(), write.puts(), List.of()),
             reply -> handleWriteResult(ledJob, pieces, reply.code()));
     if (!accepted) {
-      ledJob.writeInFlight = false;
-      ledJob.dirtyPieces.addAll(pieces);
+      ledJob.setWriteInFlight(false);
+      ledJob.dirtyPieces().addAll(pieces);
     }
   }
 
   private void handleWriteResult(LedJob ledJob, List<Integer> pieces, ResultCode code) {
-    ledJob.writeInFlight = false;
-    ledJob.writeRetry.recordResult(clock.now(), code);
+    ledJob.setWriteInFlight(false);
+    ledJob.writeRetry().recordResult(clock.now(), code);
     if (code == ResultCode.OK) {
       return;
     }
     // not known to be recorded: the next write says all of it again
-    ledJob.dirtyPieces.addAll(pieces);
+    ledJob.dirtyPieces().addAll(pieces);
     if (code == ResultCode.OUTCOME_UNKNOWN) {
-      ledJob.writeOutcomeUnknown = true;
+      ledJob.setWriteOutcomeUnknown(true);
     }
     if (code == ResultCode.CONFLICT) {
       refreshEntry(ledJob);
     } else {
-      ledJob.lastWriteMs = clock.now() + Constants.STATE_RETRY_MS;
+      ledJob.setLastWriteMs(clock.now() + Constants.STATE_RETRY_MS);
     }
   }
 
@@ -778,22 +788,22 @@
    * been read on its own, and pieces written without them would take bits back.
    */
   private boolean completionBitsReplicated(LedJob ledJob) {
-    return JobBitmaps.isInline(ledJob.spec) || ledJob.claimRevision <= store.revision();
+    return JobBitmaps.isInline(ledJob.spec()) || ledJob.claimRevision() <= store.revision();
   }
 
   /** After a failed comparison the mirror may lag: learn the entry before the next try. */
   public void refreshEntry(LedJob ledJob) {
-    ledJob.writeInFlight = true;
+    ledJob.setWriteInFlight(true);
     boolean accepted =
         store.read(
             StateStore.Urgency.JOB,
-            StateStore.JOB_PREFIX + ledJob.id,
+            StateStore.JOB_PREFIX + ledJob.id(),
             reply -> {
-              ledJob.writeInFlight = false;
-              ledJob.lastWriteMs = clock.now();
+              ledJob.setWriteInFlight(false);
+              ledJob.setLastWriteMs(clock.now());
             });
     if (!accepted) {
-      ledJob.writeInFlight = false;
+      ledJob.setWriteInFlight(false);
     }
   }
 }
--- a/src/main/java/mallowstall/core/machines/DirectCommands.java
+++ b/src/main/java/mallowstall/core/machines/DirectCommands.java
@@ -79,10 +79,10 @@
     machinesWithPendingCommands.clear();
     for (ManagedMachine machine : batch) {
       if (!machines.isCurrent(machine)
-          || machine.pendingStops.isEmpty() && machine.reservations.isEmpty()) {
+          || machine.pendingStops().isEmpty() && machine.reservations().isEmpty()) {
         continue;
       }
-      if (clock.now() - machine.commandSentAtMs < Constants.COMMAND_REQUEST_INTERVAL_MIN_MS) {
+      if (clock.now() - machine.commandSentAtMs() < Constants.COMMAND_REQUEST_INTERVAL_MIN_MS) {
         machinesWithPendingCommands.add(machine);
       } else {
         sendPending(machine);
@@ -102,7 +102,7 @@
       commands.add(
           new WorkerCommand(CommandKind.START, start.job(), start.task(), start.attempt(), 0));
       reservation.sent = true;
-      machine.unacknowledgedStarts.put(new TaskKey(start.job(), start.task()), start.attempt());
+      machine.unacknowledgedStarts().put(new TaskKey(start.job(), start.task()), start.attempt());
     }
     if (!commands.isEmpty()) {
       send(machine, commands);
@@ -111,44 +111,50 @@
 
   /** Whether a command may be sent to the machine now. */
   private boolean reachable(ManagedMachine machine) {
-    return !machine.commandInFlight
-        && !machine.commandOutcomeUnknown
-        && !machine.tokenWriteInFlight
-        && machine.address != null
-        && machine.workerSession != 0
-        && machine.tokenAcknowledged
+    return !machine.commandInFlight()
+        && !machine.commandOutcomeUnknown()
+        && !machine.tokenWriteInFlight()
+        && machine.address() != null
+        && machine.workerSession() != 0
+        && machine.tokenAcknowledged()
         && !machines.unresponsive(machine)
         && connectivity.mayRenewWorkerLeases();
   }
 
   private static List<WorkerCommand> stopsFor(ManagedMachine machine) {
     List<WorkerCommand> commands = new ArrayList<>();
-    machine.pendingStops.forEach(
-        (key, stop) -> {
-          TaskReport task =
-              machine.tasks.get(new TaskAttempt(key.job(), key.task(), stop.attempt()));
-          boolean running =
-              task != null
-                  && task.state() != TaskState.EXITED
-                  && task.state() != TaskState.CHECKPOINTING;
-          if (running) {
-            commands.add(
-                new WorkerCommand(
-                    CommandKind.STOP, key.job(), key.task(), stop.attempt(), stop.gracePeriodS()));
-          }
-        });
+    machine
+        .pendingStops()
+        .forEach(
+            (key, stop) -> {
+              TaskReport task =
+                  machine.tasks().get(new TaskAttempt(key.job(), key.task(), stop.attempt()));
+              boolean running =
+                  task != null
+                      && task.state() != TaskState.EXITED
+                      && task.state() != TaskState.CHECKPOINTING;
+              if (running) {
+                commands.add(
+                    new WorkerCommand(
+                        CommandKind.STOP,
+                        key.job(),
+                        key.task(),
+                        stop.attempt(),
+                        stop.gracePeriodS()));
+              }
+            });
     return commands;
   }
 
   /** Accepted starts that haven't been sent, as many at most. */
   private List<Reservation> startsFor(ManagedMachine machine, int limit) {
     List<Reservation> starts = new ArrayList<>();
-    for (Reservation reservation : machine.reservations.values()) {
+    for (Reservation reservation : machine.reservations().values()) {
       StartRequest start = reservation.request;
       JobEntry job = store.job(start.job());
       boolean due =
           !reservation.sent
-              && !machine.pendingStops.containsKey(new TaskKey(start.job(), start.task()))
+              && !machine.pendingStops().containsKey(new TaskKey(start.job(), start.task()))
               && job != null
               && !cancellations.isOver(start.job(), job)
               && clock.wallClockMs() <= start.expiryWallMs();
@@ -160,17 +166,17 @@
   }
 
   private void send(ManagedMachine machine, List<WorkerCommand> commands) {
-    machine.commandInFlight = true;
-    machine.commandSentAtMs = clock.now();
-    long session = machine.workerSession;
+    machine.setCommandInFlight(true);
+    machine.setCommandSentAtMs(clock.now());
+    long session = machine.workerSession();
     effects.sendCommands(
-        machine.address,
-        machine.fencingToken,
+        machine.address(),
+        machine.fencingToken(),
         session,
         commands,
         reply -> {
-          machine.commandInFlight = false;
-          if (machines.isCurrent(machine) && machine.workerSession == session) {
+          machine.setCommandInFlight(false);
+          if (machines.isCurrent(machine) && machine.workerSession() == session) {
             handleResult(machine, reply);
           }
         });
@@ -178,22 +184,22 @@
 
   private void handleResult(ManagedMachine machine, CommandResult reply) {
     if (reply.code() == ResultCode.OUTCOME_UNKNOWN) {
-      if (machine.unacknowledgedStarts.isEmpty()) {
+      if (machine.unacknowledgedStarts().isEmpty()) {
         return;
       }
-      LOG.info("commands to {} went astray: raising its term", machine.id);
-      machine.commandOutcomeUnknown = true;
+      LOG.info("commands to {} went astray: raising its term", machine.id());
+      machine.setCommandOutcomeUnknown(true);
       fencingTokens.raise(machine);
       return;
     }
     machine.clearUnacknowledgedStarts();
     Heartbeat heartbeat = reply.heartbeat();
     if (heartbeat != null
-        && !machine.leaseExpired
-        && heartbeat.machine().equals(machine.id)
-        && (heartbeat.session() > machine.workerSession
-            || (heartbeat.session() == machine.workerSession
-                && heartbeat.sequence() > machine.latestHeartbeatSequence))) {
+        && !machine.leaseExpired()
+        && heartbeat.machine().equals(machine.id())
+        && (heartbeat.session() > machine.workerSession()
+            || (heartbeat.session() == machine.workerSession()
+                && heartbeat.sequence() > machine.latestHeartbeatSequence()))) {
       heartbeatHandler.apply(machine, heartbeat, false);
     }
     machinesWithPendingCommands.add(machine);
--- a/src/main/java/mallowstall/core/machines/FencingTokens.java
+++ b/src/main/java/mallowstall/core/machines/FencingTokens.java
@@ -20,30 +20,30 @@
    * Once the worker has shown a larger term, commands that went astray under the old one are dead.
    */
   void raise(ManagedMachine machine) {
-    if (machine.tokenWriteInFlight || machine.tokenRaised) {
+    if (machine.tokenWriteInFlight() || machine.tokenRaised()) {
       return;
     }
-    machine.tokenWriteInFlight = true;
+    machine.setTokenWriteInFlight(true);
     boolean accepted =
         entryWriter.writeEntry(
-            machine.id,
-            machine.type.name(),
-            machine.zone,
-            machine.spot,
+            machine.id(),
+            machine.type().name(),
+            machine.zone(),
+            machine.spot(),
             reply -> {
-              machine.tokenWriteInFlight = false;
+              machine.setTokenWriteInFlight(false);
               if (reply.code() != ResultCode.OK || !machines.isCurrent(machine)) {
                 return;
               }
-              machine.fencingToken = reply.revision();
-              machine.modRevision = reply.revision();
-              machine.tokenAcknowledged = false;
-              machine.tokenRaised = true;
-              machine.statusChanged = true;
+              machine.setFencingToken(reply.revision());
+              machine.setModRevision(reply.revision());
+              machine.setTokenAcknowledged(false);
+              machine.setTokenRaised(true);
+              machine.setStatusChanged(true);
               statusPublisher.requestPublish();
             });
     if (!accepted) {
-      machine.tokenWriteInFlight = false;
+      machine.setTokenWriteInFlight(false);
     }
   }
 }
--- a/src/main/java/mallowstall/core/machines/HeartbeatHandler.java
+++ b/src/main/java/mallowstall/core/machines/HeartbeatHandler.java
@@ -84,39 +84,39 @@
   void apply(ManagedMachine machine, Heartbeat heartbeat, boolean sentByWorker) {
     long now = clock.now();
     boolean statusChanged = changesBeyondTasks(machine, heartbeat);
-    if (heartbeat.session() > machine.workerSession) {
+    if (heartbeat.session() > machine.workerSession()) {
       beginSession(machine, now);
     }
     if (sentByWorker) {
-      machine.handledHeartbeatSequence = heartbeat.sequence();
+      machine.setHandledHeartbeatSequence(heartbeat.sequence());
     }
-    if (machine.commandOutcomeUnknown
-        && !machine.tokenWriteInFlight
-        && heartbeat.fencingToken() >= machine.fencingToken
-        && machine.tokenRaised) {
+    if (machine.commandOutcomeUnknown()
+        && !machine.tokenWriteInFlight()
+        && heartbeat.fencingToken() >= machine.fencingToken()
+        && machine.tokenRaised()) {
       machine.clearUnacknowledgedStarts();
     }
-    machine.workerSession = heartbeat.session();
-    machine.latestHeartbeatSequence = heartbeat.sequence();
-    machine.lastHeartbeatMs = now;
-    machine.address = heartbeat.address();
-    machine.leaseExpired = false;
-    if (heartbeat.fencingToken() >= machine.fencingToken) {
-      machine.tokenAcknowledged = true;
+    machine.setWorkerSession(heartbeat.session());
+    machine.setLatestHeartbeatSequence(heartbeat.sequence());
+    machine.setLastHeartbeatMs(now);
+    machine.setAddress(heartbeat.address());
+    machine.setLeaseExpired(false);
+    if (heartbeat.fencingToken() >= machine.fencingToken()) {
+      machine.setTokenAcknowledged(true);
     }
-    machine.terminationDeadlineMs =
+    machine.setTerminationDeadlineMs(
         heartbeat.interruptionNoticeS() == null
             ? Long.MAX_VALUE
-            : now + (long) (heartbeat.interruptionNoticeS() * 1000);
+            : now + (long) (heartbeat.interruptionNoticeS() * 1000));
     statusChanged |= applyTasks(machine, heartbeat);
     statusChanged |= removeSettledReservations(machine, sentByWorker);
     if (!machine.idle()) {
-      machine.idleSinceMs = 0;
-    } else if (machine.idleSinceMs == 0) {
-      machine.idleSinceMs = now;
+      machine.setIdleSinceMs(0);
+    } else if (machine.idleSinceMs() == 0) {
+      machine.setIdleSinceMs(now);
     }
     if (statusChanged) {
-      machine.statusChanged = true;
+      machine.setStatusChanged(true);
       statusPublisher.requestPublish();
     }
   }
@@ -126,32 +126,32 @@
    * nothing new must cost nothing: most do, and each once made a statement to every peer.
    */
   private static boolean changesBeyondTasks(ManagedMachine machine, Heartbeat heartbeat) {
-    return machine.leaseExpired
-        || heartbeat.session() != machine.workerSession
-        || heartbeat.fencingToken() >= machine.fencingToken && !machine.tokenAcknowledged
+    return machine.leaseExpired()
+        || heartbeat.session() != machine.workerSession()
+        || heartbeat.fencingToken() >= machine.fencingToken() && !machine.tokenAcknowledged()
         || (heartbeat.interruptionNoticeS() == null)
-            != (machine.terminationDeadlineMs == Long.MAX_VALUE)
-        || !Objects.equals(heartbeat.address(), machine.address);
+            != (machine.terminationDeadlineMs() == Long.MAX_VALUE)
+        || !Objects.equals(heartbeat.address(), machine.address());
   }
 
   /** The worker has begun a session that wasn't known: the tasks of earlier ones are gone. */
   private void beginSession(ManagedMachine machine, long now) {
-    machine.publishedExits.clear();
+    machine.publishedExits().clear();
     machine.clearUnacknowledgedStarts(); // the worker refuses commands for an earlier session
-    machine.handledHeartbeatSequence = 0;
-    if (machine.workerSession != 0
-        && machine.tokenAcknowledged
-        && now - machine.lastResponseMs < settings.workerLeaseMs() / 2) {
+    machine.setHandledHeartbeatSequence(0);
+    if (machine.workerSession() != 0
+        && machine.tokenAcknowledged()
+        && now - machine.lastResponseMs() < settings.workerLeaseMs() / 2) {
       // Its lease ran out although it was answered: it doesn't hear. It gets no task before it
       // has shown a new term; once a deaf machine drew start after start.
-      LOG.info("machine {} lost its lease although it was answered", machine.id);
-      machine.commandOutcomeUnknown = true;
+      LOG.info("machine {} lost its lease although it was answered", machine.id());
+      machine.setCommandOutcomeUnknown(true);
       fencingTokens.raise(machine);
     }
     // Its lease counts from when the session began, which may be known from a direct command's
     // answer alone: counted from the former session's last report, a machine that reaches no
     // controller was written off with tasks that it had just got.
-    machine.lastResponseMs = Math.max(machine.lastResponseMs, now);
+    machine.setLastResponseMs(Math.max(machine.lastResponseMs(), now));
   }
 
   /** Takes over the worker's tasks; returns whether anything about them is new. */
@@ -159,11 +159,11 @@
     if (hasSameTasks(machine, heartbeat)) {
       return false;
     }
-    Map<TaskAttempt, TaskReport> previousTasks = new HashMap<>(machine.tasks);
-    machine.tasks.clear();
+    Map<TaskAttempt, TaskReport> previousTasks = new HashMap<>(machine.tasks());
+    machine.tasks().clear();
     for (TaskReport task : heartbeat.tasks()) {
       TaskAttempt attempt = TaskAttempt.of(task);
-      machine.tasks.put(attempt, task);
+      machine.tasks().put(attempt, task);
       TaskReport previous = previousTasks.get(attempt);
       boolean changed = previous == null || previous.state() != task.state();
       if (!changed) {
@@ -178,16 +178,16 @@
         recordExit(machine, task);
       }
     }
-    machine.preempted.retainAll(machine.tasks.keySet());
+    machine.preempted().retainAll(machine.tasks().keySet());
     return true;
   }
 
   private static boolean hasSameTasks(ManagedMachine machine, Heartbeat heartbeat) {
-    if (machine.tasks.size() != heartbeat.tasks().size()) {
+    if (machine.tasks().size() != heartbeat.tasks().size()) {
       return false;
     }
     for (TaskReport task : heartbeat.tasks()) {
-      TaskReport known = machine.tasks.get(TaskAttempt.of(task));
+      TaskReport known = machine.tasks().get(TaskAttempt.of(task));
       if (known == null
           || known.state() != task.state()
           || known.exitReason() != task.exitReason()
@@ -200,39 +200,39 @@
 
   /** Drops accepted starts that have arrived or never will; returns whether there were any. */
   private boolean removeSettledReservations(ManagedMachine machine, boolean sentByWorker) {
-    int sizeBefore = machine.reservations.size();
-    Iterator<Reservation> iterator = machine.reservations.values().iterator();
+    int sizeBefore = machine.reservations().size();
+    Iterator<Reservation> iterator = machine.reservations().values().iterator();
     while (iterator.hasNext()) {
       Reservation reservation = iterator.next();
       StartRequest start = reservation.request;
       TaskKey key = new TaskKey(start.job(), start.task());
-      if (machine.tasks.containsKey(new TaskAttempt(key.job(), key.task(), start.attempt()))) {
+      if (machine.tasks().containsKey(new TaskAttempt(key.job(), key.task(), start.attempt()))) {
         iterator.remove();
-      } else if (!sentByWorker || machine.unacknowledgedStarts.containsKey(key)) {
+      } else if (!sentByWorker || machine.unacknowledgedStarts().containsKey(key)) {
         continue; // may still arrive at the worker
       } else if (clock.wallClockMs() > start.expiryWallMs()) {
         // sent or not: a response is never executed once a later report was sent, and this is one
         iterator.remove();
       }
     }
-    return machine.reservations.size() != sizeBefore;
+    return machine.reservations().size() != sizeBefore;
   }
 
   private void recordExit(ManagedMachine machine, TaskReport task) {
     if (task.exitReason() == ExitReason.DONE) {
-      machine.consecutiveErrors = 0;
+      machine.setConsecutiveErrors(0);
     } else if (task.exitReason() == ExitReason.ERROR && !jobAtFault.test(task.job())) {
-      machine.consecutiveErrors++;
+      machine.recordError();
       LOG.info(
           "task {}/{} failed on {}, {} in a row",
           task.job(),
           task.task(),
-          machine.id,
-          machine.consecutiveErrors);
-      if (machine.consecutiveErrors >= Constants.QUARANTINE_ERRORS) {
-        machine.quarantineUntilMs = clock.now() + Constants.QUARANTINE_MS;
-        if (machine.consecutiveErrors >= Constants.REPLACEMENT_ERRORS) {
-          machine.faulty = true;
+          machine.id(),
+          machine.consecutiveErrors());
+      if (machine.consecutiveErrors() >= Constants.QUARANTINE_ERRORS) {
+        machine.setQuarantineUntilMs(clock.now() + Constants.QUARANTINE_MS);
+        if (machine.consecutiveErrors() >= Constants.REPLACEMENT_ERRORS) {
+          machine.setFaulty(true);
         }
       }
     }
@@ -242,22 +242,22 @@
   private HeartbeatResponse buildResponse(ManagedMachine machine) {
     List<WorkerCommand> stops = new ArrayList<>();
     List<WorkerCommand> commands = new ArrayList<>();
-    for (TaskReport task : machine.tasks.values()) {
+    for (TaskReport task : machine.tasks().values()) {
       if (task.state() == TaskState.EXITED) {
         if (canForget(machine, task)) {
           commands.add(command(CommandKind.REMOVE, task, 0));
         }
-        machine.pendingStops.remove(TaskAttempt.of(task).key());
+        machine.pendingStops().remove(TaskAttempt.of(task).key());
       } else {
         OptionalDouble grace = stopGraceSeconds(machine, task);
         grace.ifPresent(seconds -> stops.add(command(CommandKind.STOP, task, seconds)));
       }
     }
-    machine.pendingStops.keySet().removeIf(key -> !machine.hasTask(key));
+    machine.pendingStops().keySet().removeIf(key -> !machine.hasTask(key));
     commands.addAll(stops);
     addStarts(machine, commands);
-    machine.lastResponseMs = clock.now();
-    return HeartbeatResponse.accepted(machine.fencingToken, commands);
+    machine.setLastResponseMs(clock.now());
+    return HeartbeatResponse.accepted(machine.fencingToken(), commands);
   }
 
   private static WorkerCommand command(CommandKind kind, TaskReport task, double graceSeconds) {
@@ -268,13 +268,13 @@
   private boolean canForget(ManagedMachine machine, TaskReport task) {
     JobEntry job = store.job(task.job());
     TaskKey key = TaskAttempt.of(task).key();
-    if (job == null || machine.unacknowledgedStarts.containsKey(key)) {
+    if (job == null || machine.unacknowledgedStarts().containsKey(key)) {
       return false;
     }
     return cancellations.isOver(task.job(), job)
         || jobBitmaps.isRecordedCompleted(job, task.task())
         || machines.restartsAfterExit(task)
-            && machine.publishedExits.getLong(key) == task.attempt();
+            && machine.publishedExits().getLong(key) == task.attempt();
   }
 
   /** Seconds that the task gets to save before it is stopped; none: it goes on. */
@@ -284,7 +284,7 @@
         || job != null && jobBitmaps.isRecordedCompleted(job, task.task())) {
       return OptionalDouble.of(0);
     }
-    StopRequest stop = machine.pendingStops.get(TaskAttempt.of(task).key());
+    StopRequest stop = machine.pendingStops().get(TaskAttempt.of(task).key());
     if (stop != null && stop.attempt() == task.attempt()) {
       return task.state() == TaskState.CHECKPOINTING
           ? OptionalDouble.empty()
@@ -297,21 +297,21 @@
 
   /** Whether the machine will soon be taken, so that the task has just the time to save. */
   private boolean mustCheckpointNow(ManagedMachine machine, TaskReport task, JobSpec spec) {
-    return machine.terminationDeadlineMs != Long.MAX_VALUE
+    return machine.terminationDeadlineMs() != Long.MAX_VALUE
         && task.state() == TaskState.RUNNING
         && spec.checkpointIntervalS() > 0
-        && machine.terminationDeadlineMs - clock.now()
+        && machine.terminationDeadlineMs() - clock.now()
             < (spec.checkpointSaveS() + Constants.INTERRUPTION_SAVE_MARGIN_S) * 1000;
   }
 
   /** Adds accepted starts as far as the answer has room; refuses those that came too late. */
   private void addStarts(ManagedMachine machine, List<WorkerCommand> commands) {
-    Iterator<Reservation> reservations = machine.reservations.values().iterator();
+    Iterator<Reservation> reservations = machine.reservations().values().iterator();
     while (reservations.hasNext() && commands.size() < Constants.COMMANDS_PER_RESPONSE_MAX) {
       Reservation reservation = reservations.next();
       StartRequest start = reservation.request;
       TaskKey key = new TaskKey(start.job(), start.task());
-      if (machine.unacknowledgedStarts.containsKey(key)) {
+      if (machine.unacknowledgedStarts().containsKey(key)) {
         continue;
       }
       JobEntry job = store.job(start.job());
@@ -319,11 +319,11 @@
           cancellations.isOver(start.job(), job)
               || job != null && jobBitmaps.isRecordedCompleted(job, start.task());
       if (noLongerNeeded
-          || machine.pendingStops.containsKey(key)
+          || machine.pendingStops().containsKey(key)
           || clock.wallClockMs() > start.expiryWallMs()) {
         // every earlier response is dead by now (this answers a later report), so it never runs
         reservations.remove();
-        machine.statusChanged = true;
+        machine.setStatusChanged(true);
         statusPublisher.rejectStart(start, noLongerNeeded ? "not wanted any more" : "too late");
         continue;
       }
--- a/src/main/java/mallowstall/core/machines/HeartbeatRouter.java
+++ b/src/main/java/mallowstall/core/machines/HeartbeatRouter.java
@@ -56,26 +56,26 @@
       return;
     }
     ManagedMachine machine = machines.get(heartbeat.machine());
-    if (machine != null && heartbeat.fencingToken() <= machine.fencingToken) {
-      if (machine.leaseExpired && heartbeat.session() <= machine.workerSession) {
+    if (machine != null && heartbeat.fencingToken() <= machine.fencingToken()) {
+      if (machine.leaseExpired() && heartbeat.session() <= machine.workerSession()) {
         // sent before its lease ran out and delivered late: the tasks it lists are gone for certain
         reply.accept(HeartbeatResponse.unavailable());
         return;
       }
-      if (heartbeat.session() < machine.workerSession
-          || (heartbeat.session() == machine.workerSession
-              && heartbeat.sequence() <= machine.handledHeartbeatSequence)) {
+      if (heartbeat.session() < machine.workerSession()
+          || (heartbeat.session() == machine.workerSession()
+              && heartbeat.sequence() <= machine.handledHeartbeatSequence())) {
         // A late copy: reports of a worker come one at a time. It renews nothing.
         reply.accept(HeartbeatResponse.unavailable());
         return;
       }
-      if (heartbeat.session() == machine.workerSession
-          && heartbeat.sequence() <= machine.latestHeartbeatSequence) {
+      if (heartbeat.session() == machine.workerSession()
+          && heartbeat.sequence() <= machine.latestHeartbeatSequence()) {
         // Overtaken by the answer of a direct command: it says nothing new. To refuse it would
         // send a healthy worker to another controller.
-        machine.handledHeartbeatSequence = heartbeat.sequence();
-        machine.lastResponseMs = now;
-        reply.accept(HeartbeatResponse.accepted(machine.fencingToken, List.of()));
+        machine.setHandledHeartbeatSequence(heartbeat.sequence());
+        machine.setLastResponseMs(now);
+        reply.accept(HeartbeatResponse.accepted(machine.fencingToken(), List.of()));
         return;
       }
       reply.accept(heartbeatHandler.handle(machine, heartbeat));
--- a/src/main/java/mallowstall/core/machines/LeadershipChanges.java
+++ b/src/main/java/mallowstall/core/machines/LeadershipChanges.java
@@ -51,10 +51,10 @@
     } else if (record.node().equals(settings.node())
         && record.incarnation() == store.incarnation()) {
       // this controller's own raise or adoption, seen before its answer is handled
-      if (!machine.tokenWriteInFlight && record.fencingToken() > machine.fencingToken) {
+      if (!machine.tokenWriteInFlight() && record.fencingToken() > machine.fencingToken()) {
         statusPublisher.releaseMachine(id);
       }
-    } else if (record.fencingToken() > machine.fencingToken) {
+    } else if (record.fencingToken() > machine.fencingToken()) {
       LOG.debug(
           "machine {} is now owned by {} under term {}", id, record.node(), record.fencingToken());
       statusPublisher.releaseMachine(id);
@@ -72,11 +72,11 @@
     }
     String id = after.spec().id();
     for (ManagedMachine machine : machines.all()) {
-      for (TaskReport task : machine.tasks.values()) {
+      for (TaskReport task : machine.tasks().values()) {
         if (!task.job().equals(id)) {
           continue;
         }
-        machine.statusChanged = true;
+        machine.setStatusChanged(true);
         statusPublisher.requestPublish();
         break;
       }
--- a/src/main/java/mallowstall/core/machines/LeaseExpiryMonitor.java
+++ b/src/main/java/mallowstall/core/machines/LeaseExpiryMonitor.java
@@ -33,7 +33,7 @@
   /** Expires the leases of machines that nobody can have answered for long enough. */
   void tick(long now) {
     for (ManagedMachine machine : machines.all()) {
-      if (machine.commandOutcomeUnknown && !machine.tokenRaised) {
+      if (machine.commandOutcomeUnknown() && !machine.tokenRaised()) {
         fencingTokens.raise(machine);
       }
       if (isLeaseExpired(machine, now)) {
@@ -49,28 +49,28 @@
     long leaseMs =
         (long) (settings.workerLeaseMs() * (1 + 2 * Constants.CLOCK_DRIFT_FRACTION))
             + Constants.LEASE_EXPIRY_MARGIN_MS;
-    if (machine.leaseExpired || now - machine.lastResponseMs <= leaseMs) {
+    if (machine.leaseExpired() || now - machine.lastResponseMs() <= leaseMs) {
       return false;
     }
     // unconfirmed: a former owner may still be answering it, unless it was our own former process
     // (a late copy of a report to that one may have told a session: that changes nothing)
-    if (!machine.tokenAcknowledged && (!machine.recovered || machine.interveningLeader)) {
+    if (!machine.tokenAcknowledged() && (!machine.recovered() || machine.interveningLeader())) {
       return false;
     }
     // Who owned it between the former process and this one may still be unknown here: a group's
     // record isn't compared with. Written off then, its tasks were started a second time.
-    if (machine.recovered && machine.modRevision > store.revision()) {
+    if (machine.recovered() && machine.modRevision() > store.revision()) {
       return false;
     }
     // the mirror has passed the end of the lease and still names this controller
-    return store.freshAtMs() > machine.lastResponseMs + leaseMs;
+    return store.freshAtMs() > machine.lastResponseMs() + leaseMs;
   }
 
   private void expire(ManagedMachine machine, long now) {
     LOG.info(
         "machine {} written off with {} tasks: silent beyond its lease",
-        machine.id,
-        machine.tasks.size());
+        machine.id(),
+        machine.tasks().size());
     machine.expireLease(now);
     statusPublisher.requestPublish();
   }
--- a/src/main/java/mallowstall/core/machines/MachineFailover.java
+++ b/src/main/java/mallowstall/core/machines/MachineFailover.java
@@ -109,8 +109,8 @@
     MachineView machine = view.machines.get(id);
     return now - leaderlessSinceMs.get(id) >= Constants.MACHINE_FAILOVER_DELAY_MS
         && machine != null
-        && machine.status != null
-        && machine.status.address() != null
+        && machine.status() != null
+        && machine.status().address() != null
         && !entryWriter.inFlight(id)
         && now - lastProbeMs.getOrDefault(id, Long.MIN_VALUE / 2)
             >= Constants.MACHINE_FAILOVER_RETRY_MS
@@ -119,7 +119,7 @@
 
   private void probe(String id, MachineEntry machineEntry, long now) {
     lastProbeMs.put(id, now);
-    String address = view.machines.get(id).status.address();
+    String address = view.machines.get(id).status().address();
     // no session is 0, so this is refused, with the worker's report
     effects.sendCommands(
         address, 0, 0, List.of(), reply -> claimMachine(id, machineEntry, reply.heartbeat()));
@@ -157,31 +157,31 @@
     ManagedMachine machine =
         machines.add(id, type, previousEntry.zone(), previousEntry.spot(), revision);
     // until it shows the new term, its former owner may renew its lease
-    machine.lastResponseMs = clock.now();
+    machine.setLastResponseMs(clock.now());
     heartbeatHandler.apply(machine, heartbeat, false);
     LOG.info(
         "machine {} taken from {}, which is gone, term {}",
         id,
         previousEntry.node(),
-        machine.fencingToken);
+        machine.fencingToken());
     sendFencingToken(machine);
   }
 
   /** Shows the worker the term without any command. */
   private void sendFencingToken(ManagedMachine machine) {
     effects.sendCommands(
-        machine.address,
-        machine.fencingToken,
-        machine.workerSession,
+        machine.address(),
+        machine.fencingToken(),
+        machine.workerSession(),
         List.of(),
         reply -> {
           Heartbeat heartbeat = reply.heartbeat();
           if (!machines.isCurrent(machine) || reply.code() != ResultCode.OK || heartbeat == null) {
             return;
           }
-          machine.lastResponseMs = clock.now();
-          if (heartbeat.session() > machine.workerSession
-              || heartbeat.sequence() > machine.latestHeartbeatSequence) {
+          machine.setLastResponseMs(clock.now());
+          if (heartbeat.session() > machine.workerSession()
+              || heartbeat.sequence() > machine.latestHeartbeatSequence()) {
             heartbeatHandler.apply(machine, heartbeat, false);
           }
         });
--- a/src/main/java/mallowstall/core/machines/MachineRegistration.java
+++ b/src/main/java/mallowstall/core/machines/MachineRegistration.java
@@ -114,13 +114,13 @@
     }
     MachineView machine = view.machines.get(heartbeat.machine());
     if (machine == null
-        || machine.status == null
-        || heartbeat.session() > machine.status.session()) {
+        || machine.status() == null
+        || heartbeat.session() > machine.status().session()) {
       return false;
     }
-    return heartbeat.session() < machine.status.session()
-        || machine.status.leaseExpired()
-        || heartbeat.sequence() <= machine.status.heartbeatSequence();
+    return heartbeat.session() < machine.status().session()
+        || machine.status().leaseExpired()
+        || heartbeat.sequence() <= machine.status().heartbeatSequence();
   }
 
   /**
@@ -133,20 +133,20 @@
     MachineView machine = view.machines.get(heartbeat.machine());
     if (machineEntry == null
         || machine == null
-        || machine.status == null
+        || machine.status() == null
         || machineEntry.node().equals(settings.node())) {
       return null;
     }
     PeerState peer = view.peer(machineEntry.node());
     boolean leaderResponsive =
         store.isLive(machineEntry.node(), machineEntry.incarnation())
-            && machineEntry.node().equals(machine.leader)
-            && machine.status.fencingToken() == machineEntry.fencingToken()
-            && machine.status.tokenAcknowledged()
-            && !machine.status.unresponsive()
-            && now - peer.lastUpdateMs
+            && machineEntry.node().equals(machine.leader())
+            && machine.status().fencingToken() == machineEntry.fencingToken()
+            && machine.status().tokenAcknowledged()
+            && !machine.status().unresponsive()
+            && now - peer.lastUpdateMs()
                 < Constants.STATUS_UPDATE_INTERVAL_MS + Constants.STATUS_UPDATE_LATE_MS
-            && now - peer.replicaFreshAtMs
+            && now - peer.replicaFreshAtMs()
                 < Constants.STATE_CUT_OFF_MS + Constants.WATCH_TIMEOUT_MS;
     Long sentBackBeforeMs = sentBackAtMs.get(heartbeat.machine());
     return leaderResponsive
@@ -324,14 +324,14 @@
             heartbeat.spot(),
             reply.revision());
     if (previous != null) {
-      machine.cachedImages.addAll(previous.cachedImages);
+      machine.cachedImages().addAll(previous.cachedImages());
     }
     LOG.debug(
         "machine {} ({}, {}) adopted under term {} (reported {})",
-        machine.id,
+        machine.id(),
         heartbeat.type(),
         heartbeat.zone(),
-        machine.fencingToken,
+        machine.fencingToken(),
         heartbeat.fencingToken());
     arrival.reply.accept(heartbeatHandler.handle(machine, heartbeat));
   }
--- a/src/main/java/mallowstall/core/machines/ManagedMachine.java
+++ b/src/main/java/mallowstall/core/machines/ManagedMachine.java
@@ -35,76 +35,76 @@
     }
   }
 
-  final String id;
-  final MachineType type;
-  final String zone;
-  final boolean spot;
-  long fencingToken;
-  long modRevision;
-  String address;
-  long workerSession;
-  long latestHeartbeatSequence;
+  private final String id;
+  private final MachineType type;
+  private final String zone;
+  private final boolean spot;
+  private long fencingToken;
+  private long modRevision;
+  private String address;
+  private long workerSession;
+  private long latestHeartbeatSequence;
 
   /** When the last 200 left; the machine's lease can't run on longer than from here. */
-  long lastResponseMs;
-
-  long lastHeartbeatMs;
-  boolean tokenAcknowledged;
-  boolean leaseExpired;
-  long terminationDeadlineMs = Long.MAX_VALUE;
-  long drainUntilMs;
-  long quarantineUntilMs;
-  int consecutiveErrors;
-  boolean faulty;
-  long idleSinceMs;
-  final Map<TaskAttempt, TaskReport> tasks = new LinkedHashMap<>();
-  final Map<TaskKey, Reservation> reservations = new Object2ObjectLinkedOpenHashMap<>();
-  final Map<TaskKey, StopRequest> pendingStops = new HashMap<>();
+  private long lastResponseMs;
+
+  private long lastHeartbeatMs;
+  private boolean tokenAcknowledged;
+  private boolean leaseExpired;
+  private long terminationDeadlineMs = Long.MAX_VALUE;
+  private long drainUntilMs;
+  private long quarantineUntilMs;
+  private int consecutiveErrors;
+  private boolean faulty;
+  private long idleSinceMs;
+  private final Map<TaskAttempt, TaskReport> tasks = new LinkedHashMap<>();
+  private final Map<TaskKey, Reservation> reservations = new Object2ObjectLinkedOpenHashMap<>();
+  private final Map<TaskKey, StopRequest> pendingStops = new HashMap<>();
 
   /**
    * Tasks stopped for others that were accepted in their place. Their stop goes out before or with
    * any start that follows, so their room counts as free.
    */
-  final Set<TaskAttempt> preempted = new HashSet<>();
+  private final Set<TaskAttempt> preempted = new HashSet<>();
 
   /** Ends other than done that a roster has told. */
-  final Object2LongOpenHashMap<TaskKey> publishedExits = new Object2LongOpenHashMap<>();
+  private final Object2LongOpenHashMap<TaskKey> publishedExits = new Object2LongOpenHashMap<>();
 
   /**
    * Starts sent to the worker's own address whose outcome is open. Until the answer is there, or
    * the worker shows a larger term, they may be executed at any time: they count as possibly
    * running, and their attempts are not forgotten, since a late copy would start them again.
    */
-  final Map<TaskKey, Long> unacknowledgedStarts = new HashMap<>();
+  private final Map<TaskKey, Long> unacknowledgedStarts = new HashMap<>();
 
-  boolean commandInFlight;
-  boolean commandOutcomeUnknown;
-  boolean tokenWriteInFlight;
+  private boolean commandInFlight;
+  private boolean commandOutcomeUnknown;
+  private boolean tokenWriteInFlight;
 
   /** Somebody else may have answered it after this controller's former process had ended. */
-  boolean interveningLeader;
+  private boolean interveningLeader;
 
   /** Taken over from this controller's own former process, which is dead. */
-  boolean recovered;
+  private boolean recovered;
 
   /** The term was raised after the last start went astray. */
-  boolean tokenRaised;
+  private boolean tokenRaised;
 
-  long commandSentAtMs;
+  private long commandSentAtMs;
 
-  final LinkedHashSet<String> cachedImages = new LinkedHashSet<>();
+  private final LinkedHashSet<String> cachedImages = new LinkedHashSet<>();
 
   /** The newest report handled; an answer of a direct command may be newer. */
-  long handledHeartbeatSequence;
+  private long handledHeartbeatSequence;
 
   /** Something that statements tell may have changed since the last one. */
-  boolean statusChanged;
+  private boolean statusChanged;
 
   /** What the last statement said of it, in which, and when. */
-  MachineStatus publishedStatus;
+  private MachineStatus publishedStatus;
 
-  long publishedUpdateNumber;
-  long publishedAtMs;
+  private long publishedUpdateNumber;
+  private long publishedAtMs;
 
   ManagedMachine(
       String id, MachineType type, String zone, boolean spot, long fencingToken, long modRevision) {
@@ -171,4 +171,341 @@
       }
     }
   }
+
+  /** The id. */
+  String id() {
+    return id;
+  }
+
+  /** The type. */
+  MachineType type() {
+    return type;
+  }
+
+  /** The zone. */
+  String zone() {
+    return zone;
+  }
+
+  /** The spot. */
+  boolean spot() {
+    return spot;
+  }
+
+  /** The fencing token. */
+  long fencingToken() {
+    return fencingToken;
+  }
+
+  /** Sets the fencing token. */
+  void setFencingToken(long newValue) {
+    this.fencingToken = newValue;
+  }
+
+  /** The mod revision. */
+  long modRevision() {
+    return modRevision;
+  }
+
+  /** Sets the mod revision. */
+  void setModRevision(long newValue) {
+    this.modRevision = newValue;
+  }
+
+  /** The address. */
+  String address() {
+    return address;
+  }
+
+  /** Sets the address. */
+  void setAddress(String newValue) {
+    this.address = newValue;
+  }
+
+  /** The worker session. */
+  long workerSession() {
+    return workerSession;
+  }
+
+  /** Sets the worker session. */
+  void setWorkerSession(long newValue) {
+    this.workerSession = newValue;
+  }
+
+  /** The latest heartbeat sequence. */
+  long latestHeartbeatSequence() {
+    return latestHeartbeatSequence;
+  }
+
+  /** Sets the latest heartbeat sequence. */
+  void setLatestHeartbeatSequence(long newValue) {
+    this.latestHeartbeatSequence = newValue;
+  }
+
+  /** When the last 200 left; the machine's lease can't run on longer than from here. */
+  long lastResponseMs() {
+    return lastResponseMs;
+  }
+
+  /** Sets the last response, in ms of the steady clock. */
+  void setLastResponseMs(long newValue) {
+    this.lastResponseMs = newValue;
+  }
+
+  /** The last heartbeat, in ms of the steady clock. */
+  long lastHeartbeatMs() {
+    return lastHeartbeatMs;
+  }
+
+  /** Sets the last heartbeat, in ms of the steady clock. */
+  void setLastHeartbeatMs(long newValue) {
+    this.lastHeartbeatMs = newValue;
+  }
+
+  /** The token acknowledged. */
+  boolean tokenAcknowledged() {
+    return tokenAcknowledged;
+  }
+
+  /** Sets the token acknowledged. */
+  void setTokenAcknowledged(boolean newValue) {
+    this.tokenAcknowledged = newValue;
+  }
+
+  /** The lease expired. */
+  boolean leaseExpired() {
+    return leaseExpired;
+  }
+
+  /** Sets the lease expired. */
+  void setLeaseExpired(boolean newValue) {
+    this.leaseExpired = newValue;
+  }
+
+  /** The termination deadline, in ms of the steady clock. */
+  long terminationDeadlineMs() {
+    return terminationDeadlineMs;
+  }
+
+  /** Sets the termination deadline, in ms of the steady clock. */
+  void setTerminationDeadlineMs(long newValue) {
+    this.terminationDeadlineMs = newValue;
+  }
+
+  /** The drain until, in ms of the steady clock. */
+  long drainUntilMs() {
+    return drainUntilMs;
+  }
+
+  /** Sets the drain until, in ms of the steady clock. */
+  void setDrainUntilMs(long newValue) {
+    this.drainUntilMs = newValue;
+  }
+
+  /** The quarantine until, in ms of the steady clock. */
+  long quarantineUntilMs() {
+    return quarantineUntilMs;
+  }
+
+  /** Sets the quarantine until, in ms of the steady clock. */
+  void setQuarantineUntilMs(long newValue) {
+    this.quarantineUntilMs = newValue;
+  }
+
+  /** Counts one more task that failed here since the last that was done. */
+  void recordError() {
+    consecutiveErrors++;
+  }
+
+  /** The consecutive errors. */
+  int consecutiveErrors() {
+    return consecutiveErrors;
+  }
+
+  /** Sets the consecutive errors. */
+  void setConsecutiveErrors(int newValue) {
+    this.consecutiveErrors = newValue;
+  }
+
+  /** The faulty. */
+  boolean faulty() {
+    return faulty;
+  }
+
+  /** Sets the faulty. */
+  void setFaulty(boolean newValue) {
+    this.faulty = newValue;
+  }
+
+  /** The idle since, in ms of the steady clock. */
+  long idleSinceMs() {
+    return idleSinceMs;
+  }
+
+  /** Sets the idle since, in ms of the steady clock. */
+  void setIdleSinceMs(long newValue) {
+    this.idleSinceMs = newValue;
+  }
+
+  /** The tasks. */
+  Map<TaskAttempt, TaskReport> tasks() {
+    return tasks;
+  }
+
+  /** The reservations. */
+  Map<TaskKey, Reservation> reservations() {
+    return reservations;
+  }
+
+  /** The pending stops. */
+  Map<TaskKey, StopRequest> pendingStops() {
+    return pendingStops;
+  }
+
+  /**
+   * Tasks stopped for others that were accepted in their place. Their stop goes out before or with
+   * any start that follows, so their room counts as free.
+   */
+  Set<TaskAttempt> preempted() {
+    return preempted;
+  }
+
+  /** Ends other than done that a roster has told. */
+  Object2LongOpenHashMap<TaskKey> publishedExits() {
+    return publishedExits;
+  }
+
+  /**
+   * Starts sent to the worker's own address whose outcome is open. Until the answer is there, or
+   * the worker shows a larger term, they may be executed at any time: they count as possibly
+   * running, and their attempts are not forgotten, since a late copy would start them again.
+   */
+  Map<TaskKey, Long> unacknowledgedStarts() {
+    return unacknowledgedStarts;
+  }
+
+  /** The command in flight. */
+  boolean commandInFlight() {
+    return commandInFlight;
+  }
+
+  /** Sets the command in flight. */
+  void setCommandInFlight(boolean newValue) {
+    this.commandInFlight = newValue;
+  }
+
+  /** The command outcome unknown. */
+  boolean commandOutcomeUnknown() {
+    return commandOutcomeUnknown;
+  }
+
+  /** Sets the command outcome unknown. */
+  void setCommandOutcomeUnknown(boolean newValue) {
+    this.commandOutcomeUnknown = newValue;
+  }
+
+  /** The token write in flight. */
+  boolean tokenWriteInFlight() {
+    return tokenWriteInFlight;
+  }
+
+  /** Sets the token write in flight. */
+  void setTokenWriteInFlight(boolean newValue) {
+    this.tokenWriteInFlight = newValue;
+  }
+
+  /** Somebody else may have answered it after this controller's former process had ended. */
+  boolean interveningLeader() {
+    return interveningLeader;
+  }
+
+  /** Sets the intervening leader. */
+  void setInterveningLeader(boolean newValue) {
+    this.interveningLeader = newValue;
+  }
+
+  /** Taken over from this controller's own former process, which is dead. */
+  boolean recovered() {
+    return recovered;
+  }
+
+  /** Sets the recovered. */
+  void setRecovered(boolean newValue) {
+    this.recovered = newValue;
+  }
+
+  /** The term was raised after the last start went astray. */
+  boolean tokenRaised() {
+    return tokenRaised;
+  }
+
+  /** Sets the token raised. */
+  void setTokenRaised(boolean newValue) {
+    this.tokenRaised = newValue;
+  }
+
+  /** The command sent at, in ms of the steady clock. */
+  long commandSentAtMs() {
+    return commandSentAtMs;
+  }
+
+  /** Sets the command sent at, in ms of the steady clock. */
+  void setCommandSentAtMs(long newValue) {
+    this.commandSentAtMs = newValue;
+  }
+
+  /** The cached images. */
+  LinkedHashSet<String> cachedImages() {
+    return cachedImages;
+  }
+
+  /** The newest report handled; an answer of a direct command may be newer. */
+  long handledHeartbeatSequence() {
+    return handledHeartbeatSequence;
+  }
+
+  /** Sets the handled heartbeat sequence. */
+  void setHandledHeartbeatSequence(long newValue) {
+    this.handledHeartbeatSequence = newValue;
+  }
+
+  /** Something that statements tell may have changed since the last one. */
+  boolean statusChanged() {
+    return statusChanged;
+  }
+
+  /** Sets the status changed. */
+  void setStatusChanged(boolean newValue) {
+    this.statusChanged = newValue;
+  }
+
+  /** What the last statement said of it, in which, and when. */
+  MachineStatus publishedStatus() {
+    return publishedStatus;
+  }
+
+  /** Sets the published status. */
+  void setPublishedStatus(MachineStatus newValue) {
+    this.publishedStatus = newValue;
+  }
+
+  /** The published update number. */
+  long publishedUpdateNumber() {
+    return publishedUpdateNumber;
+  }
+
+  /** Sets the published update number. */
+  void setPublishedUpdateNumber(long newValue) {
+    this.publishedUpdateNumber = newValue;
+  }
+
+  /** The published at, in ms of the steady clock. */
+  long publishedAtMs() {
+    return publishedAtMs;
+  }
+
+  /** Sets the published at, in ms of the steady clock. */
+  void setPublishedAtMs(long newValue) {
+    this.publishedAtMs = newValue;
+  }
 }
--- a/src/main/java/mallowstall/core/machines/ManagedMachines.java
+++ b/src/main/java/mallowstall/core/machines/ManagedMachines.java
@@ -50,7 +50,7 @@
 
   /** Whether it is still the one that this controller owns under that name. */
   boolean isCurrent(ManagedMachine machine) {
-    return machines.get(machine.id) == machine;
+    return machines.get(machine.id()) == machine;
   }
 
   Collection<ManagedMachine> all() {
@@ -60,12 +60,12 @@
   /** This controller's from the change of that revision on, which is its term too. */
   ManagedMachine add(String id, MachineType type, String zone, boolean spot, long revision) {
     ManagedMachine machine = new ManagedMachine(id, type, zone, spot, revision, revision);
-    machine.idleSinceMs = clock.now();
+    machine.setIdleSinceMs(clock.now());
     // reports don't name images: without what its last owner told of them, tasks were sent to
     // machines that had to fetch theirs, each time that machines changed owner
     MachineView machineView = view.machines.get(id);
-    if (machineView != null && machineView.status != null) {
-      machine.cachedImages.addAll(machineView.status.images());
+    if (machineView != null && machineView.status() != null) {
+      machine.cachedImages().addAll(machineView.status().images());
     }
     machines.put(id, machine);
     return machine;
@@ -88,12 +88,12 @@
   /** A machine whose reports come to nobody answers commands, but loses its tasks each lease. */
   boolean usable(ManagedMachine machine) {
     long now = clock.now();
-    return !machine.leaseExpired
-        && !machine.faulty
-        && machine.terminationDeadlineMs == Long.MAX_VALUE
-        && machine.quarantineUntilMs <= now
+    return !machine.leaseExpired()
+        && !machine.faulty()
+        && machine.terminationDeadlineMs() == Long.MAX_VALUE
+        && machine.quarantineUntilMs() <= now
         && !unresponsive(machine)
-        && now - machine.lastResponseMs <= unresponsiveAfterMs();
+        && now - machine.lastResponseMs() <= unresponsiveAfterMs();
   }
 
   private long unresponsiveAfterMs() {
@@ -102,17 +102,17 @@
 
   /** Whether the machine hasn't been heard for so long that it gets no tasks. */
   boolean unresponsive(ManagedMachine machine) {
-    return clock.now() - machine.lastHeartbeatMs > unresponsiveAfterMs();
+    return clock.now() - machine.lastHeartbeatMs() > unresponsiveAfterMs();
   }
 
   /** Processors, GPUs and memory that nothing on the machine and no accepted start takes. */
   double[] freeResources(ManagedMachine machine) {
-    double[] free = {machine.type.cpus(), machine.type.gpus(), machine.type.memoryGb()};
-    for (TaskReport task : machine.tasks.values()) {
+    double[] free = {machine.type().cpus(), machine.type().gpus(), machine.type().memoryGb()};
+    for (TaskReport task : machine.tasks().values()) {
       if (task.state() == TaskState.EXITED) {
         continue;
       }
-      if (machine.preempted.contains(TaskAttempt.of(task))) {
+      if (machine.preempted().contains(TaskAttempt.of(task))) {
         continue;
       }
       JobEntry job = store.job(task.job());
@@ -120,7 +120,7 @@
         subtract(free, job.spec(), 1);
       }
     }
-    for (Reservation reservation : machine.reservations.values()) {
+    for (Reservation reservation : machine.reservations().values()) {
       subtract(free, reservation.spec, 1);
     }
     return free;
@@ -141,7 +141,7 @@
         continue;
       }
       double[] free = freeResources(machine);
-      capacities.add(new FreeCapacity(machine.id, free[0], free[1], free[2]));
+      capacities.add(new FreeCapacity(machine.id(), free[0], free[1], free[2]));
     }
     // two hundred machines once made a value that the state service refused
     int limit = Math.max(1, settings.maxValueBytes() / Constants.FREE_CAPACITY_BYTES - 2);
--- a/src/main/java/mallowstall/core/machines/RestartRecovery.java
+++ b/src/main/java/mallowstall/core/machines/RestartRecovery.java
@@ -65,8 +65,8 @@
   public void handleCompetingEntry(String id, MachineEntry machineEntry) {
     noteInterveningLeader(id, machineEntry);
     ManagedMachine machine = machines.get(id);
-    if (machine != null && machine.recovered && !machineEntry.node().equals(settings.node())) {
-      machine.interveningLeader = true;
+    if (machine != null && machine.recovered() && !machineEntry.node().equals(settings.node())) {
+      machine.setInterveningLeader(true);
     }
   }
 
@@ -146,12 +146,12 @@
       boolean interveningLeader) {
     ManagedMachine machine =
         machines.add(id, type, machineEntry.zone(), machineEntry.spot(), revision);
-    machine.recovered = true;
-    machine.interveningLeader = interveningLeader;
+    machine.setRecovered(true);
+    machine.setInterveningLeader(interveningLeader);
     // the former process may have answered until just before this one began
-    machine.lastResponseMs = clock.startedAtMs();
-    machine.lastHeartbeatMs = clock.now() - Constants.UNRESPONSIVE_AFTER_MS;
-    LOG.info("machine {} kept from the former process, term {}", id, machine.fencingToken);
+    machine.setLastResponseMs(clock.startedAtMs());
+    machine.setLastHeartbeatMs(clock.now() - Constants.UNRESPONSIVE_AFTER_MS);
+    LOG.info("machine {} kept from the former process, term {}", id, machine.fencingToken());
     statusPublisher.requestPublish();
   }
 }
--- a/src/main/java/mallowstall/core/machines/StartAdmission.java
+++ b/src/main/java/mallowstall/core/machines/StartAdmission.java
@@ -48,7 +48,7 @@
   /** Why the start is not possible; null: it is. */
   String rejectionReason(StartBatch startBatch, StartRequest start) {
     ManagedMachine machine = machines.get(start.machine());
-    if (machine == null || machine.modRevision > store.revision()) {
+    if (machine == null || machine.modRevision() > store.revision()) {
       return "not the owner";
     }
     if (!connectivity.mayRenewWorkerLeases()) {
@@ -74,13 +74,13 @@
     if (jobBitmaps.isRecordedCompleted(job, start.task())) {
       return "done already";
     }
-    if (!spec.allowsMachine(machine.type.name(), machine.zone, machine.spot)) {
+    if (!spec.allowsMachine(machine.type().name(), machine.zone(), machine.spot())) {
       return "machine not allowed";
     }
-    if (!machine.tokenAcknowledged) {
+    if (!machine.tokenAcknowledged()) {
       return "machine doesn't show that it hears";
     }
-    if (!machines.usable(machine) || machine.drainUntilMs > clock.now()) {
+    if (!machines.usable(machine) || machine.drainUntilMs() > clock.now()) {
       return "machine set aside";
     }
     TaskKey key = new TaskKey(start.job(), start.task());
@@ -95,11 +95,11 @@
     double[] free = machines.freeResources(machine);
     for (TaskRef ref : start.victims()) {
       TaskAttempt attempt = TaskAttempt.of(ref);
-      TaskReport victim = machine.tasks.get(attempt);
+      TaskReport victim = machine.tasks().get(attempt);
       JobEntry victimJob = store.job(ref.job());
       boolean freed = victim == null || victim.state() == TaskState.EXITED || victimJob == null;
       // what is replaced already counts as free room, and only once
-      if (!freed && !machine.preempted.contains(attempt)) {
+      if (!freed && !machine.preempted().contains(attempt)) {
         ManagedMachines.subtract(free, victimJob.spec(), -1);
       }
     }
--- a/src/main/java/mallowstall/core/machines/StartRequestHandler.java
+++ b/src/main/java/mallowstall/core/machines/StartRequestHandler.java
@@ -56,15 +56,17 @@
   private void reserve(StartRequest start) {
     ManagedMachine machine = machines.get(start.machine());
     JobSpec spec = store.job(start.job()).spec();
-    machine.reservations.put(new TaskKey(start.job(), start.task()), new Reservation(start, spec));
+    machine
+        .reservations()
+        .put(new TaskKey(start.job(), start.task()), new Reservation(start, spec));
     for (TaskRef ref : start.victims()) {
       TaskAttempt attempt = TaskAttempt.of(ref);
-      if (machine.tasks.containsKey(attempt) && machine.preempted.add(attempt)) {
+      if (machine.tasks().containsKey(attempt) && machine.preempted().add(attempt)) {
         preempt(machine, attempt, start);
       }
     }
-    machine.idleSinceMs = 0;
-    machine.statusChanged = true;
+    machine.setIdleSinceMs(0);
+    machine.setStatusChanged(true);
     commands.enqueue(machine);
     LOG.debug(
         "start {}/{} attempt {} booked on {}",
@@ -82,10 +84,10 @@
         start.task(),
         attempt.job(),
         attempt.task(),
-        machine.id);
+        machine.id());
     metrics.increment("preemptions");
     StopRequest stop =
-        new StopRequest(machine.id, attempt.job(), attempt.task(), attempt.attempt(), 0);
-    machine.pendingStops.put(attempt.key(), stop);
+        new StopRequest(machine.id(), attempt.job(), attempt.task(), attempt.attempt(), 0);
+    machine.pendingStops().put(attempt.key(), stop);
   }
 }
--- a/src/main/java/mallowstall/core/machines/StatusPublisher.java
+++ b/src/main/java/mallowstall/core/machines/StatusPublisher.java
@@ -140,24 +140,24 @@
     PeerState sender = view.peer(settings.node());
     List<MachineStatus> statuses = new ArrayList<>();
     for (ManagedMachine machine : changed) {
-      statuses.add(machine.publishedStatus);
+      statuses.add(machine.publishedStatus());
     }
     localDelivery.accept(
         new StatusUpdate(
             settings.node(),
             store.incarnation(),
             updateNumber,
-            sender.serial,
+            sender.serial(),
             store.incarnation(),
             updateNumber,
             store.revision(),
-            sender.lastStartsIncarnation,
-            sender.lastStartsConnection,
-            sender.lastStartsSequence,
+            sender.lastStartsIncarnation(),
+            sender.lastStartsConnection(),
+            sender.lastStartsSequence(),
             0,
             List.of(),
             statuses,
-            removedSince(sender.serial),
+            removedSince(sender.serial()),
             newRejections));
   }
 
@@ -165,29 +165,29 @@
   private StatusUpdate buildStatusUpdate(
       PeerState peer, long replicaAgeMs, List<StartRejection> newRejections) {
     long baseUpdate =
-        peer.acknowledgedSerial >= tombstonesPrunedThrough ? peer.acknowledgedSerial : 0;
+        peer.acknowledgedSerial() >= tombstonesPrunedThrough ? peer.acknowledgedSerial() : 0;
     List<MachineStatus> statuses = new ArrayList<>();
     for (ManagedMachine machine : machines.all()) {
-      if (machine.publishedUpdateNumber > baseUpdate) {
-        statuses.add(machine.publishedStatus);
+      if (machine.publishedUpdateNumber() > baseUpdate) {
+        statuses.add(machine.publishedStatus());
       }
     }
     // to acknowledge what it said would vouch for all cancellations newer than its mirror
     boolean acknowledges =
-        peer.replicaRevision > 0 && cancellations.retainsSince(peer.replicaRevision);
+        peer.replicaRevision() > 0 && cancellations.retainsSince(peer.replicaRevision());
     return new StatusUpdate(
         settings.node(),
         store.incarnation(),
         updateNumber,
         baseUpdate,
-        acknowledges ? peer.appliedIncarnation : 0,
-        acknowledges ? peer.appliedSerial : 0,
+        acknowledges ? peer.appliedIncarnation() : 0,
+        acknowledges ? peer.appliedSerial() : 0,
         store.revision(),
-        peer.lastStartsIncarnation,
-        peer.lastStartsConnection,
-        peer.lastStartsSequence,
+        peer.lastStartsIncarnation(),
+        peer.lastStartsConnection(),
+        peer.lastStartsSequence(),
         replicaAgeMs,
-        acknowledges ? cancellations.cancelledSince(peer.replicaRevision) : List.of(),
+        acknowledges ? cancellations.cancelledSince(peer.replicaRevision()) : List.of(),
         statuses,
         baseUpdate == 0 ? List.of() : removedSince(baseUpdate),
         newRejections);
@@ -227,23 +227,23 @@
     List<ManagedMachine> changed = new ArrayList<>();
     for (ManagedMachine machine : machines.all()) {
       boolean publishedRecently =
-          machine.publishedStatus != null
-              && now - machine.publishedAtMs < Constants.MACHINE_STATUS_REFRESH_MS;
-      if (publishedRecently && !machine.statusChanged && !changedByTime(machine, now)) {
+          machine.publishedStatus() != null
+              && now - machine.publishedAtMs() < Constants.MACHINE_STATUS_REFRESH_MS;
+      if (publishedRecently && !machine.statusChanged() && !changedByTime(machine, now)) {
         continue;
       }
-      machine.statusChanged = false;
+      machine.setStatusChanged(false);
       MachineStatus status = statusOf(machine, now);
-      if (publishedRecently && status.sameIgnoringElapsedTime(machine.publishedStatus)) {
+      if (publishedRecently && status.sameIgnoringElapsedTime(machine.publishedStatus())) {
         continue;
       }
-      machine.publishedStatus = status;
-      machine.publishedUpdateNumber = updateNumber;
-      machine.publishedAtMs = now;
+      machine.setPublishedStatus(status);
+      machine.setPublishedUpdateNumber(updateNumber);
+      machine.setPublishedAtMs(now);
       changed.add(machine);
-      for (TaskReport task : machine.tasks.values()) {
+      for (TaskReport task : machine.tasks().values()) {
         if (task.state() == TaskState.EXITED && machines.restartsAfterExit(task)) {
-          machine.publishedExits.put(TaskAttempt.of(task).key(), task.attempt());
+          machine.publishedExits().put(TaskAttempt.of(task).key(), task.attempt());
         }
       }
     }
@@ -252,9 +252,9 @@
 
   /** Whether time alone has changed what is to be said of a machine. */
   private boolean changedByTime(ManagedMachine machine, long now) {
-    return machines.usable(machine) != machine.publishedStatus.usable()
-        || machines.unresponsive(machine) != machine.publishedStatus.unresponsive()
-        || (machine.drainUntilMs > now) != machine.publishedStatus.draining();
+    return machines.usable(machine) != machine.publishedStatus().usable()
+        || machines.unresponsive(machine) != machine.publishedStatus().unresponsive()
+        || (machine.drainUntilMs() > now) != machine.publishedStatus().draining();
   }
 
   /**
@@ -266,11 +266,13 @@
     List<String> machineIds = new ArrayList<>();
     long now = clock.now();
     for (ManagedMachine machine : machines.all()) {
-      if (machine.publishedStatus == null || machine.statusChanged || changedByTime(machine, now)) {
+      if (machine.publishedStatus() == null
+          || machine.statusChanged()
+          || changedByTime(machine, now)) {
         continue;
       }
-      if (!statusOf(machine, now).sameIgnoringElapsedTime(machine.publishedStatus)) {
-        machineIds.add(machine.id);
+      if (!statusOf(machine, now).sameIgnoringElapsedTime(machine.publishedStatus())) {
+        machineIds.add(machine.id());
       }
     }
     return machineIds;
@@ -278,12 +280,12 @@
 
   private MachineStatus statusOf(ManagedMachine machine, long now) {
     List<TaskStatus> taskStatuses =
-        new ArrayList<>(machine.tasks.size() + machine.reservations.size());
-    for (TaskReport task : machine.tasks.values()) {
+        new ArrayList<>(machine.tasks().size() + machine.reservations().size());
+    for (TaskReport task : machine.tasks().values()) {
       taskStatuses.add(
           new TaskStatus(task.job(), task.task(), task.attempt(), task.state(), task.exitReason()));
     }
-    for (Reservation reservation : machine.reservations.values()) {
+    for (Reservation reservation : machine.reservations().values()) {
       taskStatuses.add(
           new TaskStatus(
               reservation.request.job(),
@@ -295,31 +297,31 @@
     double[] free = machines.freeResources(machine);
     boolean idle = machine.idle();
     return new MachineStatus(
-        machine.id,
-        machine.address,
-        machine.fencingToken,
-        machine.modRevision,
-        machine.workerSession,
-        machine.latestHeartbeatSequence,
-        machine.tokenAcknowledged,
+        machine.id(),
+        machine.address(),
+        machine.fencingToken(),
+        machine.modRevision(),
+        machine.workerSession(),
+        machine.latestHeartbeatSequence(),
+        machine.tokenAcknowledged(),
         machines.usable(machine),
-        machine.drainUntilMs > now,
-        machine.faulty,
+        machine.drainUntilMs() > now,
+        machine.faulty(),
         machines.unresponsive(machine),
-        machine.leaseExpired,
-        machine.type.name(),
-        machine.zone,
-        machine.spot,
-        machine.terminationDeadlineMs == Long.MAX_VALUE
+        machine.leaseExpired(),
+        machine.type().name(),
+        machine.zone(),
+        machine.spot(),
+        machine.terminationDeadlineMs() == Long.MAX_VALUE
             ? -1
-            : Math.max(0, (machine.terminationDeadlineMs - now) / 1000.0),
+            : Math.max(0, (machine.terminationDeadlineMs() - now) / 1000.0),
         free[0],
         free[1],
         free[2],
-        machine.leaseExpired || machines.unresponsive(machine)
-            ? Math.max(1, now - machine.lastHeartbeatMs)
-            : idle && machine.idleSinceMs > 0 ? Math.max(1, now - machine.idleSinceMs) : 0,
-        List.copyOf(machine.cachedImages),
+        machine.leaseExpired() || machines.unresponsive(machine)
+            ? Math.max(1, now - machine.lastHeartbeatMs())
+            : idle && machine.idleSinceMs() > 0 ? Math.max(1, now - machine.idleSinceMs()) : 0,
+        List.copyOf(machine.cachedImages()),
         taskStatuses);
   }
 }
--- a/src/main/java/mallowstall/core/machines/StopRequestHandler.java
+++ b/src/main/java/mallowstall/core/machines/StopRequestHandler.java
@@ -41,8 +41,8 @@
         continue;
       }
       TaskKey key = new TaskKey(stop.job(), stop.task());
-      Reservation reservation = machine.reservations.get(key);
-      if (machine.tasks.containsKey(new TaskAttempt(stop.job(), stop.task(), stop.attempt()))
+      Reservation reservation = machine.reservations().get(key);
+      if (machine.tasks().containsKey(new TaskAttempt(stop.job(), stop.task(), stop.attempt()))
           || (reservation != null && reservation.request.attempt() == stop.attempt())) {
         LOG.info(
             "stop {}/{} attempt {} on {} asked by {}",
@@ -51,14 +51,14 @@
             stop.attempt(),
             stop.machine(),
             stopBatch.node());
-        machine.pendingStops.put(key, stop);
+        machine.pendingStops().put(key, stop);
         commands.enqueue(machine);
       }
     }
     for (String id : stopBatch.machinesToDrain()) {
       ManagedMachine machine = machines.get(id);
       if (machine != null) {
-        machine.drainUntilMs = clock.now() + Constants.DRAIN_EXPIRY_MS;
+        machine.setDrainUntilMs(clock.now() + Constants.DRAIN_EXPIRY_MS);
         statusPublisher.requestPublish();
       }
     }
@@ -72,13 +72,15 @@
   public void stopCancelled(String job) {
     statusPublisher.requestPublish(); // peers hear of it soon
     for (ManagedMachine machine : machines.all()) {
-      for (TaskReport task : machine.tasks.values()) {
+      for (TaskReport task : machine.tasks().values()) {
         if (task.state() != TaskState.FETCHING || !task.job().equals(job)) {
           continue;
         }
-        machine.pendingStops.put(
-            new TaskKey(job, task.task()),
-            new StopRequest(machine.id, job, task.task(), task.attempt(), 0));
+        machine
+            .pendingStops()
+            .put(
+                new TaskKey(job, task.task()),
+                new StopRequest(machine.id(), job, task.task(), task.attempt(), 0));
         commands.enqueue(machine);
       }
     }
--- a/src/main/java/mallowstall/core/placement/JobRanking.java
+++ b/src/main/java/mallowstall/core/placement/JobRanking.java
@@ -53,12 +53,12 @@
    * otherwise keep it waiting as long as the overload lasts.
    */
   boolean isStarving(LedJob ledJob) {
-    return ledJob.activeAttempts.isEmpty()
+    return ledJob.activeAttempts().isEmpty()
         && ledJob.pending() > 0
-        && clock.wallClockMs() - ledJob.entry.submittedMs() > Constants.STARVATION_MS
+        && clock.wallClockMs() - ledJob.entry().submittedMs() > Constants.STARVATION_MS
         // not since the last try: a start that an owner refused once cost the job another wait
-        && (ledJob.lastRunningMs == 0
-            || clock.now() - ledJob.lastRunningMs > Constants.STARVATION_MS);
+        && (ledJob.lastRunningMs() == 0
+            || clock.now() - ledJob.lastRunningMs() > Constants.STARVATION_MS);
   }
 
   /**
@@ -73,22 +73,23 @@
       return comparison;
     }
     if (isStarving(first)) {
-      return Long.compare(first.entry.submittedMs(), second.entry.submittedMs());
+      return Long.compare(first.entry().submittedMs(), second.entry().submittedMs());
     }
-    comparison = Integer.compare(second.spec.priority().ordinal(), first.spec.priority().ordinal());
+    comparison =
+        Integer.compare(second.spec().priority().ordinal(), first.spec().priority().ordinal());
     if (comparison != 0) {
       return comparison;
     }
     comparison =
         Integer.compare(
-            deadlineTier(first.entry, first.spec), deadlineTier(second.entry, second.spec));
+            deadlineTier(first.entry(), first.spec()), deadlineTier(second.entry(), second.spec()));
     if (comparison != 0) {
       return comparison;
     }
     comparison = Double.compare(weightedSlackS(first), weightedSlackS(second));
     return comparison != 0
         ? comparison
-        : Long.compare(first.entry.submittedMs(), second.entry.submittedMs());
+        : Long.compare(first.entry().submittedMs(), second.entry().submittedMs());
   }
 
   /** 0: the deadline can be met; 1: only a later one that the operators count; 2: neither. */
@@ -107,16 +108,16 @@
   }
 
   private double weightedSlackS(LedJob ledJob) {
-    JobSpec spec = ledJob.spec;
+    JobSpec spec = ledJob.spec();
     double slots =
         Math.max(
             1, totalCpusByType.getDouble(demand.minimalType(spec)) / Math.max(0.01, spec.cpus()));
     double workS = ledJob.pending() * spec.estimatedRunS() / slots;
     double slackS =
         spec.deadlineS() == null
-            ? 600 + (ledJob.entry.submittedMs() - clock.wallClockMs()) / 1000.0
+            ? 600 + (ledJob.entry().submittedMs() - clock.wallClockMs()) / 1000.0
             : spec.deadlineS()
-                - (clock.wallClockMs() - ledJob.entry.submittedMs()) / 1000.0
+                - (clock.wallClockMs() - ledJob.entry().submittedMs()) / 1000.0
                 - spec.estimatedRunS();
     return slackS + Constants.SLACK_PER_WORK_FACTOR * workS;
   }
@@ -134,7 +135,7 @@
       if (!machine.isSchedulable()) {
         continue;
       }
-      MachineType type = types.find(machine.status.type());
+      MachineType type = types.find(machine.status().type());
       if (type == null) {
         continue;
       }
--- a/src/main/java/mallowstall/core/placement/PlacementScheduler.java
+++ b/src/main/java/mallowstall/core/placement/PlacementScheduler.java
@@ -97,13 +97,13 @@
     List<LedJob> pendingJobs = new ArrayList<>();
     boolean anyDue = false;
     for (LedJob ledJob : jobLeader.jobs()) {
-      if (ledJob.spec.isService()) {
-        ledJob.relocations.expire(now);
+      if (ledJob.spec().isService()) {
+        ledJob.relocations().expire(now);
       }
-      if (ledJob.recovered
+      if (ledJob.recovered()
           && !ledJob.finished()
           && ledJob.pending() > 0
-          && now >= ledJob.startNotBeforeMs) {
+          && now >= ledJob.startNotBeforeMs()) {
         pendingJobs.add(ledJob);
         anyDue |= !backoffFor(ledJob).isWaiting(now, placementTrigger.capacityVersion());
       }
@@ -137,10 +137,10 @@
   }
 
   private Backoff backoffFor(LedJob ledJob) {
-    if (ledJob.spec.isService()) {
-      return ledJob.backoff;
+    if (ledJob.spec().isService()) {
+      return ledJob.backoff();
     }
-    String policy = policies.forJobClass(ledJob.spec.jobClass()).name();
+    String policy = policies.forJobClass(ledJob.spec().jobClass()).name();
     return backoffs.computeIfAbsent(policy, key -> new Backoff());
   }
 
@@ -151,7 +151,7 @@
     for (LedJob ledJob : pendingJobs) {
       boolean sameGroup =
           previous != null
-              && previous.spec.priority() == ledJob.spec.priority()
+              && previous.spec().priority() == ledJob.spec().priority()
               && ranking.isStarving(previous) == ranking.isStarving(ledJob);
       if (!sameGroup) {
         groups.add(new ArrayList<>());
@@ -168,7 +168,7 @@
     int blockCount = 0;
     for (LedJob ledJob : group) {
       Try jobPlacement = new Try(ledJob, machines);
-      boolean mayYield = !ranking.isStarving(ledJob) && !ledJob.spec.isService();
+      boolean mayYield = !ranking.isStarving(ledJob) && !ledJob.spec().isService();
       if (jobPlacement.backoff.isWaiting(now, placementTrigger.capacityVersion())
           || mayYield && queuedWork.mustYield(ledJob, now)) {
         continue;
@@ -219,7 +219,7 @@
 
     Try(LedJob ledJob, List<MachineView> machines) {
       this.ledJob = ledJob;
-      JobSpec spec = ledJob.spec;
+      JobSpec spec = ledJob.spec();
       policy = policies.forJobClass(spec.jobClass());
       backoff = backoffFor(ledJob);
       pendingTasks = ledJob.pending();
@@ -231,16 +231,16 @@
       freeQuotaTasks =
           !quotaLimited
               ? Integer.MAX_VALUE
-              : ledJob.quotaWriteInFlight
-                      || ledJob.writeOutcomeUnknown
+              : ledJob.quotaWriteInFlight()
+                      || ledJob.writeOutcomeUnknown()
                       || quotaLedger.mustReleaseQuota(ledJob)
                   ? 0
-                  : ledJob.entry.quotaReservedTasks() - ledJob.activeAttempts.size();
-      for (ActiveAttempt active : ledJob.activeAttempts.values()) {
-        chosenZone = active.zone;
-        tasksByZone.merge(active.zone, 1, Integer::sum);
+                  : ledJob.entry().quotaReservedTasks() - ledJob.activeAttempts().size();
+      for (ActiveAttempt active : ledJob.activeAttempts().values()) {
+        chosenZone = active.zone();
+        tasksByZone.merge(active.zone(), 1, Integer::sum);
         if (spec.isService()) {
-          replicasByMachine.merge(active.machine, 1, Integer::sum);
+          replicasByMachine.merge(active.machine(), 1, Integer::sum);
         }
       }
       if (spec.singleZone() && chosenZone == null) {
@@ -251,7 +251,7 @@
 
     /** Places what this block allows; returns the number of starts. */
     int tryBlock(Policy.Block block, List<MachineView> machines, int maxStarts, long now) {
-      JobSpec spec = ledJob.spec;
+      JobSpec spec = ledJob.spec();
       if (pendingTasks <= 0) {
         return 0;
       }
@@ -284,19 +284,19 @@
     /** The machines that this block takes, best first. */
     private List<MachineCandidate> rankCandidates(
         Policy.Block block, List<MachineView> machines, long now) {
-      JobSpec spec = ledJob.spec;
+      JobSpec spec = ledJob.spec();
       List<MachineCandidate> candidates = new ArrayList<>();
       for (MachineView machine : machines) {
         if (!machine.allows(spec)) {
           continue;
         }
-        if (spec.singleZone() && !machine.status.zone().equals(chosenZone)) {
+        if (spec.singleZone() && !machine.status().zone().equals(chosenZone)) {
           continue;
         }
         if (machine.fittingTasks(spec) <= 0) {
           continue;
         }
-        Long cooldownUntilMs = ledJob.machineCooldownUntilMs.get(machine.id);
+        Long cooldownUntilMs = ledJob.machineCooldownUntilMs().get(machine.id());
         if (cooldownUntilMs != null && cooldownUntilMs > now) {
           continue;
         }
@@ -324,23 +324,24 @@
         int maxPerMachine,
         int maxStarts,
         long now) {
-      JobSpec spec = ledJob.spec;
+      JobSpec spec = ledJob.spec();
       int started = 0;
       for (MachineCandidate candidate : candidates) {
         int fitting = Math.min(pendingTasks, candidate.machine.fittingTasks(spec));
         if (spec.isService()) {
           fitting =
               Math.min(
-                  fitting, maxPerMachine - replicasByMachine.getOrDefault(candidate.machine.id, 0));
+                  fitting,
+                  maxPerMachine - replicasByMachine.getOrDefault(candidate.machine.id(), 0));
         }
         fitting =
             Math.min(
                 fitting,
-                maxTasksPerZone - tasksByZone.getOrDefault(candidate.machine.status.zone(), 0));
+                maxTasksPerZone - tasksByZone.getOrDefault(candidate.machine.status().zone(), 0));
         if (fitting <= 0) {
           continue;
         }
-        if (!candidate.machine.status.images().contains(spec.image())) {
+        if (!candidate.machine.status().images().contains(spec.image())) {
           // each cold machine adds its slots to those that will serve the image's other tasks
           if (block.invalidate(policyFacts.evaluate(candidate.machine, ledJob, now))) {
             break;
@@ -362,9 +363,9 @@
         quotaBlockedTasks += fitting - startable;
         pendingTasks -= fitting - startable;
         candidate.machine.reserve(spec, fitting - startable);
-        tasksByZone.merge(candidate.machine.status.zone(), fitting, Integer::sum);
+        tasksByZone.merge(candidate.machine.status().zone(), fitting, Integer::sum);
         if (spec.isService()) {
-          replicasByMachine.merge(candidate.machine.id, fitting, Integer::sum);
+          replicasByMachine.merge(candidate.machine.id(), fitting, Integer::sum);
         }
         if (pendingTasks <= 0 || started >= maxStarts) {
           break;
@@ -375,18 +376,18 @@
 
     void finish(long now) {
       if (quotaLimited && quotaBlockedTasks > 0) {
-        ledJob.requestedQuota = Math.max(ledJob.requestedQuota, quotaBlockedTasks);
+        ledJob.setRequestedQuota(Math.max(ledJob.requestedQuota(), quotaBlockedTasks));
       }
       if (placedTasks > 0) {
-        ledJob.quotaIdleSinceMs = 0;
+        ledJob.setQuotaIdleSinceMs(0);
         backoff.reset();
       } else if (quotaBlockedTasks == 0) {
         // exhausted every block: wait, unless a roster tells of new room before
         LOG.debug(
             "job {} finds no room: {} wait, {} on machines, {} machines with room refused",
-            ledJob.id,
+            ledJob.id(),
             pendingTasks,
-            ledJob.activeAttempts.size(),
+            ledJob.activeAttempts().size(),
             rejectedCandidates);
         metrics.increment("backoffs");
         backoff.recordFailure(now, placementTrigger.capacityVersion());
@@ -400,12 +401,13 @@
         return;
       }
       if (freeQuotaTasks <= 0) {
-        ledJob.requestedQuota =
+        ledJob.setRequestedQuota(
             Math.max(
-                ledJob.requestedQuota, Math.min(pendingTasks, Constants.PREEMPTIONS_PER_PASS_MAX));
+                ledJob.requestedQuota(),
+                Math.min(pendingTasks, Constants.PREEMPTIONS_PER_PASS_MAX)));
         return;
       }
-      ledJob.lastPreemptionMs = now;
+      ledJob.setLastPreemptionMs(now);
       int remainingStarts = Constants.PREEMPTIONS_PER_PASS_MAX;
       for (Preemption.PreemptionCandidate candidate :
           preemption.findCandidates(ledJob, policy, chosenZone, now)) {
@@ -418,9 +420,9 @@
 
     /** Starts at most so many tasks in the place of others; returns how many. */
     private int startPreempting(Preemption.PreemptionCandidate candidate, int maxStarts, long now) {
-      JobSpec spec = ledJob.spec;
+      JobSpec spec = ledJob.spec();
       MachineView machine = candidate.machine();
-      String zone = machine.status.zone();
+      String zone = machine.status().zone();
       // with no room anywhere the first start names the zone: two zones were once taken
       if (spec.singleZone() && chosenZone != null && !zone.equals(chosenZone)) {
         return 0;
@@ -457,19 +459,19 @@
       machine.clearReservations();
     }
     for (LedJob ledJob : jobLeader.jobs()) {
-      for (Map.Entry<String, Integer> entry : ledJob.relocations.replicasByTarget().entrySet()) {
+      for (Map.Entry<String, Integer> entry : ledJob.relocations().replicasByTarget().entrySet()) {
         MachineView target = view.machines.get(entry.getKey());
         if (target != null) {
-          target.reserve(ledJob.spec, entry.getValue());
+          target.reserve(ledJob.spec(), entry.getValue());
         }
       }
-      for (ActiveAttempt active : ledJob.activeAttempts.values()) {
-        if (active.observedOnMachine || active.inLatestStatus) {
+      for (ActiveAttempt active : ledJob.activeAttempts().values()) {
+        if (active.observedOnMachine() || active.inLatestStatus()) {
           continue;
         }
-        MachineView reportedMachine = view.machines.get(active.machine);
+        MachineView reportedMachine = view.machines.get(active.machine());
         if (reportedMachine != null) {
-          reportedMachine.reserve(ledJob.spec, 1);
+          reportedMachine.reserve(ledJob.spec(), 1);
         }
       }
     }
@@ -479,7 +481,7 @@
     Map<String, Integer> slotsByZone = new HashMap<>();
     for (MachineView machine : machines) {
       if (machine.allows(spec)) {
-        slotsByZone.merge(machine.status.zone(), machine.fittingTasks(spec), Integer::sum);
+        slotsByZone.merge(machine.status().zone(), machine.fittingTasks(spec), Integer::sum);
       }
     }
     String best = null;
--- a/src/main/java/mallowstall/core/placement/PolicyFacts.java
+++ b/src/main/java/mallowstall/core/placement/PolicyFacts.java
@@ -38,26 +38,26 @@
 
   /** The facts on this pair; they stand until the next call. */
   Policy.Facts evaluate(MachineView machine, LedJob ledJob, long now) {
-    JobSpec spec = ledJob.spec;
-    MachineType type = types.find(machine.status.type());
-    facts.zone = machine.status.zone();
-    facts.type = machine.status.type();
+    JobSpec spec = ledJob.spec();
+    MachineType type = types.find(machine.status().type());
+    facts.zone = machine.status().zone();
+    facts.type = machine.status().type();
     facts.image = spec.image();
-    facts.spot = machine.status.spot();
-    facts.locallyManaged = settings.node().equals(machine.leader);
+    facts.spot = machine.status().spot();
+    facts.locallyManaged = settings.node().equals(machine.leader());
     facts.freeCpus = machine.freeCpus();
     facts.freeGpus = machine.freeGpus();
     facts.freeMemoryGb = machine.freeMemoryGb();
     facts.cpuUtilization =
         type == null || type.cpus() <= 0 ? 0 : 1 - machine.freeCpus() / type.cpus();
-    facts.imagePresent = machine.status.images().contains(spec.image());
+    facts.imagePresent = machine.status().images().contains(spec.image());
     int fetching = 0;
     boolean fetchingSameImage = false;
     view.updateDerivedState(machine);
-    for (String other : machine.fetchingImages) {
+    for (String other : machine.fetchingImages()) {
       if (other.equals(spec.image())) {
         fetchingSameImage = true;
-      } else if (!machine.status.images().contains(other)) {
+      } else if (!machine.status().images().contains(other)) {
         fetching++;
       }
     }
@@ -68,9 +68,9 @@
             ? 0
             : spec.imageGb() / fetchGbPerS * (fetchingSameImage ? 0.6 : 1 + fetching);
     facts.drainS = queuedWork.drainS(spec.image());
-    facts.otherDrainS = queuedWork.maxOtherDrainS(spec.image(), machine.status.images());
-    facts.reservedForUrgent = demand.reserved(machine.id);
-    facts.scarceType = demand.isScarce(spec, machine.status.type());
+    facts.otherDrainS = queuedWork.maxOtherDrainS(spec.image(), machine.status().images());
+    facts.reservedForUrgent = demand.reserved(machine.id());
+    facts.scarceType = demand.isScarce(spec, machine.status().type());
     facts.taskCpus = spec.cpus();
     facts.taskGpus = spec.gpus();
     facts.taskMemoryGb = spec.memoryGb();
@@ -80,12 +80,12 @@
             ? Policy.Facts.NEVER_S
             : spec.deadlineS()
                 - spec.estimatedRunS()
-                - (clock.wallClockMs() - ledJob.entry.submittedMs()) / 1000.0;
+                - (clock.wallClockMs() - ledJob.entry().submittedMs()) / 1000.0;
     facts.estimateS = spec.estimatedRunS();
     facts.priority = spec.priority().ordinal();
     facts.pendingTasks = ledJob.pending();
     facts.service = spec.isService();
-    facts.price = type == null ? 0 : machine.status.spot() ? type.spotPrice() : type.price();
+    facts.price = type == null ? 0 : machine.status().spot() ? type.spotPrice() : type.price();
     return facts;
   }
 
@@ -94,8 +94,8 @@
    * however slowly, doesn't starve.
    */
   private double waitedS(LedJob ledJob, long now) {
-    double ageS = (clock.wallClockMs() - ledJob.entry.submittedMs()) / 1000.0;
-    return ledJob.lastStartMs == 0 ? ageS : Math.min(ageS, (now - ledJob.lastStartMs) / 1000.0);
+    double ageS = (clock.wallClockMs() - ledJob.entry().submittedMs()) / 1000.0;
+    return ledJob.lastStartMs() == 0 ? ageS : Math.min(ageS, (now - ledJob.lastStartMs()) / 1000.0);
   }
 
   /** Whether some block of the policy takes the machine for the job. */
--- a/src/main/java/mallowstall/core/placement/Preemption.java
+++ b/src/main/java/mallowstall/core/placement/Preemption.java
@@ -57,17 +57,17 @@
   /** Whether the job may take others' places, and has waited long enough for it. */
   boolean mayPreempt(LedJob ledJob, long now) {
     return (isUrgent(ledJob) || isOwedGuaranteedShare(ledJob, now))
-        && now - ledJob.leaderSinceMs >= Constants.PREEMPTION_DELAY_MS
-        && now - ledJob.lastPreemptionMs >= Constants.PREEMPTION_INTERVAL_MIN_MS;
+        && now - ledJob.leaderSinceMs() >= Constants.PREEMPTION_DELAY_MS
+        && now - ledJob.lastPreemptionMs() >= Constants.PREEMPTION_INTERVAL_MIN_MS;
   }
 
   private static boolean isUrgent(LedJob ledJob) {
-    return ledJob.spec.priority().ordinal() >= Priority.HIGH.ordinal();
+    return ledJob.spec().priority().ordinal() >= Priority.HIGH.ordinal();
   }
 
   private boolean isOwedGuaranteedShare(LedJob ledJob, long now) {
-    return guaranteedShares.includes(ledJob.id)
-        && now - ledJob.leaderSinceMs > Constants.GUARANTEE_PREEMPTION_DELAY_MS;
+    return guaranteedShares.includes(ledJob.id())
+        && now - ledJob.leaderSinceMs() > Constants.GUARANTEE_PREEMPTION_DELAY_MS;
   }
 
   /**
@@ -76,17 +76,17 @@
    */
   List<PreemptionCandidate> findCandidates(
       LedJob ledJob, Policy policy, String chosenZone, long now) {
-    JobSpec spec = ledJob.spec;
+    JobSpec spec = ledJob.spec();
     List<PreemptionCandidate> candidates = new ArrayList<>();
     for (MachineView machine : view.machines.values()) {
       if (!machine.isSchedulable() || !view.hasRecentUpdate(machine) || !machine.allows(spec)) {
         continue;
       }
-      if (spec.singleZone() && chosenZone != null && !machine.status.zone().equals(chosenZone)) {
+      if (spec.singleZone() && chosenZone != null && !machine.status().zone().equals(chosenZone)) {
         continue;
       }
-      if (demand.isScarce(spec, machine.status.type())
-          || ledJob.machineCooldownUntilMs.getOrDefault(machine.id, 0L) > now) {
+      if (demand.isScarce(spec, machine.status().type())
+          || ledJob.machineCooldownUntilMs().getOrDefault(machine.id(), 0L) > now) {
         continue;
       }
       List<TaskStatus> victims = selectVictims(ledJob, machine, now);
@@ -107,7 +107,7 @@
     MachineView machine = candidate.machine;
     for (TaskStatus victim : candidate.victims) {
       machine.reserve(store.job(victim.job()).spec(), -1);
-      machine.preemptedUntilMs.put(taskRef(victim), now + Constants.PREEMPTION_INTERVAL_MIN_MS);
+      machine.preemptedUntilMs().put(taskRef(victim), now + Constants.PREEMPTION_INTERVAL_MIN_MS);
     }
   }
 
@@ -115,23 +115,23 @@
   private List<TaskStatus> selectVictims(LedJob ledJob, MachineView machine, long now) {
     boolean urgent = isUrgent(ledJob);
     boolean owedShare = isOwedGuaranteedShare(ledJob, now);
-    machine.preemptedUntilMs.values().removeIf(untilMs -> untilMs <= now);
+    machine.preemptedUntilMs().values().removeIf(untilMs -> untilMs <= now);
     List<TaskStatus> preemptible = new ArrayList<>();
-    for (TaskStatus task : machine.status.tasks()) {
+    for (TaskStatus task : machine.status().tasks()) {
       JobEntry job = task.state() == null ? null : store.job(task.job());
       if (job == null
           || task.state() == TaskState.EXITED
           || task.state() == TaskState.CHECKPOINTING) {
         continue;
       }
-      if (machine.preemptedUntilMs.containsKey(taskRef(task)) || isProtected(job)) {
+      if (machine.preemptedUntilMs().containsKey(taskRef(task)) || isProtected(job)) {
         continue;
       }
       boolean lowerPriority =
-          urgent && job.spec().priority().ordinal() < ledJob.spec.priority().ordinal();
+          urgent && job.spec().priority().ordinal() < ledJob.spec().priority().ordinal();
       boolean borrowed =
           owedShare
-              && !job.spec().team().equals(ledJob.spec.team())
+              && !job.spec().team().equals(ledJob.spec().team())
               && !guaranteedShares.includes(job.spec().id());
       if (lowerPriority || borrowed) {
         preemptible.add(task);
@@ -146,7 +146,7 @@
       cpus += spec.cpus();
       gpus += spec.gpus();
       memoryGb += spec.memoryGb();
-      if (Capacity.fittingTasks(cpus, gpus, memoryGb, ledJob.spec) > 0) {
+      if (Capacity.fittingTasks(cpus, gpus, memoryGb, ledJob.spec()) > 0) {
         return preemptible.subList(0, i + 1);
       }
     }
--- a/src/main/java/mallowstall/core/placement/QueuedWork.java
+++ b/src/main/java/mallowstall/core/placement/QueuedWork.java
@@ -100,11 +100,11 @@
    * holds a job back only for a while, since those may have reasons of their own to wait.
    */
   boolean mustYield(LedJob ledJob, long now) {
-    String type = demand.minimalType(ledJob.spec);
+    String type = demand.minimalType(ledJob.spec());
     if (type == null) {
       return false;
     }
-    int ownRank = ranking.rank(ledJob.entry, ledJob.spec);
+    int ownRank = ranking.rank(ledJob.entry(), ledJob.spec());
     // by turns, since it may have reasons of its own to wait
     double starvingCpus = 0;
     for (QueuedJob starvingJob : queuedJobs) {
@@ -131,13 +131,13 @@
       }
     }
     if (aheadCpus <= 0 || aheadCpus < ranking.freeCpus(type)) {
-      ledJob.outrankedSinceMs = 0;
+      ledJob.setOutrankedSinceMs(0);
       return false;
     }
-    if (ledJob.outrankedSinceMs == 0) {
-      ledJob.outrankedSinceMs = now;
+    if (ledJob.outrankedSinceMs() == 0) {
+      ledJob.setOutrankedSinceMs(now);
     }
-    return now - ledJob.outrankedSinceMs < Constants.OUTRANKED_YIELD_MS;
+    return now - ledJob.outrankedSinceMs() < Constants.OUTRANKED_YIELD_MS;
   }
 
   /**
@@ -191,7 +191,7 @@
   private void addWarmSlots(MachineView machine, Map<String, JobSpec> specByImage) {
     view.updateDerivedState(machine);
     int queuedImages = 0;
-    for (String image : machine.images) {
+    for (String image : machine.images()) {
       if (queuedSecondsByImage.containsKey(image)) {
         queuedImages++;
       }
@@ -199,7 +199,7 @@
     if (queuedImages == 0) {
       return;
     }
-    for (String image : machine.images) {
+    for (String image : machine.images()) {
       JobSpec spec = queuedSecondsByImage.containsKey(image) ? specByImage.get(image) : null;
       if (spec != null && machine.allows(spec)) {
         warmSlotsByImage.addTo(image, taskSlots(machine, spec) / queuedImages);
@@ -209,7 +209,7 @@
 
   /** How many tasks like this one an empty machine would hold. */
   private double taskSlots(MachineView machine, JobSpec spec) {
-    MachineType type = types.find(machine.status.type());
+    MachineType type = types.find(machine.status().type());
     if (type == null) {
       return 0;
     }
--- a/src/main/java/mallowstall/core/placement/ReplicaRelocation.java
+++ b/src/main/java/mallowstall/core/placement/ReplicaRelocation.java
@@ -55,20 +55,20 @@
    */
   void runPass(List<MachineView> machines, long now) {
     for (LedJob ledJob : jobLeader.jobs()) {
-      if (!ledJob.spec.isService() || !ledJob.recovered || ledJob.finished()) {
+      if (!ledJob.spec().isService() || !ledJob.recovered() || ledJob.finished()) {
         continue;
       }
-      for (int replica : ledJob.relocations.replicas()) {
+      for (int replica : ledJob.relocations().replicas()) {
         startRelocated(ledJob, replica, now);
       }
-      if (ledJob.writeOutcomeUnknown) {
+      if (ledJob.writeOutcomeUnknown()) {
         continue;
       }
-      for (ActiveAttempt active : new ArrayList<>(ledJob.activeAttempts.values())) {
-        if (!active.observedOnMachine || ledJob.relocations.inProgress(active.task)) {
+      for (ActiveAttempt active : new ArrayList<>(ledJob.activeAttempts().values())) {
+        if (!active.observedOnMachine() || ledJob.relocations().inProgress(active.task())) {
           continue;
         }
-        MachineView source = view.machines.get(active.machine);
+        MachineView source = view.machines.get(active.machine());
         if (source == null || !source.isDeparting()) {
           continue;
         }
@@ -77,37 +77,41 @@
           continue;
         }
         LOG.info(
-            "replica {}/{} moves from {} to {}", ledJob.id, active.task, active.machine, target.id);
-        ledJob.relocations.begin(active.task, target.id, now);
-        target.reserve(ledJob.spec, 1);
+            "replica {}/{} moves from {} to {}",
+            ledJob.id(),
+            active.task(),
+            active.machine(),
+            target.id());
+        ledJob.relocations().begin(active.task(), target.id(), now);
+        target.reserve(ledJob.spec(), 1);
         messenger.sendStop(
-            source.leader,
+            source.leader(),
             new StopRequest(
-                active.machine,
-                ledJob.id,
-                active.task,
-                active.attempt,
-                ledJob.spec.checkpointSaveS() + 1));
+                active.machine(),
+                ledJob.id(),
+                active.task(),
+                active.attempt(),
+                ledJob.spec().checkpointSaveS() + 1));
       }
     }
   }
 
   /** Starts a replica where its move leads, once it is proven to run nowhere. */
   private void startRelocated(LedJob ledJob, int replica, long now) {
-    if (ledJob.activeAttempts.containsKey(replica)
-        || ledJob.quotaWriteInFlight
-        || ledJob.writeOutcomeUnknown) {
+    if (ledJob.activeAttempts().containsKey(replica)
+        || ledJob.quotaWriteInFlight()
+        || ledJob.writeOutcomeUnknown()) {
       return;
     }
-    MachineView machine = view.machines.get(ledJob.relocations.target(replica));
-    ledJob.relocations.end(replica);
+    MachineView machine = view.machines.get(ledJob.relocations().target(replica));
+    ledJob.relocations().end(replica);
     if (machine == null) {
       return;
     }
-    machine.reserve(ledJob.spec, -1);
+    machine.reserve(ledJob.spec(), -1);
     boolean quotaReserved =
-        !quotaLedger.hasQuota(ledJob.spec)
-            || ledJob.entry.quotaReservedTasks() > ledJob.activeAttempts.size();
+        !quotaLedger.hasQuota(ledJob.spec())
+            || ledJob.entry().quotaReservedTasks() > ledJob.activeAttempts().size();
     boolean available = machine.isSchedulable() && view.hasRecentUpdate(machine);
     if (quotaReserved && available && mayRunOn(ledJob, replica, machine)) {
       startSender.enqueue(ledJob, replica, machine, List.of());
@@ -117,21 +121,21 @@
   private MachineView selectTarget(
       LedJob ledJob, ActiveAttempt moving, List<MachineView> machines, long now) {
     Map<String, Integer> replicasByMachine = new HashMap<>();
-    for (ActiveAttempt active : ledJob.activeAttempts.values()) {
-      replicasByMachine.merge(active.machine, 1, Integer::sum);
+    for (ActiveAttempt active : ledJob.activeAttempts().values()) {
+      replicasByMachine.merge(active.machine(), 1, Integer::sum);
     }
-    Policy policy = policies.forJobClass(ledJob.spec.jobClass());
+    Policy policy = policies.forJobClass(ledJob.spec().jobClass());
     MachineView best = null;
     double bestCost = Double.MAX_VALUE;
     for (MachineView machine : machines) {
-      if (ledJob.machineCooldownUntilMs.getOrDefault(machine.id, 0L) > now
-          || !mayRunOn(ledJob, moving.task, machine)) {
+      if (ledJob.machineCooldownUntilMs().getOrDefault(machine.id(), 0L) > now
+          || !mayRunOn(ledJob, moving.task(), machine)) {
         continue;
       }
       boolean accepted = policyFacts.accepts(policy, machine, ledJob, now);
       double cost =
           policyFacts.evaluate(machine, ledJob, now).fetchS
-              + replicasByMachine.getOrDefault(machine.id, 0);
+              + replicasByMachine.getOrDefault(machine.id(), 0);
       if (!accepted || cost >= bestCost) {
         continue;
       }
@@ -143,19 +147,19 @@
 
   /** Whether the replica may run there, given where the job's others are. */
   private boolean mayRunOn(LedJob ledJob, int replica, MachineView machine) {
-    JobSpec spec = ledJob.spec;
+    JobSpec spec = ledJob.spec();
     if (!machine.allows(spec) || machine.fittingTasks(spec) <= 0) {
       return false;
     }
     int replicasInZone = 1;
-    for (ActiveAttempt active : ledJob.activeAttempts.values()) {
-      if (active.task == replica) {
+    for (ActiveAttempt active : ledJob.activeAttempts().values()) {
+      if (active.task() == replica) {
         continue;
       }
-      if (spec.singleZone() && !active.zone.equals(machine.status.zone())) {
+      if (spec.singleZone() && !active.zone().equals(machine.status().zone())) {
         return false;
       }
-      if (active.zone.equals(machine.status.zone())) {
+      if (active.zone().equals(machine.status().zone())) {
         replicasInZone++;
       }
     }
--- a/src/main/java/mallowstall/core/placement/StartSender.java
+++ b/src/main/java/mallowstall/core/placement/StartSender.java
@@ -57,40 +57,46 @@
 
   /** Starts a task on the machine, in the place of these others. */
   void enqueue(LedJob ledJob, int task, MachineView machine, List<TaskRef> victims) {
-    PeerState peer = view.peer(machine.leader);
-    long attempt = (ledJob.entry.epoch() << Constants.ATTEMPT_BITS) + ++ledJob.attemptCounter;
+    PeerState peer = view.peer(machine.leader());
+    long attempt = (ledJob.entry().epoch() << Constants.ATTEMPT_BITS) + ledJob.takeAttemptNumber();
     long lifetimeMs = Math.min(Constants.START_EXPIRY_MS, store.sessionRemainingMs());
     long expiryMs = clock.wallClockMs() + lifetimeMs - 2 * settings.maxClockSkewMs();
-    if (ledJob.activeAttempts.isEmpty() && ledJob.completedCount == 0) {
-      metrics.recordDuration("job_wait", clock.wallClockMs() - ledJob.entry.submittedMs());
+    if (ledJob.activeAttempts().isEmpty() && ledJob.completedCount() == 0) {
+      metrics.recordDuration("job_wait", clock.wallClockMs() - ledJob.entry().submittedMs());
     }
     jobLeader.trackAttempt(
         new ActiveAttempt(
             ledJob,
             task,
             attempt,
-            machine.id,
-            machine.status.zone(),
-            machine.status.type(),
-            machine.leader,
-            machine.leaderIncarnation,
-            peer.connection,
-            peer.nextSequence));
-    ledJob.lastStartMs = clock.now();
-    machine.reserve(ledJob.spec, 1);
+            machine.id(),
+            machine.status().zone(),
+            machine.status().type(),
+            machine.leader(),
+            machine.leaderIncarnation(),
+            peer.connection(),
+            peer.nextSequence()));
+    ledJob.setLastStartMs(clock.now());
+    machine.reserve(ledJob.spec(), 1);
     queuedByLeader
-        .computeIfAbsent(machine.leader, k -> new ArrayList<>())
+        .computeIfAbsent(machine.leader(), k -> new ArrayList<>())
         .add(
             new StartRequest(
-                machine.id, ledJob.id, task, attempt, ledJob.entry.epoch(), expiryMs, victims));
+                machine.id(),
+                ledJob.id(),
+                task,
+                attempt,
+                ledJob.entry().epoch(),
+                expiryMs,
+                victims));
     LOG.debug(
         "start {}/{} attempt {} on {} through {}, image {}",
-        ledJob.id,
+        ledJob.id(),
         task,
         attempt,
-        machine.id,
-        machine.leader,
-        machine.status.images().contains(ledJob.spec.image()) ? "there" : "missing");
+        machine.id(),
+        machine.leader(),
+        machine.status().images().contains(ledJob.spec().image()) ? "there" : "missing");
   }
 
   /** Sends the starts that have gathered, through the owners of their machines. */
@@ -102,8 +108,8 @@
           new StartBatch(
               settings.node(),
               store.incarnation(),
-              peer.connection,
-              peer.nextSequence++,
+              peer.connection(),
+              peer.takeSequence(),
               entry.getValue()));
     }
     queuedByLeader.clear();
--- a/src/main/java/mallowstall/core/quota/QuotaLedger.java
+++ b/src/main/java/mallowstall/core/quota/QuotaLedger.java
@@ -73,14 +73,14 @@
     }
 
     void add(LedJob ledJob, int tasks) {
-      cpus += tasks * ledJob.spec.cpus();
-      gpus += tasks * ledJob.spec.gpus();
-      String key = StateStore.JOB_PREFIX + ledJob.id;
-      conditions.add(new Condition(key, ledJob.modRevision));
+      cpus += tasks * ledJob.spec().cpus();
+      gpus += tasks * ledJob.spec().gpus();
+      String key = StateStore.JOB_PREFIX + ledJob.id();
+      conditions.add(new Condition(key, ledJob.modRevision()));
       puts.add(
           new PutOperation(
               key,
-              ledJob.entry.withQuotaReservation(ledJob.entry.quotaReservedTasks() + tasks),
+              ledJob.entry().withQuotaReservation(ledJob.entry().quotaReservedTasks() + tasks),
               0));
       jobs.add(ledJob);
     }
@@ -123,7 +123,7 @@
     Map<String, List<LedJob>> byTeam = new LinkedHashMap<>();
     for (LedJob ledJob : jobLeader.jobs()) {
       if (canChangeQuota(ledJob, now) && quotaDelta(ledJob, now) != 0) {
-        byTeam.computeIfAbsent(ledJob.spec.team(), k -> new ArrayList<>()).add(ledJob);
+        byTeam.computeIfAbsent(ledJob.spec().team(), k -> new ArrayList<>()).add(ledJob);
       }
     }
     byTeam.forEach(
@@ -135,13 +135,13 @@
   }
 
   private boolean canChangeQuota(LedJob ledJob, long now) {
-    return hasQuota(ledJob.spec)
-        && !ledJob.writeInFlight
-        && !ledJob.quotaWriteInFlight
-        && !ledJob.writeOutcomeUnknown
-        && ledJob.quotaRetry.isDue(now)
+    return hasQuota(ledJob.spec())
+        && !ledJob.writeInFlight()
+        && !ledJob.quotaWriteInFlight()
+        && !ledJob.writeOutcomeUnknown()
+        && ledJob.quotaRetry().isDue(now)
         // its own next write brings the entry into its present layout first
-        && !jobBitmaps.needsLayoutMigration(ledJob.entry);
+        && !jobBitmaps.needsLayoutMigration(ledJob.entry());
   }
 
   /** Lowers grants before it raises others. */
@@ -169,7 +169,7 @@
 
   private void add(Change change, LedJob ledJob, int tasks) {
     // one that may be refused for its size is tried alone, so that it delays no other job
-    boolean writeAlone = !jobBitmaps.fitsAsStored(ledJob.entry);
+    boolean writeAlone = !jobBitmaps.fitsAsStored(ledJob.entry());
     if (tasks == 0
         || change.jobs.size() >= change.maxJobs
         || writeAlone && !change.jobs.isEmpty()) {
@@ -183,9 +183,9 @@
 
   /** As many more tasks as the team's limit leaves to the job. */
   private int tasksWithinQuota(Change change, LedJob ledJob, int requested) {
-    Team team = settings.teams().get(ledJob.spec.team());
+    Team team = settings.teams().get(ledJob.spec().team());
     int tasks = requested;
-    if (tasks > 0 && !ledJob.spec.isService()) {
+    if (tasks > 0 && !ledJob.spec().isService()) {
       // what isn't asked for by placement must leave the team far from its limit: else it was
       // given and taken back by turns, with every change, and served nobody
       int unrequested =
@@ -193,14 +193,14 @@
               tasks,
               remainingTasks(
                   team,
-                  ledJob.spec,
+                  ledJob.spec(),
                   change.cpus,
                   change.gpus,
                   Constants.QUOTA_UNCONTENDED_FRACTION));
-      tasks = Math.max(unrequested, Math.min(tasks, ledJob.requestedQuota));
+      tasks = Math.max(unrequested, Math.min(tasks, ledJob.requestedQuota()));
     }
     return tasks > 0
-        ? Math.min(tasks, remainingTasks(team, ledJob.spec, change.cpus, change.gpus, 1))
+        ? Math.min(tasks, remainingTasks(team, ledJob.spec(), change.cpus, change.gpus, 1))
         : tasks;
   }
 
@@ -210,7 +210,7 @@
     TeamUsageEntry usage = new TeamUsageEntry(Math.max(0, change.cpus), Math.max(0, change.gpus));
     change.puts.add(new PutOperation(key, usage, 0));
     for (LedJob ledJob : change.jobs) {
-      ledJob.quotaWriteInFlight = true;
+      ledJob.setQuotaWriteInFlight(true);
     }
     teamsInFlight.add(team);
     nextChangeMs.put(team, now + Constants.QUOTA_TRANSACTION_INTERVAL_MIN_MS);
@@ -222,7 +222,7 @@
     if (!accepted) {
       teamsInFlight.remove(team);
       for (LedJob ledJob : change.jobs) {
-        ledJob.quotaWriteInFlight = false;
+        ledJob.setQuotaWriteInFlight(false);
       }
     }
   }
@@ -249,14 +249,14 @@
   }
 
   private void handleResult(LedJob ledJob, TransactionResult reply) {
-    ledJob.quotaWriteInFlight = false;
+    ledJob.setQuotaWriteInFlight(false);
     if (reply.code() != ResultCode.REJECTED) {
-      ledJob.quotaRetry.recordResult(clock.now(), reply.code());
+      ledJob.quotaRetry().recordResult(clock.now(), reply.code());
     }
     if (reply.code() == ResultCode.OK) {
-      ledJob.requestedQuota = 0;
+      ledJob.setRequestedQuota(0);
     } else if (reply.code() == ResultCode.OUTCOME_UNKNOWN) {
-      ledJob.writeOutcomeUnknown = true;
+      ledJob.setWriteOutcomeUnknown(true);
     } else if (reply.code() == ResultCode.CONFLICT && reply.revision() > store.revision()) {
       jobLeader.refreshEntry(ledJob);
     }
@@ -274,7 +274,7 @@
    * tasks waiting would otherwise use its grant again and again, and nobody else get any.
    */
   public boolean mustReleaseQuota(LedJob ledJob) {
-    return ledJob.id.equals(releasingJobs.get(ledJob.spec.team()));
+    return ledJob.id().equals(releasingJobs.get(ledJob.spec().team()));
   }
 
   /** Finds the jobs that must give up grants. */
@@ -323,30 +323,30 @@
    * grant with every few tasks took a third of the state service's changes, and starts waited.
    */
   private int quotaDelta(LedJob ledJob, long now) {
-    int unused = ledJob.entry.quotaReservedTasks() - ledJob.activeAttempts.size();
-    if (!ledJob.recovered) {
+    int unused = ledJob.entry().quotaReservedTasks() - ledJob.activeAttempts().size();
+    if (!ledJob.recovered()) {
       return 0;
     }
     // replicas start again and again: what they need stays granted until the job is cancelled
-    if (ledJob.spec.isService() && !ledJob.finished()) {
-      return Math.max(0, ledJob.spec.tasks() - ledJob.entry.quotaReservedTasks());
+    if (ledJob.spec().isService() && !ledJob.finished()) {
+      return Math.max(0, ledJob.spec().tasks() - ledJob.entry().quotaReservedTasks());
     }
     if (ledJob.finished() || mustReleaseQuota(ledJob)) {
       return -Math.max(0, unused);
     }
     int pending = ledJob.pending();
-    boolean headroom = hasHeadroom(ledJob.spec.team());
-    if (unused - pending > (headroom ? ledJob.entry.quotaReservedTasks() / 2 : 0)) {
+    boolean headroom = hasHeadroom(ledJob.spec().team());
+    if (unused - pending > (headroom ? ledJob.entry().quotaReservedTasks() / 2 : 0)) {
       return -(unused - pending);
     }
-    int requested = headroom ? pending : ledJob.requestedQuota;
+    int requested = headroom ? pending : ledJob.requestedQuota();
     if (requested > 0) {
       return Math.min(requested, Math.max(0, pending - unused));
     }
     if (!headroom
         && unused > 0
-        && ledJob.quotaIdleSinceMs > 0
-        && now - ledJob.quotaIdleSinceMs > Constants.QUOTA_RESERVATION_IDLE_MS) {
+        && ledJob.quotaIdleSinceMs() > 0
+        && now - ledJob.quotaIdleSinceMs() > Constants.QUOTA_RESERVATION_IDLE_MS) {
       return -unused;
     }
     return 0;
--- a/src/test/java/mallowstall/core/FaultSafetyTest.java
+++ b/src/test/java/mallowstall/core/FaultSafetyTest.java
@@ -265,14 +265,14 @@
                 new StatusUpdate(
                     "n1", 1_000, 1, 0, 0, 0, 1, mine - 1, 99, 99, 0, List.of(), List.of(),
                     List.of(), List.of())));
-    assertEquals(0, node.core.view().peer("n1").acknowledgedConnection);
+    assertEquals(0, node.core.view().peer("n1").acknowledgedConnection());
     node.enqueueEvent(
         () ->
             node.core.handleMessage(
                 new StatusUpdate(
                     "n1", 1_000, 2, 0, 0, 0, 1, mine, 99, 99, 0, List.of(), List.of(), List.of(),
                     List.of())));
-    assertEquals(99, node.core.view().peer("n1").acknowledgedConnection);
+    assertEquals(99, node.core.view().peer("n1").acknowledgedConnection());
   }
 
   /** All connections between controllers are refused: work goes on and recovers at once. */
@@ -343,24 +343,24 @@
     PeerState peer = node.core.view().peer("n9");
     MachineStatus state = machineStatus("m-900001", 1);
     node.enqueueEvent(() -> node.core.handleMessage(statusUpdate(1, 0, List.of(state), List.of())));
-    assertEquals(1, peer.serial);
-    assertTrue(peer.machines.contains("m-900001"));
+    assertEquals(1, peer.serial());
+    assertTrue(peer.machines().contains("m-900001"));
     node.enqueueEvent(
         () -> node.core.handleMessage(statusUpdate(4, 3, List.of(), List.of("m-900001"))));
-    assertEquals(1, peer.serial, "builds on the third, which never came");
-    assertTrue(peer.machines.contains("m-900001"));
+    assertEquals(1, peer.serial(), "builds on the third, which never came");
+    assertTrue(peer.machines().contains("m-900001"));
     node.enqueueEvent(
         () ->
             node.core.handleMessage(
                 statusUpdate(5, 1, List.of(machineStatus("m-900002", 1)), List.of())));
-    assertEquals(5, peer.serial);
+    assertEquals(5, peer.serial());
     node.enqueueEvent(
         () -> node.core.handleMessage(statusUpdate(4, 1, List.of(), List.of("m-900002"))));
-    assertTrue(peer.machines.contains("m-900002"), "an older one comes late");
+    assertTrue(peer.machines().contains("m-900002"), "an older one comes late");
     node.enqueueEvent(
         () -> node.core.handleMessage(statusUpdate(6, 5, List.of(), List.of("m-900001"))));
-    assertFalse(peer.machines.contains("m-900001"));
-    assertTrue(peer.machines.contains("m-900002"), "what isn't said anew still holds");
+    assertFalse(peer.machines().contains("m-900001"));
+    assertTrue(peer.machines().contains("m-900002"), "what isn't said anew still holds");
   }
 
   private static MachineStatus machineStatus(String id, long token) {
--- a/src/test/java/mallowstall/core/MachineLeadershipTest.java
+++ b/src/test/java/mallowstall/core/MachineLeadershipTest.java
@@ -98,7 +98,7 @@
     assertEquals(503, responses.get(0).status());
     MachineView machineView = leader.core.view().machines.get(worker.id);
     assertNotNull(machineView);
-    assertEquals(List.of(), machineView.status.tasks());
+    assertEquals(List.of(), machineView.status().tasks());
   }
 
   /**
@@ -205,7 +205,7 @@
     sim.runUntil(sim.nowMs + 3_000);
     assertEquals(before, sim.machineEntry(worker.id));
     for (SimulatedController peer : sim.controllers.values()) {
-      assertEquals(List.of(), peer.core.view().machines.get(worker.id).status.tasks());
+      assertEquals(List.of(), peer.core.view().machines.get(worker.id).status().tasks());
     }
     // returned: by the cloud and in the records
     sim.killMachine(worker.id);
@@ -351,7 +351,7 @@
                         new KeyValue(StateStore.MACHINE_GROUP_PREFIX + "9-9", group, revision)));
       }
       sim.runUntil(first + Simulation.LEASE_MS + 6_000);
-      assertEquals(!between, node.core.view().machines.get(worker.id).status.leaseExpired());
+      assertEquals(!between, node.core.view().machines.get(worker.id).status().leaseExpired());
     }
   }
 
@@ -405,13 +405,13 @@
     }
     sim.runUntil(sim.nowMs + 1_000);
     assertFalse(
-        node.core.view().machines.get(worker.id).status.leaseExpired(),
+        node.core.view().machines.get(worker.id).status().leaseExpired(),
         "nobody knows what is on it");
     node.watchStalled = false;
     sim.runUntil(sim.nowMs + 6_000);
     MachineView machineView = node.core.view().machines.get(worker.id);
     assertTrue(
-        machineView == null || !machineView.status.leaseExpired(),
+        machineView == null || !machineView.status().leaseExpired(),
         "it must be confirmed, or returned, first");
   }
 
@@ -437,7 +437,7 @@
     assertEquals(200, responses.get(0).status(), "taken for the worker's own");
     sim.runUntil(sim.nowMs + Simulation.LEASE_MS + 4_000);
     MachineView machineView = node.core.view().machines.get(worker.id);
-    assertTrue(machineView == null || machineView.status.leaseExpired());
+    assertTrue(machineView == null || machineView.status().leaseExpired());
   }
 
   /**
@@ -476,23 +476,23 @@
         MachineView machineView = node.core.view().machines.get(mute.id);
         assertFalse(
             machineView.isSchedulable(), "it answers commands, but loses its tasks each lease");
-        assertFalse(machineView.status.unresponsive());
+        assertFalse(machineView.status().unresponsive());
       }
     }
     sim.runUntil(sim.nowMs + 400);
     assertEquals(2, worker.epoch);
     MachineView machineView = node.core.view().machines.get(worker.id);
-    assertEquals(2, machineView.status.session(), "known from the answer");
+    assertEquals(2, machineView.status().session(), "known from the answer");
     long known = sim.nowMs;
     while (sim.nowMs < known + Simulation.LEASE_MS - 600) {
       sim.runUntil(sim.nowMs + 200);
       assertFalse(
-          node.core.view().machines.get(worker.id).status.leaseExpired(),
+          node.core.view().machines.get(worker.id).status().leaseExpired(),
           "at " + (sim.nowMs - known));
     }
     sim.runUntil(known + Simulation.LEASE_MS + 4_000);
     machineView = node.core.view().machines.get(worker.id);
-    assertTrue(machineView == null || machineView.status.leaseExpired(), "and not a longer one");
+    assertTrue(machineView == null || machineView.status().leaseExpired(), "and not a longer one");
   }
 
   /**
@@ -510,8 +510,9 @@
     SimulatedController stays = sim.controllers.get("n1");
     List<String> machines = new ArrayList<>();
     for (MachineView machineView : stays.core.view().machines.values()) {
-      if ("n0".equals(machineView.leader) && machineView.status.images().contains("wk-000001")) {
-        machines.add(machineView.id);
+      if ("n0".equals(machineView.leader())
+          && machineView.status().images().contains("wk-000001")) {
+        machines.add(machineView.id());
       }
     }
     assertFalse(machines.isEmpty(), "n0 owns machines that have the image");
@@ -522,8 +523,8 @@
       if (machineView == null) {
         continue; // it was idle and has been returned
       }
-      assertFalse("n0".equals(machineView.leader), id);
-      assertTrue(machineView.status.images().contains("wk-000001"), id);
+      assertFalse("n0".equals(machineView.leader()), id);
+      assertTrue(machineView.status().images().contains("wk-000001"), id);
     }
   }
 }
--- a/src/test/java/mallowstall/core/MachineViewTest.java
+++ b/src/test/java/mallowstall/core/MachineViewTest.java
@@ -12,8 +12,8 @@
 class MachineViewTest {
   private static MachineView machineView(double noticeS, boolean replace, List<String> images) {
     MachineView machineView = new MachineView("m-000001");
-    machineView.leader = "n0";
-    machineView.status =
+    machineView.setLeader("n0");
+    machineView.setStatus(
         new MachineStatus(
             "m-000001",
             "a:1",
@@ -36,7 +36,7 @@
             32,
             0,
             images,
-            List.of());
+            List.of()));
     return machineView;
   }
 
@@ -47,7 +47,7 @@
     assertTrue(machineView(12, false, List.of()).isDeparting());
     assertTrue(machineView(-1, true, List.of()).isDeparting());
     MachineView nobodys = machineView(12, false, List.of());
-    nobodys.leader = null;
+    nobodys.setLeader(null);
     assertFalse(nobodys.isDeparting(), "nobody could be asked to stop its replicas");
   }
 }
--- a/src/test/java/mallowstall/core/Simulation.java
+++ b/src/test/java/mallowstall/core/Simulation.java
@@ -208,10 +208,10 @@
     Map<String, Integer> placed = new HashMap<>();
     Map<String, Integer> running = new HashMap<>();
     for (MachineView machine : core.view().machines.values()) {
-      if (machine.status == null) {
+      if (machine.status() == null) {
         continue;
       }
-      for (TaskStatus task : machine.status.tasks()) {
+      for (TaskStatus task : machine.status().tasks()) {
         if (task.state() != TaskState.EXITED) {
           placed.merge(task.job(), 1, Integer::sum);
         }
