--- /dev/null
+++ b/src/main/java/mallowstall/core/MachineModules.java
@@ -0,0 +1,189 @@
+package mallowstall.core;
+
+import java.util.function.Consumer;
+import mallowstall.core.cluster.StartBatchReceiver;
+import mallowstall.core.jobs.JobLeader;
+import mallowstall.core.machines.DirectCommands;
+import mallowstall.core.machines.FencingTokens;
+import mallowstall.core.machines.HeartbeatHandler;
+import mallowstall.core.machines.HeartbeatRouter;
+import mallowstall.core.machines.LeadershipChanges;
+import mallowstall.core.machines.LeaseExpiryMonitor;
+import mallowstall.core.machines.MachineEntryWriter;
+import mallowstall.core.machines.MachineFailover;
+import mallowstall.core.machines.MachineMaintenance;
+import mallowstall.core.machines.MachineRegistration;
+import mallowstall.core.machines.ManagedMachines;
+import mallowstall.core.machines.RestartRecovery;
+import mallowstall.core.machines.StartAdmission;
+import mallowstall.core.machines.StartRequestHandler;
+import mallowstall.core.machines.StatusPublisher;
+import mallowstall.core.machines.StopRequestHandler;
+import mallowstall.core.model.StatusUpdate;
+
+/**
+ * The modules by which this controller leads machines: registration, heartbeats, fencing tokens,
+ * starts and stops, failover and recovery. Thread: the event loop's.
+ */
+final class MachineModules {
+  final ManagedMachines machines;
+  final StatusPublisher statusPublisher;
+  final DirectCommands commands;
+  final RestartRecovery restartRecovery;
+  final HeartbeatRouter heartbeats;
+  final StopRequestHandler stopRequests;
+  final LeadershipChanges leadershipChanges;
+  final MachineMaintenance maintenance;
+  final StartBatchReceiver startReceiver;
+
+  private final ClusterModules cluster;
+  private final MachineEntryWriter entryWriter;
+  private final FencingTokens fencingTokens;
+  private final HeartbeatHandler heartbeatHandler;
+  private final MachineRegistration registration;
+
+  /**
+   * Builds the modules; none of them does anything before its first event.
+   *
+   * @param ownStatusUpdates takes the status updates that this controller publishes to itself
+   */
+  MachineModules(
+      ClusterModules cluster, JobLeader jobLeader, Consumer<StatusUpdate> ownStatusUpdates) {
+    this.cluster = cluster;
+    machines = new ManagedMachines(cluster.clock, cluster.settings, cluster.store, cluster.view);
+    entryWriter = new MachineEntryWriter(cluster.settings, cluster.effects, cluster.store);
+    statusPublisher = newStatusPublisher(ownStatusUpdates);
+    fencingTokens = new FencingTokens(machines, entryWriter, statusPublisher);
+    heartbeatHandler = newHeartbeatHandler(jobLeader);
+    commands = newDirectCommands();
+    registration = newRegistration();
+    restartRecovery = newRestartRecovery();
+    heartbeats = newHeartbeatRouter();
+    stopRequests = new StopRequestHandler(cluster.clock, machines, statusPublisher, commands);
+    leadershipChanges = newLeadershipChanges();
+    maintenance = newMaintenance();
+    startReceiver = newStartReceiver();
+  }
+
+  private StatusPublisher newStatusPublisher(Consumer<StatusUpdate> ownStatusUpdates) {
+    return new StatusPublisher(
+        cluster.clock,
+        cluster.eventLoopLag,
+        cluster.settings,
+        cluster.effects,
+        cluster.metrics,
+        cluster.store,
+        cluster.view,
+        cluster.cancellations,
+        ownStatusUpdates,
+        machines);
+  }
+
+  private HeartbeatHandler newHeartbeatHandler(JobLeader jobLeader) {
+    return new HeartbeatHandler(
+        cluster.clock,
+        cluster.settings,
+        cluster.store,
+        cluster.jobBitmaps,
+        cluster.imageSizes,
+        cluster.cancellations,
+        jobLeader::atFault,
+        machines,
+        statusPublisher,
+        fencingTokens);
+  }
+
+  private DirectCommands newDirectCommands() {
+    return new DirectCommands(
+        cluster.clock,
+        cluster.effects,
+        cluster.store,
+        cluster.connectivity,
+        cluster.cancellations,
+        heartbeatHandler,
+        machines,
+        fencingTokens);
+  }
+
+  private MachineRegistration newRegistration() {
+    return new MachineRegistration(
+        cluster.clock,
+        cluster.settings,
+        cluster.store,
+        cluster.view,
+        cluster.machineTypes,
+        cluster.membership,
+        machines,
+        entryWriter,
+        heartbeatHandler);
+  }
+
+  private RestartRecovery newRestartRecovery() {
+    return new RestartRecovery(
+        cluster.clock,
+        cluster.settings,
+        cluster.store,
+        cluster.machineTypes,
+        machines,
+        entryWriter,
+        statusPublisher);
+  }
+
+  private HeartbeatRouter newHeartbeatRouter() {
+    return new HeartbeatRouter(
+        cluster.clock,
+        cluster.store,
+        cluster.machineTypes,
+        cluster.connectivity,
+        machines,
+        heartbeatHandler,
+        registration);
+  }
+
+  private LeadershipChanges newLeadershipChanges() {
+    return new LeadershipChanges(
+        cluster.settings, cluster.store, machines, statusPublisher, registration, restartRecovery);
+  }
+
+  private MachineMaintenance newMaintenance() {
+    MachineFailover failover =
+        new MachineFailover(
+            cluster.clock,
+            cluster.settings,
+            cluster.effects,
+            cluster.store,
+            cluster.view,
+            cluster.machineTypes,
+            cluster.membership,
+            machines,
+            entryWriter,
+            heartbeatHandler);
+    LeaseExpiryMonitor leaseExpiry =
+        new LeaseExpiryMonitor(
+            cluster.settings, cluster.store, machines, fencingTokens, statusPublisher);
+    return new MachineMaintenance(
+        cluster.clock,
+        machines,
+        entryWriter,
+        statusPublisher,
+        commands,
+        registration,
+        failover,
+        leaseExpiry);
+  }
+
+  private StartBatchReceiver newStartReceiver() {
+    StartAdmission startAdmission =
+        new StartAdmission(
+            cluster.clock,
+            cluster.store,
+            cluster.jobBitmaps,
+            cluster.connectivity,
+            cluster.cancellations,
+            machines);
+    StartRequestHandler startRequests =
+        new StartRequestHandler(
+            cluster.metrics, cluster.store, machines, statusPublisher, commands, startAdmission);
+    return new StartBatchReceiver(cluster.view, startRequests::handle);
+  }
+}
