--- a/src/main/java/mallowstall/core/cluster/MachineView.java
+++ b/src/main/java/mallowstall/core/cluster/MachineView.java
@@ -6,7 +6,7 @@
 import mallowstall.core.model.Capacity;
 import mallowstall.core.model.JobSpec;
 import mallowstall.core.model.MachineStatus;
-import mallowstall.core.model.TaskRef;
+import mallowstall.core.model.TaskAttempt;
 
 /** One machine as seen from here. Mutable. */
 public final class MachineView {
@@ -34,7 +34,7 @@
   private MachineStatus derivedFrom;
 
   /** Tasks there that this controller has asked to be stopped for others, until when. */
-  private final Map<TaskRef, Long> preemptedUntilMs = new HashMap<>();
+  private final Map<TaskAttempt, Long> preemptedUntilMs = new HashMap<>();
 
   /** Wires this module to the ones that it uses; it does nothing before its first event. */
   public MachineView(String id) {
@@ -193,7 +193,7 @@
   }
 
   /** Tasks there that this controller has asked to be stopped for others, until when. */
-  public Map<TaskRef, Long> preemptedUntilMs() {
+  public Map<TaskAttempt, Long> preemptedUntilMs() {
     return preemptedUntilMs;
   }
 }
--- a/src/main/java/mallowstall/core/machines/StartAdmission.java
+++ b/src/main/java/mallowstall/core/machines/StartAdmission.java
@@ -13,7 +13,6 @@
 import mallowstall.core.model.StartRequest;
 import mallowstall.core.model.TaskAttempt;
 import mallowstall.core.model.TaskKey;
-import mallowstall.core.model.TaskRef;
 import mallowstall.core.model.TaskReport;
 import mallowstall.core.model.TaskState;
 
@@ -93,10 +92,9 @@
   /** Whether the task has room once those that it replaces are gone. */
   private boolean fits(ManagedMachine machine, StartRequest start, JobSpec spec) {
     double[] free = machines.freeResources(machine);
-    for (TaskRef ref : start.victims()) {
-      TaskAttempt attempt = TaskAttempt.of(ref);
+    for (TaskAttempt attempt : start.victims()) {
       TaskReport victim = machine.tasks().get(attempt);
-      JobEntry victimJob = store.job(ref.job());
+      JobEntry victimJob = store.job(attempt.job());
       boolean freed = victim == null || victim.state() == TaskState.EXITED || victimJob == null;
       // what is replaced already counts as free room, and only once
       if (!freed && !machine.preempted().contains(attempt)) {
--- a/src/main/java/mallowstall/core/machines/StartRequestHandler.java
+++ b/src/main/java/mallowstall/core/machines/StartRequestHandler.java
@@ -9,7 +9,6 @@
 import mallowstall.core.model.StopRequest;
 import mallowstall.core.model.TaskAttempt;
 import mallowstall.core.model.TaskKey;
-import mallowstall.core.model.TaskRef;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -59,8 +58,7 @@
     machine
         .reservations()
         .put(new TaskKey(start.job(), start.task()), new Reservation(start, spec));
-    for (TaskRef ref : start.victims()) {
-      TaskAttempt attempt = TaskAttempt.of(ref);
+    for (TaskAttempt attempt : start.victims()) {
       if (machine.tasks().containsKey(attempt) && machine.preempted().add(attempt)) {
         preempt(machine, attempt, start);
       }
--- a/src/main/java/mallowstall/core/model/StartRequest.java
+++ b/src/main/java/mallowstall/core/model/StartRequest.java
@@ -10,4 +10,4 @@
     long attempt,
     long leaderEpoch,
     long expiryWallMs,
-    List<TaskRef> victims) {}
+    List<TaskAttempt> victims) {}
--- a/src/main/java/mallowstall/core/model/TaskAttempt.java
+++ b/src/main/java/mallowstall/core/model/TaskAttempt.java
@@ -10,9 +10,9 @@
     return new TaskAttempt(report.job(), report.task(), report.attempt());
   }
 
-  /** The attempt that is named there. */
-  public static TaskAttempt of(TaskRef ref) {
-    return new TaskAttempt(ref.job(), ref.task(), ref.attempt());
+  /** The attempt whose status this is. */
+  public static TaskAttempt of(TaskStatus status) {
+    return new TaskAttempt(status.job(), status.task(), status.attempt());
   }
 
   @Override
--- a/src/main/java/mallowstall/core/placement/PlacementScheduler.java
+++ b/src/main/java/mallowstall/core/placement/PlacementScheduler.java
@@ -443,7 +443,7 @@
           return started;
         }
         startSender.enqueue(
-            ledJob, task, machine, started == 0 ? candidate.victimRefs() : List.of());
+            ledJob, task, machine, started == 0 ? candidate.victimAttempts() : List.of());
         tasksByZone.merge(zone, 1, Integer::sum);
         chosenZone = zone;
         pendingTasks--;
--- a/src/main/java/mallowstall/core/placement/Preemption.java
+++ b/src/main/java/mallowstall/core/placement/Preemption.java
@@ -14,7 +14,7 @@
 import mallowstall.core.model.JobEntry;
 import mallowstall.core.model.JobSpec;
 import mallowstall.core.model.Priority;
-import mallowstall.core.model.TaskRef;
+import mallowstall.core.model.TaskAttempt;
 import mallowstall.core.model.TaskState;
 import mallowstall.core.model.TaskStatus;
 import mallowstall.core.quota.GuaranteedShares;
@@ -26,8 +26,8 @@
 public final class Preemption {
   /** A machine, the tasks to be stopped there, and the seconds of work that this costs. */
   record PreemptionCandidate(MachineView machine, List<TaskStatus> victims, double costS) {
-    List<TaskRef> victimRefs() {
-      return victims.stream().map(Preemption::taskRef).toList();
+    List<TaskAttempt> victimAttempts() {
+      return victims.stream().map(TaskAttempt::of).toList();
     }
   }
 
@@ -107,7 +107,9 @@
     MachineView machine = candidate.machine;
     for (TaskStatus victim : candidate.victims) {
       machine.reserve(store.job(victim.job()).spec(), -1);
-      machine.preemptedUntilMs().put(taskRef(victim), now + Constants.PREEMPTION_INTERVAL_MIN_MS);
+      machine
+          .preemptedUntilMs()
+          .put(TaskAttempt.of(victim), now + Constants.PREEMPTION_INTERVAL_MIN_MS);
     }
   }
 
@@ -124,7 +126,7 @@
           || task.state() == TaskState.CHECKPOINTING) {
         continue;
       }
-      if (machine.preemptedUntilMs().containsKey(taskRef(task)) || isProtected(job)) {
+      if (machine.preemptedUntilMs().containsKey(TaskAttempt.of(task)) || isProtected(job)) {
         continue;
       }
       boolean lowerPriority =
@@ -159,10 +161,6 @@
         && view.placedTasks(job.spec().id()) <= Math.max(1, job.spec().tasks() / 10);
   }
 
-  private static TaskRef taskRef(TaskStatus task) {
-    return new TaskRef(task.job(), task.task(), task.attempt());
-  }
-
   /** Seconds of work that are about lost when the task is stopped; little while it fetches. */
   private double lostWorkS(TaskStatus task) {
     if (task.state() == TaskState.FETCHING) {
--- a/src/main/java/mallowstall/core/placement/StartSender.java
+++ b/src/main/java/mallowstall/core/placement/StartSender.java
@@ -18,7 +18,7 @@
 import mallowstall.core.model.CoreSettings;
 import mallowstall.core.model.StartBatch;
 import mallowstall.core.model.StartRequest;
-import mallowstall.core.model.TaskRef;
+import mallowstall.core.model.TaskAttempt;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -56,7 +56,7 @@
   }
 
   /** Starts a task on the machine, in the place of these others. */
-  void enqueue(LedJob ledJob, int task, MachineView machine, List<TaskRef> victims) {
+  void enqueue(LedJob ledJob, int task, MachineView machine, List<TaskAttempt> victims) {
     PeerState peer = view.peer(machine.leader());
     long attempt = (ledJob.entry().epoch() << Constants.ATTEMPT_BITS) + ledJob.takeAttemptNumber();
     long lifetimeMs = Math.min(Constants.START_EXPIRY_MS, store.sessionRemainingMs());
--- a/src/main/java/mallowstall/peers/PeerCodec.java
+++ b/src/main/java/mallowstall/peers/PeerCodec.java
@@ -14,7 +14,7 @@
 import mallowstall.core.model.StatusUpdate;
 import mallowstall.core.model.StopBatch;
 import mallowstall.core.model.StopRequest;
-import mallowstall.core.model.TaskRef;
+import mallowstall.core.model.TaskAttempt;
 import mallowstall.core.model.TaskState;
 import mallowstall.core.model.TaskStatus;
 import org.apache.avro.io.BinaryDecoder;
@@ -300,17 +300,18 @@
     encoder.writeLong(start.attempt());
     encoder.writeLong(start.leaderEpoch());
     encoder.writeLong(start.expiryWallMs());
-    writeList(encoder, start.victims(), PeerCodec::writeTaskRef);
+    writeList(encoder, start.victims(), PeerCodec::writeTaskAttempt);
   }
 
-  private static void writeTaskRef(BinaryEncoder encoder, TaskRef ref) throws IOException {
-    encoder.writeString(ref.job());
-    encoder.writeInt(ref.task());
-    encoder.writeLong(ref.attempt());
+  private static void writeTaskAttempt(BinaryEncoder encoder, TaskAttempt attempt)
+      throws IOException {
+    encoder.writeString(attempt.job());
+    encoder.writeInt(attempt.task());
+    encoder.writeLong(attempt.attempt());
   }
 
-  private static TaskRef readTaskRef(BinaryDecoder decoder) throws IOException {
-    return new TaskRef(decoder.readString(), decoder.readInt(), decoder.readLong());
+  private static TaskAttempt readTaskAttempt(BinaryDecoder decoder) throws IOException {
+    return new TaskAttempt(decoder.readString(), decoder.readInt(), decoder.readLong());
   }
 
   private static StartRequest readStart(BinaryDecoder decoder) throws IOException {
@@ -321,7 +322,7 @@
         decoder.readLong(),
         decoder.readLong(),
         decoder.readLong(),
-        readList(decoder, PeerCodec::readTaskRef));
+        readList(decoder, PeerCodec::readTaskAttempt));
   }
 
   private static void writeStop(BinaryEncoder encoder, StopRequest stop) throws IOException {
--- a/src/test/java/mallowstall/peers/GoldenMessagesTest.java
+++ b/src/test/java/mallowstall/peers/GoldenMessagesTest.java
@@ -20,7 +20,7 @@
 import mallowstall.core.model.StatusUpdate;
 import mallowstall.core.model.StopBatch;
 import mallowstall.core.model.StopRequest;
-import mallowstall.core.model.TaskRef;
+import mallowstall.core.model.TaskAttempt;
 import mallowstall.core.model.TaskState;
 import mallowstall.core.model.TaskStatus;
 import org.junit.jupiter.api.Test;
@@ -105,7 +105,7 @@
                     55,
                     7,
                     0,
-                    List.of(new TaskRef("wk-5", 1, 56), new TaskRef("wk-6", 2, 57))))));
+                    List.of(new TaskAttempt("wk-5", 1, 56), new TaskAttempt("wk-6", 2, 57))))));
     all.put("starts-empty", new StartBatch("n3", 12, 2, 24, List.of()));
     all.put(
         "stops",
--- a/src/test/java/mallowstall/peers/PeerCodecTest.java
+++ b/src/test/java/mallowstall/peers/PeerCodecTest.java
@@ -17,7 +17,7 @@
 import mallowstall.core.model.StatusUpdate;
 import mallowstall.core.model.StopBatch;
 import mallowstall.core.model.StopRequest;
-import mallowstall.core.model.TaskRef;
+import mallowstall.core.model.TaskAttempt;
 import mallowstall.core.model.TaskState;
 import mallowstall.core.model.TaskStatus;
 import org.apache.avro.Schema;
@@ -88,7 +88,7 @@
                     99,
                     4,
                     1_700_000_000_000L,
-                    List.of(new TaskRef("wk-000003", 7, 5)))));
+                    List.of(new TaskAttempt("wk-000003", 7, 5)))));
     StopBatch stopBatch =
         new StopBatch(
             "n1", 3, List.of(new StopRequest("m-000007", "wk-000002", 1, 99, 4.5)), List.of("m-1"));
