--- a/src/main/java/mallowstall/state/StateServiceClient.java
+++ b/src/main/java/mallowstall/state/StateServiceClient.java
@@ -117,12 +117,14 @@
             then.accept(new GetResult(ResultCode.OK, new KeyValue(key, null, 0)));
             return;
           }
-          KeyValue item = content(reply, StateCodec::readItem);
+          // before the reader is made: that costs processor time which a starting process lacks
+          if (reply.status() != HttpStatus.OK) {
+            then.accept(new GetResult(code(reply.status()), null));
+            return;
+          }
+          KeyValue item = read(reply.body(), StateCodec::readItem);
           if (item == null || item.value() == null) {
-            then.accept(
-                new GetResult(
-                    reply.status() == HttpStatus.OK ? ResultCode.REJECTED : code(reply.status()),
-                    null));
+            then.accept(new GetResult(ResultCode.REJECTED, null));
           } else {
             then.accept(
                 new GetResult(ResultCode.OK, new KeyValue(key, item.value(), item.modRevision())));
