--- /dev/null
+++ b/src/main/java/mallowstall/core/jobs/LeadershipRecovery.java
@@ -0,0 +1,93 @@
+package mallowstall.core.jobs;
+
+import java.util.Map;
+import mallowstall.core.cluster.ClusterView;
+import mallowstall.core.cluster.PeerState;
+import mallowstall.core.kernel.PlacementTrigger;
+import mallowstall.core.kv.StateStore;
+import mallowstall.core.model.MachineEntry;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Holds back the placement of claimed jobs until every machine that may have got a start of an
+ * earlier leader epoch is accounted for by its leader's status updates. Not thread-safe.
+ */
+final class LeadershipRecovery {
+  private static final Logger LOG = LoggerFactory.getLogger("mallowstall.jobs");
+
+  private final StateStore store;
+  private final ClusterView view;
+  private final PlacementTrigger placementTrigger;
+  private final LedJobs jobs;
+
+  LeadershipRecovery(
+      StateStore store, ClusterView view, PlacementTrigger placementTrigger, LedJobs jobs) {
+    this.store = store;
+    this.view = view;
+    this.placementTrigger = placementTrigger;
+    this.jobs = jobs;
+  }
+
+  /** How far the status updates of all machines go; an update restates what hasn't changed. */
+  private record Coverage(long revision, long oldestUpdateOrdinal, String blockingMachine) {
+    boolean includes(LedJob ledJob) {
+      // guards against updates sent after the claim but received before this controller knew of it
+      return revision >= ledJob.claimRevision()
+          && oldestUpdateOrdinal > ledJob.statusUpdatesBeforeClaim();
+    }
+  }
+
+  /** Lets those claimed jobs be placed whose attempts are all known by now. */
+  void completeRecoveries() {
+    if (!anyRecovering()) {
+      return;
+    }
+    Coverage coverage = coverage();
+    for (LedJob ledJob : jobs.all()) {
+      if (ledJob.recovered() || ledJob.claimRevision() > store.revision()) {
+        continue;
+      }
+      if (coverage.includes(ledJob)) {
+        ledJob.markRecovered();
+        LOG.info(
+            "job recovered job={} epoch={} attempts={}",
+            ledJob.id(),
+            ledJob.entry().epoch(),
+            ledJob.activeAttempts().size());
+        placementTrigger.request();
+      } else {
+        LOG.debug("job recovery waits job={} machine={}", ledJob.id(), coverage.blockingMachine());
+      }
+    }
+  }
+
+  private boolean anyRecovering() {
+    boolean anyRecovering = false;
+    for (LedJob ledJob : jobs.all()) {
+      anyRecovering |= !ledJob.recovered();
+    }
+    return anyRecovering;
+  }
+
+  private Coverage coverage() {
+    long coveredRevision = Long.MAX_VALUE;
+    long oldestUpdate = Long.MAX_VALUE;
+    String blockingMachine = null;
+    for (Map.Entry<String, StateStore.Held> entry :
+        store.entriesUnder(StateStore.MACHINE_PREFIX).entrySet()) {
+      MachineEntry machineEntry = (MachineEntry) entry.getValue().value();
+      String id = entry.getKey().substring(StateStore.MACHINE_PREFIX.length());
+      PeerState peer = view.peer(machineEntry.node());
+      long revision = view.isFullyReported(id, machineEntry) ? peer.replicaRevision() : -1;
+      if (revision >= 0) {
+        oldestUpdate = Math.min(oldestUpdate, peer.lastUpdateOrdinal());
+      }
+      if (revision < coveredRevision) {
+        coveredRevision = revision;
+        blockingMachine = id;
+      }
+    }
+    return new Coverage(coveredRevision, oldestUpdate, blockingMachine);
+  }
+}
--- a/src/main/java/mallowstall/core/jobs/LedJob.java
+++ b/src/main/java/mallowstall/core/jobs/LedJob.java
@@ -2,73 +2,166 @@
 
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap;
 import it.unimi.dsi.fastutil.ints.IntArrayFIFOQueue;
+import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.HashMap;
 import java.util.HashSet;
+import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
+import mallowstall.Constants;
 import mallowstall.core.kernel.Backoff;
+import mallowstall.core.kernel.ResultCode;
 import mallowstall.core.kernel.RetryDelay;
 import mallowstall.core.kv.JobBitmaps;
 import mallowstall.core.model.JobEntry;
 import mallowstall.core.model.JobSpec;
-import mallowstall.core.model.TaskState;
 
-/** A job held here. Mutable. */
+/**
+ * A job led by this controller in one leader epoch: its entry, its completed tasks, its attempts
+ * and what holds its next starts and writes back. Times are in ms of the steady clock. Mutable; not
+ * thread-safe.
+ */
 public final class LedJob {
   private final String id;
   private final JobSpec spec;
+  private final long leaderSinceMs;
+  private final long claimRevision;
+  private final long statusUpdatesBeforeClaim;
+  private boolean recovered;
+  private JobEntry entry;
+  private long modRevision;
+
   private final BitSet completed = new BitSet();
+  private int completedCount;
+
+  /** Pieces of the completion bitmap with bits that aren't known to be recorded, by index. */
+  private final Set<Integer> dirtyPieces = new TreeSet<>();
+
   private final Int2ObjectOpenHashMap<ActiveAttempt> activeAttempts = new Int2ObjectOpenHashMap<>();
   private final IntArrayFIFOQueue retryQueue = new IntArrayFIFOQueue();
-  private final Set<Integer> dirtyPieces = new TreeSet<>();
-  private JobEntry entry;
-  private long modRevision;
   private int nextTask;
-  private int completedCount;
-  private boolean recovered;
-  private long claimRevision;
+  private int attemptCounter;
+
+  private boolean entryWriteInFlight;
 
-  /** Rosters received before this controller knew of its holding: their tasks weren't looked at. */
-  private long statusUpdatesBeforeClaim;
+  /** When the entry was last written or read; later than that after a failed write. */
+  private long lastEntryWriteMs = Long.MIN_VALUE / 2;
+
+  private final RetryDelay entryWriteRetry = new RetryDelay();
+
+  /** A write may still be applied: no task is started on what it would reserve. */
+  private boolean writeOutcomeUnknown;
 
-  private boolean writeInFlight;
-  private long lastWriteMs = Long.MIN_VALUE / 2;
-  private final RetryDelay writeRetry = new RetryDelay();
+  private boolean quotaWriteInFlight;
   private final RetryDelay quotaRetry = new RetryDelay();
-  private int attemptCounter;
+  private int requestedQuota;
+
+  /** Since when part of the quota reservation may be unused; 0: placement has just used it. */
   private long quotaIdleSinceMs;
-  private long leaderSinceMs;
+
   private long lastPreemptionMs;
+
+  /** When placement last started a task; 0: never. */
   private long lastStartMs;
 
-  /** When a task of the job was last seen to run; starts that were only tried don't count. */
+  /** When a task was last seen to run; 0: never. Starts that were rejected don't count. */
   private long lastRunningMs;
 
+  /** Since when jobs of other leaders come first; 0: they don't. */
   private long outrankedSinceMs;
-  private int requestedQuota;
-  private boolean quotaWriteInFlight;
 
-  /** A write has an unknown outcome and may still be applied: nothing is started on its grant. */
-  private boolean writeOutcomeUnknown;
+  private long startNotBeforeMs;
+  private final Map<String, Long> machineCooldownUntilMs = new HashMap<>();
+  private final Set<String> machinesWithErrors = new HashSet<>();
 
-  /** Of a service: how long replicas that have ended wait, and where some are being moved. */
+  /** Used for services only. */
   private final ReplicaRestarts restarts = new ReplicaRestarts();
 
+  /** Used for services only. */
   private final ReplicaMoves relocations = new ReplicaMoves();
 
   /** Of a service, whose wait for a zone must not hold up other jobs of its policy. */
   private final Backoff backoff = new Backoff();
 
-  private final Map<String, Long> machineCooldownUntilMs = new HashMap<>();
-  private final Set<String> machinesWithErrors = new HashSet<>();
-  private long startNotBeforeMs;
-  private int preemptedFor;
+  /**
+   * A job in a new leader epoch; {@link #applyEntry} must follow.
+   *
+   * @param claimRevision the revision at which this controller became leader
+   * @param statusUpdatesBeforeClaim how many status updates had been received when it learned of
+   *     that: those may have shown tasks of the job that were not looked at
+   */
+  LedJob(JobEntry entry, long claimRevision, long statusUpdatesBeforeClaim, long now) {
+    this.id = entry.spec().id();
+    this.spec = entry.spec();
+    this.claimRevision = claimRevision;
+    this.statusUpdatesBeforeClaim = statusUpdatesBeforeClaim;
+    this.leaderSinceMs = now;
+    // in the first epoch no earlier leader can have started anything
+    this.recovered = entry.epoch() == 1;
+  }
+
+  /** Takes in the job's entry as of this revision, in the same leader epoch. */
+  void applyEntry(JobEntry newEntry, long newModRevision, long now) {
+    if (newModRevision > modRevision) {
+      writeOutcomeUnknown = false;
+    }
+    if (entry != null && newEntry.quotaReservedTasks() > entry.quotaReservedTasks()) {
+      quotaIdleSinceMs = now;
+    }
+    entry = newEntry;
+    modRevision = newModRevision;
+  }
 
-  LedJob(String id, JobSpec spec) {
-    this.id = id;
-    this.spec = spec;
+  /** The job's id. */
+  public String id() {
+    return id;
+  }
+
+  /** What the job's user asked for. */
+  public JobSpec spec() {
+    return spec;
+  }
+
+  /** The job's newest known entry. */
+  public JobEntry entry() {
+    return entry;
+  }
+
+  /** The revision at which {@link #entry} was written. */
+  public long modRevision() {
+    return modRevision;
+  }
+
+  /** When this controller became the job's leader. */
+  public long leaderSinceMs() {
+    return leaderSinceMs;
+  }
+
+  /** The revision at which this controller became the job's leader. */
+  long claimRevision() {
+    return claimRevision;
+  }
+
+  /** How many status updates had been received when this controller learned of its leadership. */
+  long statusUpdatesBeforeClaim() {
+    return statusUpdatesBeforeClaim;
+  }
+
+  /** Whether all attempts of earlier leader epochs are known, so that tasks may be placed. */
+  public boolean recovered() {
+    return recovered;
+  }
+
+  /** All attempts of earlier leader epochs are known. */
+  void markRecovered() {
+    recovered = true;
+  }
+
+  /** Whether the job is done or cancelled. */
+  public boolean finished() {
+    return entry.isTerminal();
   }
 
   /** The task has completed; its bit is to be written to the state service. */
@@ -78,27 +171,59 @@
     dirtyPieces.add(JobBitmaps.pieceIndex(task));
   }
 
+  /** Takes in completions that are recorded in the state service. */
+  void mergeCompleted(BitSet recorded) {
+    completed.or(recorded);
+    completedCount = completed.cardinality();
+  }
+
+  /** Whether the task has completed. */
+  boolean isCompleted(int task) {
+    return completed.get(task);
+  }
+
+  /** The completed tasks, to be read only. */
+  BitSet completed() {
+    return completed;
+  }
+
+  /** Number of completed tasks. */
+  public int completedCount() {
+    return completedCount;
+  }
+
+  /** Pieces with completions that aren't known to be recorded, to be read only. */
+  Set<Integer> dirtyPieces() {
+    return dirtyPieces;
+  }
+
+  /** Whether some completion isn't known to be recorded. */
+  boolean hasUnrecordedCompletions() {
+    return !dirtyPieces.isEmpty();
+  }
+
+  /** Completions of a cancelled job need not be recorded. */
+  void discardUnrecordedCompletions() {
+    dirtyPieces.clear();
+  }
+
   /** Tasks that could be started now. */
   public int pending() {
     return spec.tasks() - completedCount - activeAttempts.size() - restarts.waitingCount();
   }
 
-  /** Whether the job is done or cancelled. */
-  public boolean finished() {
-    return entry.isTerminal();
-  }
-
+  /** Number of tasks seen to run. */
   int runningCount() {
     int count = 0;
     for (ActiveAttempt attempt : activeAttempts.values()) {
-      if (attempt.observedOnMachine() && attempt.state() == TaskState.RUNNING) {
+      if (attempt.isRunning()) {
         count++;
       }
     }
     return count;
   }
 
-  /** The next task that is neither done nor possibly on a machine; -1: none. */
+  /** The next task that is neither completed nor possibly on a machine; -1: none. */
   public int pollTask() {
     while (!retryQueue.isEmpty()) {
       int task = retryQueue.dequeueInt();
@@ -115,267 +240,262 @@
     return -1;
   }
 
+  /** The task may be placed again. */
   void requeue(int task) {
     retryQueue.enqueue(task);
   }
 
-  /** The id. */
-  public String id() {
-    return id;
-  }
-
-  /** The spec. */
-  public JobSpec spec() {
-    return spec;
+  /** The task may be placed again if it isn't completed. */
+  void requeueUnlessCompleted(int task) {
+    if (!completed.get(task)) {
+      requeue(task);
+    }
   }
 
-  /** The completed. */
-  BitSet completed() {
-    return completed;
+  /** The number of the next attempt within the leader epoch; each is taken once. */
+  public int takeAttemptNumber() {
+    return ++attemptCounter;
   }
 
-  /** The active attempts. */
+  /** The attempts that are or may be on machines, by task, to be read only. */
   public Int2ObjectOpenHashMap<ActiveAttempt> activeAttempts() {
     return activeAttempts;
   }
 
-  /** The retry queue. */
-  IntArrayFIFOQueue retryQueue() {
-    return retryQueue;
+  /** The attempt is or may be on a machine. */
+  void addAttempt(ActiveAttempt active) {
+    activeAttempts.put(active.task(), active);
   }
 
-  /** The dirty pieces. */
-  Set<Integer> dirtyPieces() {
-    return dirtyPieces;
-  }
-
-  /** The entry. */
-  public JobEntry entry() {
-    return entry;
-  }
-
-  /** Sets the entry. */
-  public void setEntry(JobEntry newValue) {
-    this.entry = newValue;
-  }
-
-  /** The mod revision. */
-  public long modRevision() {
-    return modRevision;
-  }
-
-  /** Sets the mod revision. */
-  public void setModRevision(long newValue) {
-    this.modRevision = newValue;
+  /** The attempt is proven to be on no machine. */
+  void removeAttempt(ActiveAttempt active, long now) {
+    if (activeAttempts.get(active.task()) == active) {
+      activeAttempts.remove(active.task());
+    }
+    if (activeAttempts.isEmpty() || quotaIdleSinceMs == 0) {
+      quotaIdleSinceMs = now;
+    }
   }
 
-  /** The next task. */
-  int nextTask() {
-    return nextTask;
+  /** Whether a write or a read of the entry by this controller is unanswered. */
+  public boolean entryWriteInFlight() {
+    return entryWriteInFlight;
   }
 
-  /** The completed count. */
-  public int completedCount() {
-    return completedCount;
+  /** Whether nothing holds a write of the entry back; the last one of a job needs no gap. */
+  boolean mayWriteEntry(boolean allCompleted, long now) {
+    return entryWriteRetry.isDue(now)
+        && !entryWriteInFlight
+        && !quotaWriteInFlight
+        && (allCompleted || now - lastEntryWriteMs >= Constants.JOB_WRITE_INTERVAL_MIN_MS);
   }
 
-  /** Sets the completed count. */
-  public void setCompletedCount(int newValue) {
-    this.completedCount = newValue;
+  /**
+   * A write of the entry is being sent that records these pieces.
+   *
+   * @return those of the pieces that were dirty; they no longer are unless the write fails
+   */
+  List<Integer> beginEntryWrite(Set<Integer> recordedPieces, long now) {
+    List<Integer> pieces = new ArrayList<>(dirtyPieces);
+    pieces.retainAll(recordedPieces);
+    entryWriteInFlight = true;
+    lastEntryWriteMs = now;
+    dirtyPieces.removeAll(pieces);
+    return pieces;
   }
 
-  /** The recovered. */
-  public boolean recovered() {
-    return recovered;
-  }
-
-  /** Sets the recovered. */
-  public void setRecovered(boolean newValue) {
-    this.recovered = newValue;
+  /** The write of the entry could not be sent. */
+  void withdrawEntryWrite(List<Integer> pieces) {
+    entryWriteInFlight = false;
+    dirtyPieces.addAll(pieces);
   }
 
-  /** The claim revision. */
-  long claimRevision() {
-    return claimRevision;
+  /** The write of the entry is answered; pieces not known to be recorded are dirty again. */
+  void endEntryWrite(List<Integer> pieces, long now, ResultCode code) {
+    entryWriteInFlight = false;
+    entryWriteRetry.recordResult(now, code);
+    if (code == ResultCode.OK) {
+      return;
+    }
+    dirtyPieces.addAll(pieces);
+    if (code == ResultCode.OUTCOME_UNKNOWN) {
+      writeOutcomeUnknown = true;
+    }
+    if (code != ResultCode.CONFLICT) {
+      lastEntryWriteMs = now + Constants.STATE_RETRY_MS;
+    }
   }
 
-  /** Sets the claim revision. */
-  void setClaimRevision(long newValue) {
-    this.claimRevision = newValue;
+  /** The entry is being read after a conflict; it isn't written meanwhile. */
+  void beginEntryRead() {
+    entryWriteInFlight = true;
   }
 
-  /** Rosters received before this controller knew of its holding: their tasks weren't looked at. */
-  long statusUpdatesBeforeClaim() {
-    return statusUpdatesBeforeClaim;
+  /** The read of the entry is answered. */
+  void endEntryRead(long now) {
+    entryWriteInFlight = false;
+    lastEntryWriteMs = now;
   }
 
-  /** Sets the status updates before claim. */
-  void setStatusUpdatesBeforeClaim(long newValue) {
-    this.statusUpdatesBeforeClaim = newValue;
+  /** The read of the entry could not be sent. */
+  void withdrawEntryRead() {
+    entryWriteInFlight = false;
   }
 
-  /** The write in flight. */
-  public boolean writeInFlight() {
-    return writeInFlight;
-  }
-
-  /** Sets the write in flight. */
-  public void setWriteInFlight(boolean newValue) {
-    this.writeInFlight = newValue;
+  /** Whether a write has an unknown outcome and may still be applied. */
+  public boolean writeOutcomeUnknown() {
+    return writeOutcomeUnknown;
   }
 
-  /** The last write, in ms of the steady clock. */
-  long lastWriteMs() {
-    return lastWriteMs;
+  /** Whether a change of the quota reservation is unanswered. */
+  public boolean quotaWriteInFlight() {
+    return quotaWriteInFlight;
   }
 
-  /** Sets the last write, in ms of the steady clock. */
-  void setLastWriteMs(long newValue) {
-    this.lastWriteMs = newValue;
+  /** Whether no write of the entry is unanswered or in doubt, nor to be retried later. */
+  public boolean mayWriteQuota(long now) {
+    return !entryWriteInFlight
+        && !quotaWriteInFlight
+        && !writeOutcomeUnknown
+        && quotaRetry.isDue(now);
   }
 
-  /** The write retry. */
-  RetryDelay writeRetry() {
-    return writeRetry;
+  /** A change of the quota reservation is being sent. */
+  public void beginQuotaWrite() {
+    quotaWriteInFlight = true;
   }
 
-  /** The quota retry. */
-  public RetryDelay quotaRetry() {
-    return quotaRetry;
+  /** The change of the quota reservation could not be sent. */
+  public void withdrawQuotaWrite() {
+    quotaWriteInFlight = false;
   }
 
-  /** The number of the next attempt within the leader epoch; each is taken once. */
-  public int takeAttemptNumber() {
-    return ++attemptCounter;
+  /** The change of the quota reservation is answered. */
+  public void endQuotaWrite(long now, ResultCode code) {
+    quotaWriteInFlight = false;
+    // a rejection concerns the team's next transaction, not this job's
+    if (code != ResultCode.REJECTED) {
+      quotaRetry.recordResult(now, code);
+    }
+    if (code == ResultCode.OK) {
+      requestedQuota = 0;
+    } else if (code == ResultCode.OUTCOME_UNKNOWN) {
+      writeOutcomeUnknown = true;
+    }
   }
 
-  /** The quota idle since, in ms of the steady clock. */
-  public long quotaIdleSinceMs() {
-    return quotaIdleSinceMs;
+  /** Tasks that placement could have started with a larger quota reservation. */
+  public int requestedQuota() {
+    return requestedQuota;
   }
 
-  /** Sets the quota idle since, in ms of the steady clock. */
-  public void setQuotaIdleSinceMs(long newValue) {
-    this.quotaIdleSinceMs = newValue;
+  /** Placement could start so many tasks more with a larger quota reservation. */
+  public void requestQuota(int tasks) {
+    requestedQuota = Math.max(requestedQuota, tasks);
   }
 
-  /** The leader since, in ms of the steady clock. */
-  public long leaderSinceMs() {
-    return leaderSinceMs;
+  /** Placement has started tasks on the quota reservation. */
+  public void recordQuotaUse() {
+    quotaIdleSinceMs = 0;
   }
 
-  /** Sets the leader since, in ms of the steady clock. */
-  public void setLeaderSinceMs(long newValue) {
-    this.leaderSinceMs = newValue;
+  /** Whether part of the quota reservation has been unused for longer than this. */
+  public boolean quotaIdleLongerThan(long durationMs, long now) {
+    return quotaIdleSinceMs > 0 && now - quotaIdleSinceMs > durationMs;
   }
 
-  /** The last preemption, in ms of the steady clock. */
+  /** When the job last preempted others; 0: never. */
   public long lastPreemptionMs() {
     return lastPreemptionMs;
   }
 
-  /** Sets the last preemption, in ms of the steady clock. */
-  public void setLastPreemptionMs(long newValue) {
-    this.lastPreemptionMs = newValue;
+  /** The job preempts others now. */
+  public void recordPreemption(long now) {
+    lastPreemptionMs = now;
   }
 
-  /** The last start, in ms of the steady clock. */
+  /** When placement last started a task of the job; 0: never. */
   public long lastStartMs() {
     return lastStartMs;
   }
 
-  /** Sets the last start, in ms of the steady clock. */
-  public void setLastStartMs(long newValue) {
-    this.lastStartMs = newValue;
+  /** Placement has started a task of the job. */
+  public void recordStart(long now) {
+    lastStartMs = now;
   }
 
-  /** When a task of the job was last seen to run; starts that were only tried don't count. */
+  /** When a task of the job was last seen to run; 0: never. Rejected starts don't count. */
   public long lastRunningMs() {
     return lastRunningMs;
   }
 
-  /** Sets the last running, in ms of the steady clock. */
-  public void setLastRunningMs(long newValue) {
-    this.lastRunningMs = newValue;
+  /** A task of the job is seen to run, or has completed. */
+  void recordRunning(long now) {
+    lastRunningMs = now;
   }
 
-  /** The outranked since, in ms of the steady clock. */
-  public long outrankedSinceMs() {
-    return outrankedSinceMs;
+  /** Jobs of other leaders no longer come first. */
+  public void clearOutranked() {
+    outrankedSinceMs = 0;
   }
 
-  /** Sets the outranked since, in ms of the steady clock. */
-  public void setOutrankedSinceMs(long newValue) {
-    this.outrankedSinceMs = newValue;
+  /** Jobs of other leaders come first now; returns for how long they have, in ms. */
+  public long recordOutranked(long now) {
+    if (outrankedSinceMs == 0) {
+      outrankedSinceMs = now;
+    }
+    return now - outrankedSinceMs;
   }
 
-  /** The requested quota. */
-  public int requestedQuota() {
-    return requestedQuota;
+  /** Before this time no task of the job is started. */
+  public long startNotBeforeMs() {
+    return startNotBeforeMs;
   }
 
-  /** Sets the requested quota. */
-  public void setRequestedQuota(int newValue) {
-    this.requestedQuota = newValue;
+  /** No task of the job is started before this time. */
+  void delayStartsUntil(long untilMs) {
+    startNotBeforeMs = untilMs;
   }
 
-  /** The quota write in flight. */
-  public boolean quotaWriteInFlight() {
-    return quotaWriteInFlight;
+  /** Whether no task of the job is to be started on the machine for now. */
+  public boolean isCoolingDown(String machine, long now) {
+    Long untilMs = machineCooldownUntilMs.get(machine);
+    return untilMs != null && untilMs > now;
   }
 
-  /** Sets the quota write in flight. */
-  public void setQuotaWriteInFlight(boolean newValue) {
-    this.quotaWriteInFlight = newValue;
+  /** No task of the job is started on the machine before this time. */
+  void avoidMachineUntil(String machine, long untilMs) {
+    machineCooldownUntilMs.put(machine, untilMs);
   }
 
-  /** A write has an unknown outcome and may still be applied: nothing is started on its grant. */
-  public boolean writeOutcomeUnknown() {
-    return writeOutcomeUnknown;
+  /** A task has failed on the machine, which is avoided until this time. */
+  void recordError(String machine, long avoidUntilMs) {
+    machinesWithErrors.add(machine);
+    avoidMachineUntil(machine, avoidUntilMs);
+  }
+
+  /** Number of machines on which tasks have failed since one last succeeded. */
+  int errorMachineCount() {
+    return machinesWithErrors.size();
   }
 
-  /** Sets the write outcome unknown. */
-  public void setWriteOutcomeUnknown(boolean newValue) {
-    this.writeOutcomeUnknown = newValue;
+  /** A task has succeeded, so the job isn't at fault. */
+  void clearErrors() {
+    machinesWithErrors.clear();
   }
 
-  /** Of a service: how long replicas that have ended wait, and where some are being moved. */
+  /** Of a service: which ended replicas wait before they start again. */
   ReplicaRestarts restarts() {
     return restarts;
   }
 
-  /** The relocations. */
+  /** Of a service: which replicas are being moved, and where to. */
   public ReplicaMoves relocations() {
     return relocations;
   }
 
-  /** Of a service, whose wait for a zone must not hold up other jobs of its policy. */
+  /** Of a service: the wait after a scheduling pass that found no machine for it. */
   public Backoff backoff() {
     return backoff;
   }
-
-  /** The machine cooldown until, in ms of the steady clock. */
-  public Map<String, Long> machineCooldownUntilMs() {
-    return machineCooldownUntilMs;
-  }
-
-  /** The machines with errors. */
-  Set<String> machinesWithErrors() {
-    return machinesWithErrors;
-  }
-
-  /** The start not before, in ms of the steady clock. */
-  public long startNotBeforeMs() {
-    return startNotBeforeMs;
-  }
-
-  /** Sets the start not before, in ms of the steady clock. */
-  public void setStartNotBeforeMs(long newValue) {
-    this.startNotBeforeMs = newValue;
-  }
-
-  /** The preempted for. */
-  int preemptedFor() {
-    return preemptedFor;
-  }
 }
--- /dev/null
+++ b/src/main/java/mallowstall/core/jobs/StatusReconciliation.java
@@ -0,0 +1,229 @@
+package mallowstall.core.jobs;
+
+import java.util.ArrayList;
+import java.util.Set;
+import mallowstall.Constants;
+import mallowstall.core.cluster.ClusterView;
+import mallowstall.core.cluster.MachineView;
+import mallowstall.core.cluster.PeerMessenger;
+import mallowstall.core.cluster.PeerState;
+import mallowstall.core.kernel.EventClock;
+import mallowstall.core.kv.StateStore;
+import mallowstall.core.model.ExitReason;
+import mallowstall.core.model.MachineStatus;
+import mallowstall.core.model.StartRejection;
+import mallowstall.core.model.StatusUpdate;
+import mallowstall.core.model.StopRequest;
+import mallowstall.core.model.TaskState;
+import mallowstall.core.model.TaskStatus;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Squares the status updates of machine leaders with the attempts that this controller tracks:
+ * finds attempts, sees them run and end, and proves that a start never arrived. Not thread-safe.
+ */
+final class StatusReconciliation {
+  private static final Logger LOG = LoggerFactory.getLogger("mallowstall.jobs");
+
+  private final EventClock clock;
+  private final StateStore store;
+  private final ClusterView view;
+  private final PeerMessenger messenger;
+  private final LedJobs jobs;
+  private final AttemptTracker attempts;
+  private final TaskExitHandler exits;
+
+  StatusReconciliation(
+      EventClock clock,
+      StateStore store,
+      ClusterView view,
+      PeerMessenger messenger,
+      LedJobs jobs,
+      AttemptTracker attempts,
+      TaskExitHandler exits) {
+    this.clock = clock;
+    this.store = store;
+    this.view = view;
+    this.messenger = messenger;
+    this.jobs = jobs;
+    this.attempts = attempts;
+    this.exits = exits;
+  }
+
+  /** Takes in a status update that the cluster view has already taken in. */
+  void applyStatusUpdate(StatusUpdate update) {
+    for (StartRejection rejection : update.rejections()) {
+      LedJob ledJob = jobs.get(rejection.job());
+      if (ledJob != null) {
+        exits.handleRejection(ledJob, rejection);
+      }
+    }
+    for (MachineStatus status : update.machines()) {
+      MachineView machine = view.machines.get(status.machine());
+      // any other status there is of a higher fencing token
+      if (machine != null && machine.status() == status) {
+        applyMachineStatus(update, status);
+      }
+    }
+    releaseUndeliveredStarts(update);
+  }
+
+  /**
+   * Ends the attempts whose start is proven not to have arrived. An acknowledgement of the start
+   * proves it, and comes without a new status of the machine.
+   */
+  private void releaseUndeliveredStarts(StatusUpdate update) {
+    PeerState peer = view.peer(update.node());
+    for (ActiveAttempt active : attempts.unobservedStarts()) {
+      MachineView machine = view.machines.get(active.machine());
+      boolean reported =
+          machine != null
+              && machine.status() != null
+              && update.node().equals(machine.leader())
+              && machine.status().tokenAcknowledged();
+      if (!active.inLatestStatus() && reported && startOutcomeKnown(active, update, peer)) {
+        attempts.releaseUnreported(active);
+      }
+    }
+  }
+
+  private void applyMachineStatus(StatusUpdate update, MachineStatus status) {
+    Set<ActiveAttempt> onMachine = attempts.attemptsOn(status.machine());
+    if (onMachine != null) {
+      for (ActiveAttempt active : onMachine) {
+        active.setInLatestStatus(false);
+      }
+    }
+    for (TaskStatus taskStatus : status.tasks()) {
+      applyTaskStatus(update.node(), update.incarnation(), status, taskStatus);
+    }
+    if (onMachine == null) {
+      return;
+    }
+    for (ActiveAttempt active : new ArrayList<>(onMachine)) {
+      // a later worker session has no task of an earlier one, whoever leads the machine
+      boolean reported = status.tokenAcknowledged() || status.session() > active.workerSession();
+      if (!active.inLatestStatus() && active.observedOnMachine() && reported) {
+        attempts.releaseUnreported(active);
+      }
+    }
+  }
+
+  /** Whether the machine leader's status already includes the outcome of a start sent to it. */
+  private boolean startOutcomeKnown(ActiveAttempt active, StatusUpdate update, PeerState sender) {
+    PeerState peer = sender;
+    if (!active.machineLeader().equals(update.node())) {
+      // The machine has a new leader, but the start may still be on its way to the former one,
+      // which may lead the machine again by the time it arrives.
+      peer = view.peer(active.machineLeader());
+      if (clock.now() - active.placedAtMs()
+          > Constants.START_EXPIRY_MS + Constants.START_EXPIRY_MARGIN_MS) {
+        return true;
+      }
+    }
+    if (peer.incarnation() > active.machineLeaderIncarnation()) {
+      return true;
+    }
+    return peer.acknowledgedConnection() > active.connection()
+        || (peer.acknowledgedConnection() == active.connection()
+            && peer.acknowledgedSequence() >= active.sequence());
+  }
+
+  /**
+   * Takes in where the job's tasks are by the status updates received so far. Later updates are
+   * incremental: a task overlooked here would be placed a second time.
+   */
+  void applyKnownTaskStatuses(String job) {
+    for (MachineView machine : view.machines.values()) {
+      if (machine.status() == null || machine.leader() == null) {
+        continue; // its next leader sends a full update
+      }
+      for (TaskStatus taskStatus : machine.status().tasks()) {
+        if (taskStatus.job().equals(job)) {
+          applyTaskStatus(
+              machine.leader(), machine.leaderIncarnation(), machine.status(), taskStatus);
+        }
+      }
+    }
+  }
+
+  /** Takes in the status of one task, whose job may be led here. */
+  private void applyTaskStatus(
+      String machineLeader, long incarnation, MachineStatus status, TaskStatus taskStatus) {
+    LedJob ledJob = jobs.get(taskStatus.job());
+    if (ledJob == null || taskStatus.task() >= ledJob.spec().tasks()) {
+      return;
+    }
+    ActiveAttempt active = ledJob.activeAttempts().get(taskStatus.task());
+    boolean sameAttempt =
+        active != null
+            && active.attempt() == taskStatus.attempt()
+            && active.machine().equals(status.machine());
+    if (sameAttempt) {
+      active.setInLatestStatus(true);
+    }
+    if (taskStatus.state() == TaskState.RUNNING || taskStatus.exitReason() == ExitReason.DONE) {
+      ledJob.recordRunning(clock.now());
+    }
+    if (taskStatus.state() == TaskState.EXITED) {
+      exits.handleExit(ledJob, sameAttempt ? active : null, status.machine(), taskStatus);
+    } else if (sameAttempt) {
+      attempts.recordObservation(active, status, taskStatus);
+    } else if (!ledJob.isCompleted(taskStatus.task())) {
+      // a completed task is stopped by its machine leader once the bit is recorded
+      resolveAttemptConflict(ledJob, active, machineLeader, incarnation, status, taskStatus);
+    }
+  }
+
+  /** A task is on a machine in another attempt than the tracked one, or none is tracked. */
+  private void resolveAttemptConflict(
+      LedJob ledJob,
+      ActiveAttempt active,
+      String machineLeader,
+      long incarnation,
+      MachineStatus status,
+      TaskStatus taskStatus) {
+    if (active == null) {
+      trackDiscoveredAttempt(ledJob, machineLeader, incarnation, status, taskStatus);
+    } else if (taskStatus.attempt() > active.attempt()) {
+      // both are on machines: the task isn't free before the later one has ended too
+      attempts.release(active, false);
+      applyTaskStatus(machineLeader, incarnation, status, taskStatus);
+    } else if (taskStatus.attempt() < active.attempt()
+        && status.tokenAcknowledged()
+        && store.isSessionValid()) {
+      // without a session the view may be outdated: the machine may have been scaled in since
+      LOG.error(
+          "task on two machines job={} task={} attempt={} machine={} other_attempt={}"
+              + " other_machine={}",
+          ledJob.id(),
+          taskStatus.task(),
+          taskStatus.attempt(),
+          status.machine(),
+          active.attempt(),
+          active.machine());
+      messenger.sendStop(
+          machineLeader,
+          new StopRequest(
+              status.machine(), ledJob.id(), taskStatus.task(), taskStatus.attempt(), 0));
+    }
+  }
+
+  private void trackDiscoveredAttempt(
+      LedJob ledJob,
+      String machineLeader,
+      long incarnation,
+      MachineStatus status,
+      TaskStatus taskStatus) {
+    attempts.track(
+        ActiveAttempt.discovered(
+            ledJob, status, taskStatus, machineLeader, incarnation, clock.now()));
+    LOG.debug(
+        "attempt discovered job={} task={} attempt={} machine={}",
+        ledJob.id(),
+        taskStatus.task(),
+        taskStatus.attempt(),
+        status.machine());
+  }
+}
--- a/src/main/java/mallowstall/core/placement/PlacementScheduler.java
+++ b/src/main/java/mallowstall/core/placement/PlacementScheduler.java
@@ -296,8 +296,7 @@
         if (machine.fittingTasks(spec) <= 0) {
           continue;
         }
-        Long cooldownUntilMs = ledJob.machineCooldownUntilMs().get(machine.id());
-        if (cooldownUntilMs != null && cooldownUntilMs > now) {
+        if (ledJob.isCoolingDown(machine.id(), now)) {
           continue;
         }
         Policy.Facts pairFacts = policyFacts.evaluate(machine, ledJob, now);
@@ -376,10 +375,10 @@
 
     void finish(long now) {
       if (quotaLimited && quotaBlockedTasks > 0) {
-        ledJob.setRequestedQuota(Math.max(ledJob.requestedQuota(), quotaBlockedTasks));
+        ledJob.requestQuota(quotaBlockedTasks);
       }
       if (placedTasks > 0) {
-        ledJob.setQuotaIdleSinceMs(0);
+        ledJob.recordQuotaUse();
         backoff.reset();
       } else if (quotaBlockedTasks == 0) {
         // exhausted every block: wait, unless a roster tells of new room before
@@ -401,13 +400,10 @@
         return;
       }
       if (freeQuotaTasks <= 0) {
-        ledJob.setRequestedQuota(
-            Math.max(
-                ledJob.requestedQuota(),
-                Math.min(pendingTasks, Constants.PREEMPTIONS_PER_PASS_MAX)));
+        ledJob.requestQuota(Math.min(pendingTasks, Constants.PREEMPTIONS_PER_PASS_MAX));
         return;
       }
-      ledJob.setLastPreemptionMs(now);
+      ledJob.recordPreemption(now);
       int remainingStarts = Constants.PREEMPTIONS_PER_PASS_MAX;
       for (Preemption.PreemptionCandidate candidate :
           preemption.findCandidates(ledJob, policy, chosenZone, now)) {
--- a/src/main/java/mallowstall/core/placement/QueuedWork.java
+++ b/src/main/java/mallowstall/core/placement/QueuedWork.java
@@ -131,13 +131,10 @@
       }
     }
     if (aheadCpus <= 0 || aheadCpus < ranking.freeCpus(type)) {
-      ledJob.setOutrankedSinceMs(0);
+      ledJob.clearOutranked();
       return false;
     }
-    if (ledJob.outrankedSinceMs() == 0) {
-      ledJob.setOutrankedSinceMs(now);
-    }
-    return now - ledJob.outrankedSinceMs() < Constants.OUTRANKED_YIELD_MS;
+    return ledJob.recordOutranked(now) < Constants.OUTRANKED_YIELD_MS;
   }
 
   /**
--- a/src/main/java/mallowstall/core/placement/StartSender.java
+++ b/src/main/java/mallowstall/core/placement/StartSender.java
@@ -71,12 +71,11 @@
             attempt,
             machine.id(),
             machine.status().zone(),
-            machine.status().type(),
             machine.leader(),
             machine.leaderIncarnation(),
             peer.connection(),
             peer.nextSequence()));
-    ledJob.setLastStartMs(clock.now());
+    ledJob.recordStart(clock.now());
     machine.reserve(ledJob.spec(), 1);
     queuedByLeader
         .computeIfAbsent(machine.leader(), k -> new ArrayList<>())
--- a/src/main/java/mallowstall/core/quota/QuotaLedger.java
+++ b/src/main/java/mallowstall/core/quota/QuotaLedger.java
@@ -136,10 +136,7 @@
 
   private boolean canChangeQuota(LedJob ledJob, long now) {
     return hasQuota(ledJob.spec())
-        && !ledJob.writeInFlight()
-        && !ledJob.quotaWriteInFlight()
-        && !ledJob.writeOutcomeUnknown()
-        && ledJob.quotaRetry().isDue(now)
+        && ledJob.mayWriteQuota(now)
         // its own next write brings the entry into its present layout first
         && !jobBitmaps.needsLayoutMigration(ledJob.entry());
   }
@@ -210,7 +207,7 @@
     TeamUsageEntry usage = new TeamUsageEntry(Math.max(0, change.cpus), Math.max(0, change.gpus));
     change.puts.add(new PutOperation(key, usage, 0));
     for (LedJob ledJob : change.jobs) {
-      ledJob.setQuotaWriteInFlight(true);
+      ledJob.beginQuotaWrite();
     }
     teamsInFlight.add(team);
     nextChangeMs.put(team, now + Constants.QUOTA_TRANSACTION_INTERVAL_MIN_MS);
@@ -222,7 +219,7 @@
     if (!accepted) {
       teamsInFlight.remove(team);
       for (LedJob ledJob : change.jobs) {
-        ledJob.setQuotaWriteInFlight(false);
+        ledJob.withdrawQuotaWrite();
       }
     }
   }
@@ -249,15 +246,8 @@
   }
 
   private void handleResult(LedJob ledJob, TransactionResult reply) {
-    ledJob.setQuotaWriteInFlight(false);
-    if (reply.code() != ResultCode.REJECTED) {
-      ledJob.quotaRetry().recordResult(clock.now(), reply.code());
-    }
-    if (reply.code() == ResultCode.OK) {
-      ledJob.setRequestedQuota(0);
-    } else if (reply.code() == ResultCode.OUTCOME_UNKNOWN) {
-      ledJob.setWriteOutcomeUnknown(true);
-    } else if (reply.code() == ResultCode.CONFLICT && reply.revision() > store.revision()) {
+    ledJob.endQuotaWrite(clock.now(), reply.code());
+    if (reply.code() == ResultCode.CONFLICT && reply.revision() > store.revision()) {
       jobLeader.refreshEntry(ledJob);
     }
   }
@@ -345,8 +335,7 @@
     }
     if (!headroom
         && unused > 0
-        && ledJob.quotaIdleSinceMs() > 0
-        && now - ledJob.quotaIdleSinceMs() > Constants.QUOTA_RESERVATION_IDLE_MS) {
+        && ledJob.quotaIdleLongerThan(Constants.QUOTA_RESERVATION_IDLE_MS, now)) {
       return -unused;
     }
     return 0;
