--- a/src/main/java/mallowstall/core/jobs/CompletionRecorder.java
+++ b/src/main/java/mallowstall/core/jobs/CompletionRecorder.java
@@ -31,17 +31,18 @@
             && ledJob.completedCount() == ledJob.spec().tasks()
             && !ledJob.finished();
     boolean layoutOutdated = jobBitmaps.needsLayoutMigration(ledJob.entry());
-    if (!ledJob.hasUnrecordedCompletions()
+    if (!ledJob.completed().isDirty()
         && !allCompleted
         && !ledJob.writeOutcomeUnknown()
         && !layoutOutdated) {
       return;
     }
-    if (!completionBitsReplicated(ledJob) || !ledJob.mayWriteEntry(allCompleted, now)) {
+    if (!completionBitsReplicated(ledJob)
+        || !ledJob.writes().mayWriteCompletions(allCompleted, now)) {
       return;
     }
     if (ledJob.finished() && ledJob.entry().outcome() == JobOutcome.CANCELLED) {
-      ledJob.discardUnrecordedCompletions();
+      ledJob.completed().discardDirty();
       if (!ledJob.writeOutcomeUnknown() && !layoutOutdated) {
         return;
       }
@@ -52,20 +53,28 @@
   private void writeEntry(LedJob ledJob, long now) {
     JobBitmaps.Write write =
         jobBitmaps.writeRecordingCompletions(
-            ledJob.entry(), ledJob.modRevision(), ledJob.completed(), ledJob.dirtyPieces());
-    List<Integer> pieces = ledJob.beginEntryWrite(write.pieces(), now);
+            ledJob.entry(),
+            ledJob.modRevision(),
+            ledJob.completed().bits(),
+            ledJob.completed().dirtyPieces());
+    List<Integer> pieces = ledJob.completed().takeDirty(write.pieces());
+    ledJob.writes().beginCompletionWrite(now);
     boolean accepted =
         store.transact(
             StateStore.Urgency.JOB,
             new Transaction(write.conditions(), write.puts(), List.of()),
             reply -> handleWriteResult(ledJob, pieces, reply.code()));
     if (!accepted) {
-      ledJob.withdrawEntryWrite(pieces);
+      ledJob.writes().withdrawCompletionWrite();
+      ledJob.completed().markDirty(pieces);
     }
   }
 
   private void handleWriteResult(LedJob ledJob, List<Integer> pieces, ResultCode code) {
-    ledJob.endEntryWrite(pieces, clock.now(), code);
+    ledJob.writes().endCompletionWrite(clock.now(), code);
+    if (code != ResultCode.OK) {
+      ledJob.completed().markDirty(pieces);
+    }
     if (code == ResultCode.CONFLICT) {
       refreshEntry(ledJob);
     }
@@ -81,14 +90,14 @@
 
   /** Reads the entry after a conflict, since the state replica may lag; no write before that. */
   void refreshEntry(LedJob ledJob) {
-    ledJob.beginEntryRead();
+    ledJob.writes().beginRead();
     boolean accepted =
         store.read(
             StateStore.Urgency.JOB,
             StateStore.JOB_PREFIX + ledJob.id(),
-            reply -> ledJob.endEntryRead(clock.now()));
+            reply -> ledJob.writes().endRead(clock.now()));
     if (!accepted) {
-      ledJob.withdrawEntryRead();
+      ledJob.writes().withdrawCompletionWrite();
     }
   }
 }
--- a/src/main/java/mallowstall/core/jobs/JobLeadership.java
+++ b/src/main/java/mallowstall/core/jobs/JobLeadership.java
@@ -65,7 +65,7 @@
         endLeading(ledJob);
       }
       ledJob = new LedJob(entry, modRevision, view.updatesReceived, clock.now());
-      ledJob.mergeCompleted(jobBitmaps.completedTasks(entry));
+      ledJob.completed().merge(jobBitmaps.completedTasks(entry));
       jobs.add(ledJob);
     }
     ledJob.applyEntry(entry, modRevision, clock.now());
@@ -79,7 +79,7 @@
   void reloadCompletionBits(String id) {
     LedJob ledJob = jobs.get(id);
     if (ledJob != null) {
-      ledJob.mergeCompleted(jobBitmaps.completedTasks(ledJob.entry()));
+      ledJob.completed().merge(jobBitmaps.completedTasks(ledJob.entry()));
     }
   }
 
--- a/src/main/java/mallowstall/core/jobs/LedJob.java
+++ b/src/main/java/mallowstall/core/jobs/LedJob.java
@@ -2,19 +2,12 @@
 
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap;
 import it.unimi.dsi.fastutil.ints.IntArrayFIFOQueue;
-import java.util.ArrayList;
-import java.util.BitSet;
 import java.util.HashMap;
 import java.util.HashSet;
-import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.TreeSet;
-import mallowstall.Constants;
 import mallowstall.core.kernel.Backoff;
 import mallowstall.core.kernel.ResultCode;
-import mallowstall.core.kernel.RetryDelay;
-import mallowstall.core.kv.JobBitmaps;
 import mallowstall.core.model.JobEntry;
 import mallowstall.core.model.JobSpec;
 
@@ -33,29 +26,13 @@
   private JobEntry entry;
   private long modRevision;
 
-  private final BitSet completed = new BitSet();
-  private int completedCount;
-
-  /** Pieces of the completion bitmap with bits that aren't known to be recorded, by index. */
-  private final Set<Integer> dirtyPieces = new TreeSet<>();
-
+  private final CompletedTasks completed = new CompletedTasks();
   private final Int2ObjectOpenHashMap<ActiveAttempt> activeAttempts = new Int2ObjectOpenHashMap<>();
   private final IntArrayFIFOQueue retryQueue = new IntArrayFIFOQueue();
   private int nextTask;
   private int attemptCounter;
 
-  private boolean entryWriteInFlight;
-
-  /** When the entry was last written or read; later than that after a failed write. */
-  private long lastEntryWriteMs = Long.MIN_VALUE / 2;
-
-  private final RetryDelay entryWriteRetry = new RetryDelay();
-
-  /** A write may still be applied: no task is started on what it would reserve. */
-  private boolean writeOutcomeUnknown;
-
-  private boolean quotaWriteInFlight;
-  private final RetryDelay quotaRetry = new RetryDelay();
+  private final JobWrites writes = new JobWrites();
   private int requestedQuota;
 
   /** Since when part of the quota reservation may be unused; 0: placement has just used it. */
@@ -105,7 +82,7 @@
   /** Takes in the job's entry as of this revision, in the same leader epoch. */
   void applyEntry(JobEntry newEntry, long newModRevision, long now) {
     if (newModRevision > modRevision) {
-      writeOutcomeUnknown = false;
+      writes.resolveOutcome();
     }
     if (entry != null && newEntry.quotaReservedTasks() > entry.quotaReservedTasks()) {
       quotaIdleSinceMs = now;
@@ -164,52 +141,19 @@
     return entry.isTerminal();
   }
 
-  /** The task has completed; its bit is to be written to the state service. */
-  void markCompleted(int task) {
-    completed.set(task);
-    completedCount++;
-    dirtyPieces.add(JobBitmaps.pieceIndex(task));
-  }
-
-  /** Takes in completions that are recorded in the state service. */
-  void mergeCompleted(BitSet recorded) {
-    completed.or(recorded);
-    completedCount = completed.cardinality();
-  }
-
-  /** Whether the task has completed. */
-  boolean isCompleted(int task) {
-    return completed.get(task);
-  }
-
-  /** The completed tasks, to be read only. */
-  BitSet completed() {
+  /** Which tasks have completed. */
+  CompletedTasks completed() {
     return completed;
   }
 
   /** Number of completed tasks. */
   public int completedCount() {
-    return completedCount;
-  }
-
-  /** Pieces with completions that aren't known to be recorded, to be read only. */
-  Set<Integer> dirtyPieces() {
-    return dirtyPieces;
-  }
-
-  /** Whether some completion isn't known to be recorded. */
-  boolean hasUnrecordedCompletions() {
-    return !dirtyPieces.isEmpty();
-  }
-
-  /** Completions of a cancelled job need not be recorded. */
-  void discardUnrecordedCompletions() {
-    dirtyPieces.clear();
+    return completed.count();
   }
 
   /** Tasks that could be started now. */
   public int pending() {
-    return spec.tasks() - completedCount - activeAttempts.size() - restarts.waitingCount();
+    return spec.tasks() - completed.count() - activeAttempts.size() - restarts.waitingCount();
   }
 
   /** Number of tasks seen to run. */
@@ -227,13 +171,13 @@
   public int pollTask() {
     while (!retryQueue.isEmpty()) {
       int task = retryQueue.dequeueInt();
-      if (!completed.get(task) && !activeAttempts.containsKey(task)) {
+      if (!completed.contains(task) && !activeAttempts.containsKey(task)) {
         return task;
       }
     }
     while (nextTask < spec.tasks()) {
       int task = nextTask++;
-      if (!completed.get(task) && !activeAttempts.containsKey(task)) {
+      if (!completed.contains(task) && !activeAttempts.containsKey(task)) {
         return task;
       }
     }
@@ -247,7 +191,7 @@
 
   /** The task may be placed again if it isn't completed. */
   void requeueUnlessCompleted(int task) {
-    if (!completed.get(task)) {
+    if (!completed.contains(task)) {
       requeue(task);
     }
   }
@@ -277,110 +221,26 @@
     }
   }
 
-  /** Whether a write or a read of the entry by this controller is unanswered. */
-  public boolean entryWriteInFlight() {
-    return entryWriteInFlight;
-  }
-
-  /** Whether nothing holds a write of the entry back; the last one of a job needs no gap. */
-  boolean mayWriteEntry(boolean allCompleted, long now) {
-    return entryWriteRetry.isDue(now)
-        && !entryWriteInFlight
-        && !quotaWriteInFlight
-        && (allCompleted || now - lastEntryWriteMs >= Constants.JOB_WRITE_INTERVAL_MIN_MS);
-  }
-
-  /**
-   * A write of the entry is being sent that records these pieces.
-   *
-   * @return those of the pieces that were dirty; they no longer are unless the write fails
-   */
-  List<Integer> beginEntryWrite(Set<Integer> recordedPieces, long now) {
-    List<Integer> pieces = new ArrayList<>(dirtyPieces);
-    pieces.retainAll(recordedPieces);
-    entryWriteInFlight = true;
-    lastEntryWriteMs = now;
-    dirtyPieces.removeAll(pieces);
-    return pieces;
-  }
-
-  /** The write of the entry could not be sent. */
-  void withdrawEntryWrite(List<Integer> pieces) {
-    entryWriteInFlight = false;
-    dirtyPieces.addAll(pieces);
-  }
-
-  /** The write of the entry is answered; pieces not known to be recorded are dirty again. */
-  void endEntryWrite(List<Integer> pieces, long now, ResultCode code) {
-    entryWriteInFlight = false;
-    entryWriteRetry.recordResult(now, code);
-    if (code == ResultCode.OK) {
-      return;
-    }
-    dirtyPieces.addAll(pieces);
-    if (code == ResultCode.OUTCOME_UNKNOWN) {
-      writeOutcomeUnknown = true;
-    }
-    if (code != ResultCode.CONFLICT) {
-      lastEntryWriteMs = now + Constants.STATE_RETRY_MS;
-    }
-  }
-
-  /** The entry is being read after a conflict; it isn't written meanwhile. */
-  void beginEntryRead() {
-    entryWriteInFlight = true;
+  /** Which writes of the job's entry are unanswered, in doubt or to be retried later. */
+  public JobWrites writes() {
+    return writes;
   }
 
-  /** The read of the entry is answered. */
-  void endEntryRead(long now) {
-    entryWriteInFlight = false;
-    lastEntryWriteMs = now;
-  }
-
-  /** The read of the entry could not be sent. */
-  void withdrawEntryRead() {
-    entryWriteInFlight = false;
-  }
-
-  /** Whether a write has an unknown outcome and may still be applied. */
+  /** Whether a write has an unknown outcome: see {@link JobWrites#outcomeUnknown}. */
   public boolean writeOutcomeUnknown() {
-    return writeOutcomeUnknown;
+    return writes.outcomeUnknown();
   }
 
   /** Whether a change of the quota reservation is unanswered. */
   public boolean quotaWriteInFlight() {
-    return quotaWriteInFlight;
-  }
-
-  /** Whether no write of the entry is unanswered or in doubt, nor to be retried later. */
-  public boolean mayWriteQuota(long now) {
-    return !entryWriteInFlight
-        && !quotaWriteInFlight
-        && !writeOutcomeUnknown
-        && quotaRetry.isDue(now);
-  }
-
-  /** A change of the quota reservation is being sent. */
-  public void beginQuotaWrite() {
-    quotaWriteInFlight = true;
-  }
-
-  /** The change of the quota reservation could not be sent. */
-  public void withdrawQuotaWrite() {
-    quotaWriteInFlight = false;
+    return writes.quotaInFlight();
   }
 
   /** The change of the quota reservation is answered. */
   public void endQuotaWrite(long now, ResultCode code) {
-    quotaWriteInFlight = false;
-    // a rejection concerns the team's next transaction, not this job's
-    if (code != ResultCode.REJECTED) {
-      quotaRetry.recordResult(now, code);
-    }
+    writes.endQuotaWrite(now, code);
     if (code == ResultCode.OK) {
       requestedQuota = 0;
-    } else if (code == ResultCode.OUTCOME_UNKNOWN) {
-      writeOutcomeUnknown = true;
     }
   }
 
--- a/src/main/java/mallowstall/core/jobs/StatusReconciliation.java
+++ b/src/main/java/mallowstall/core/jobs/StatusReconciliation.java
@@ -170,7 +170,7 @@
       exits.handleExit(ledJob, sameAttempt ? active : null, status.machine(), taskStatus);
     } else if (sameAttempt) {
       attempts.recordObservation(active, status, taskStatus);
-    } else if (!ledJob.isCompleted(taskStatus.task())) {
+    } else if (!ledJob.completed().contains(taskStatus.task())) {
       // a completed task is stopped by its machine leader once the bit is recorded
       resolveAttemptConflict(ledJob, active, machineLeader, incarnation, status, taskStatus);
     }
--- a/src/main/java/mallowstall/core/jobs/TaskExitHandler.java
+++ b/src/main/java/mallowstall/core/jobs/TaskExitHandler.java
@@ -34,8 +34,8 @@
         handleReplicaExit(active, machine, taskStatus.exitReason());
       }
     } else if (taskStatus.exitReason() == ExitReason.DONE) {
-      if (!ledJob.isCompleted(taskStatus.task())) {
-        ledJob.markCompleted(taskStatus.task());
+      if (!ledJob.completed().contains(taskStatus.task())) {
+        ledJob.completed().add(taskStatus.task());
         ledJob.clearErrors();
       }
       if (active != null) {
--- a/src/main/java/mallowstall/core/quota/QuotaLedger.java
+++ b/src/main/java/mallowstall/core/quota/QuotaLedger.java
@@ -136,7 +136,7 @@
 
   private boolean canChangeQuota(LedJob ledJob, long now) {
     return hasQuota(ledJob.spec())
-        && ledJob.mayWriteQuota(now)
+        && ledJob.writes().mayWriteQuota(now)
         // its own next write brings the entry into its present layout first
         && !jobBitmaps.needsLayoutMigration(ledJob.entry());
   }
@@ -207,7 +207,7 @@
     TeamUsageEntry usage = new TeamUsageEntry(Math.max(0, change.cpus), Math.max(0, change.gpus));
     change.puts.add(new PutOperation(key, usage, 0));
     for (LedJob ledJob : change.jobs) {
-      ledJob.beginQuotaWrite();
+      ledJob.writes().beginQuotaWrite();
     }
     teamsInFlight.add(team);
     nextChangeMs.put(team, now + Constants.QUOTA_TRANSACTION_INTERVAL_MIN_MS);
@@ -219,7 +219,7 @@
     if (!accepted) {
       teamsInFlight.remove(team);
       for (LedJob ledJob : change.jobs) {
-        ledJob.withdrawQuotaWrite();
+        ledJob.writes().withdrawQuotaWrite();
       }
     }
   }
