--- a/src/main/java/mallowstall/core/quota/QuotaLedger.java
+++ b/src/main/java/mallowstall/core/quota/QuotaLedger.java
@@ -3,90 +3,52 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import mallowstall.Constants;
 import mallowstall.core.cluster.OpenJobs;
 import mallowstall.core.jobs.JobLeader;
 import mallowstall.core.jobs.LedJob;
-import mallowstall.core.kernel.Condition;
 import mallowstall.core.kernel.EventClock;
 import mallowstall.core.kernel.PlacementTrigger;
-import mallowstall.core.kernel.PutOperation;
 import mallowstall.core.kernel.ResultCode;
 import mallowstall.core.kernel.RetryDelay;
-import mallowstall.core.kernel.Transaction;
 import mallowstall.core.kernel.TransactionResult;
 import mallowstall.core.kv.JobBitmaps;
 import mallowstall.core.kv.StateStore;
 import mallowstall.core.model.CoreSettings;
-import mallowstall.core.model.JobEntry;
 import mallowstall.core.model.JobSpec;
-import mallowstall.core.model.Team;
-import mallowstall.core.model.TeamUsageEntry;
 
 /**
- * The running tasks that jobs held here may have within their teams' limits: before a task starts,
- * one transaction raises its job's grant and the team's sum. Mutable.
+ * Keeps the quota reservations of led jobs: before a task starts, one transaction raises the
+ * reservation in its job's entry and its team's usage. Reservations are in tasks. Mutable; not
+ * thread-safe.
  */
 public final class QuotaLedger {
   private final EventClock clock;
   private final CoreSettings settings;
+  private final StateStore store;
   private final JobBitmaps jobBitmaps;
-  private final OpenJobs openJobs;
   private final PlacementTrigger placementTrigger;
-  private final Comparator<LedJob> order;
-  private final StateStore store;
   private final JobLeader jobLeader;
+  private final Comparator<LedJob> order;
+  private final TeamQuotas teamQuotas;
+  private final QuotaRelease quotaRelease;
+  private final Map<String, TeamWrites> writesByTeam = new HashMap<>();
 
-  private long nextYielding;
-
-  /** Teams whose change is unanswered. */
-  private final Set<String> teamsInFlight = new HashSet<>();
-
-  /** When the next change of a team may be tried. */
-  private final Map<String, Long> nextChangeMs = new HashMap<>();
-
-  private final Map<String, RetryDelay> teamRetries = new HashMap<>();
-
-  /** Per team, the job that must give up grants. */
-  private final Map<String, String> releasingJobs = new HashMap<>();
-
-  /** What one change does: the jobs, their new entries and the team's new sum. Mutable. */
-  private static final class Change {
-    final List<LedJob> jobs = new ArrayList<>();
-    final List<Condition> conditions = new ArrayList<>();
-    final List<PutOperation> puts = new ArrayList<>();
-    double cpus;
-    double gpus;
-
-    /** How many jobs it may name. */
-    int maxJobs;
-
-    Change(TeamUsageEntry usage, int maxJobs) {
-      cpus = usage.reservedCpus();
-      gpus = usage.reservedGpus();
-      this.maxJobs = maxJobs;
-    }
-
-    void add(LedJob ledJob, int tasks) {
-      cpus += tasks * ledJob.spec().cpus();
-      gpus += tasks * ledJob.spec().gpus();
-      String key = StateStore.JOB_PREFIX + ledJob.id();
-      conditions.add(new Condition(key, ledJob.modRevision()));
-      puts.add(
-          new PutOperation(
-              key,
-              ledJob.entry().withQuotaReservation(ledJob.entry().quotaReservedTasks() + tasks),
-              0));
-      jobs.add(ledJob);
-    }
+  /** Whether and when the usage of one team may be written. Mutable. */
+  private static final class TeamWrites {
+    private boolean inFlight;
+    private long nextWriteMs;
+    private final RetryDelay retry = new RetryDelay();
   }
 
-  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  /**
+   * Reserves nothing before its first tick.
+   *
+   * @param order the order in which jobs of a team get quota
+   */
   public QuotaLedger(
       EventClock clock,
       CoreSettings settings,
@@ -98,274 +60,183 @@
       Comparator<LedJob> order) {
     this.clock = clock;
     this.settings = settings;
+    this.store = store;
     this.jobBitmaps = jobBitmaps;
-    this.openJobs = openJobs;
     this.placementTrigger = placementTrigger;
-    this.order = order;
-    this.store = store;
     this.jobLeader = jobLeader;
+    this.order = order;
+    teamQuotas = new TeamQuotas(settings, store);
+    quotaRelease = new QuotaRelease(clock, openJobs, teamQuotas);
   }
 
-  /** Changes grants where they should be others; one transaction per team. */
+  /** Changes reservations where they should be others, by one transaction per team. */
   public void tick() {
     if (!store.synced()) {
       return;
     }
     long now = clock.now();
-    if (now >= nextYielding) {
-      nextYielding = now + Constants.JOB_FAILOVER_SCAN_INTERVAL_MS;
-      selectReleasingJobs();
-    }
-    changeGrants(now);
-  }
-
-  private void changeGrants(long now) {
-    Map<String, List<LedJob>> byTeam = new LinkedHashMap<>();
+    quotaRelease.selectIfDue(now);
+    Map<String, List<LedJob>> jobsByTeam = new LinkedHashMap<>();
     for (LedJob ledJob : jobLeader.jobs()) {
-      if (canChangeQuota(ledJob, now) && quotaDelta(ledJob, now) != 0) {
-        byTeam.computeIfAbsent(ledJob.spec().team(), k -> new ArrayList<>()).add(ledJob);
+      if (canChangeReservation(ledJob, now) && reservationDelta(ledJob, now) != 0) {
+        jobsByTeam.computeIfAbsent(ledJob.spec().team(), k -> new ArrayList<>()).add(ledJob);
+      }
+    }
+    for (Map.Entry<String, List<LedJob>> entry : jobsByTeam.entrySet()) {
+      TeamWrites writes = writesByTeam.computeIfAbsent(entry.getKey(), k -> new TeamWrites());
+      if (!writes.inFlight && now >= writes.nextWriteMs) {
+        changeReservations(entry.getKey(), writes, entry.getValue(), now);
       }
     }
-    byTeam.forEach(
-        (team, jobs) -> {
-          if (!teamsInFlight.contains(team) && now >= nextChangeMs.getOrDefault(team, 0L)) {
-            changeTeamQuota(team, jobs, now);
-          }
-        });
   }
 
-  private boolean canChangeQuota(LedJob ledJob, long now) {
-    return hasQuota(ledJob.spec())
+  /** Whether the job's team has a quota, so that its tasks need a reservation. */
+  public boolean hasQuota(JobSpec spec) {
+    return teamQuotas.hasQuota(spec);
+  }
+
+  /** Whether the job must release what becomes free of its reservation, for others of its team. */
+  public boolean mustReleaseQuota(LedJob ledJob) {
+    return quotaRelease.isReleasing(ledJob.id(), ledJob.spec().team());
+  }
+
+  private boolean canChangeReservation(LedJob ledJob, long now) {
+    return teamQuotas.hasQuota(ledJob.spec())
         && ledJob.writes().mayWriteQuota(now)
         // its own next write brings the entry into its present layout first
         && !jobBitmaps.needsLayoutMigration(ledJob.entry());
   }
 
-  /** Lowers grants before it raises others. */
-  private void changeTeamQuota(String team, List<LedJob> jobs, long now) {
+  /** Changes the reservations of a team's jobs; those that shrink make room for the others. */
+  private void changeReservations(String team, TeamWrites writes, List<LedJob> jobs, long now) {
     jobs.sort(order);
     int maxJobs =
         Math.min(settings.maxTransactionOps() - 1, Constants.QUOTA_RESERVATIONS_PER_TRANSACTION);
-    Change change = new Change(teamUsage(team), maxJobs);
+    QuotaTransaction change = new QuotaTransaction(teamQuotas.usage(team), maxJobs);
     for (LedJob ledJob : jobs) {
-      int tasks = quotaDelta(ledJob, now);
+      int tasks = reservationDelta(ledJob, now);
       if (tasks < 0) {
-        add(change, ledJob, tasks);
+        change.add(ledJob, tasks, mustWriteAlone(ledJob));
       }
     }
     for (LedJob ledJob : jobs) {
-      int tasks = quotaDelta(ledJob, now);
+      int tasks = reservationDelta(ledJob, now);
       if (tasks >= 0) {
-        add(change, ledJob, tasksWithinQuota(change, ledJob, tasks));
+        change.add(ledJob, withinQuota(change, ledJob, tasks), mustWriteAlone(ledJob));
       }
     }
-    if (!change.jobs.isEmpty()) {
-      send(team, change, now);
+    if (!change.jobs().isEmpty()) {
+      send(team, writes, change, now);
     }
   }
 
-  private void add(Change change, LedJob ledJob, int tasks) {
-    // one that may be refused for its size is tried alone, so that it delays no other job
-    boolean writeAlone = !jobBitmaps.fitsAsStored(ledJob.entry());
-    if (tasks == 0
-        || change.jobs.size() >= change.maxJobs
-        || writeAlone && !change.jobs.isEmpty()) {
-      return;
-    }
-    change.add(ledJob, tasks);
-    if (writeAlone) {
-      change.maxJobs = 1;
-    }
+  private boolean mustWriteAlone(LedJob ledJob) {
+    return !jobBitmaps.fitsAsStored(ledJob.entry());
   }
 
-  /** As many more tasks as the team's limit leaves to the job. */
-  private int tasksWithinQuota(Change change, LedJob ledJob, int requested) {
-    Team team = settings.teams().get(ledJob.spec().team());
+  /** As many of the tasks as the team's quota leaves to the job. */
+  private int withinQuota(QuotaTransaction change, LedJob ledJob, int requested) {
+    if (requested <= 0) {
+      return requested;
+    }
+    JobSpec spec = ledJob.spec();
     int tasks = requested;
-    if (tasks > 0 && !ledJob.spec().isService()) {
-      // what isn't asked for by placement must leave the team far from its limit: else it was
-      // given and taken back by turns, with every change, and served nobody
+    if (!spec.isService()) {
+      // what placement didn't request must leave the team far from its quota: near it, such a
+      // reservation would be given and taken back by turns and serve no job
       int unrequested =
-          Math.min(
-              tasks,
-              remainingTasks(
-                  team,
-                  ledJob.spec(),
-                  change.cpus,
-                  change.gpus,
-                  Constants.QUOTA_UNCONTENDED_FRACTION));
+          Math.min(tasks, remainingTasks(change, spec, Constants.QUOTA_UNCONTENDED_FRACTION));
       tasks = Math.max(unrequested, Math.min(tasks, ledJob.requestedQuota()));
     }
-    return tasks > 0
-        ? Math.min(tasks, remainingTasks(team, ledJob.spec(), change.cpus, change.gpus, 1))
-        : tasks;
+    return tasks > 0 ? Math.min(tasks, remainingTasks(change, spec, 1)) : tasks;
   }
 
-  private void send(String team, Change change, long now) {
+  private int remainingTasks(QuotaTransaction change, JobSpec spec, double fraction) {
+    return teamQuotas.remainingTasks(spec, change.reservedCpus(), change.reservedGpus(), fraction);
+  }
+
+  private void send(String team, TeamWrites writes, QuotaTransaction change, long now) {
     String key = StateStore.TEAM_PREFIX + team;
-    change.conditions.add(new Condition(key, store.modRevision(key)));
-    TeamUsageEntry usage = new TeamUsageEntry(Math.max(0, change.cpus), Math.max(0, change.gpus));
-    change.puts.add(new PutOperation(key, usage, 0));
-    for (LedJob ledJob : change.jobs) {
+    for (LedJob ledJob : change.jobs()) {
       ledJob.writes().beginQuotaWrite();
     }
-    teamsInFlight.add(team);
-    nextChangeMs.put(team, now + Constants.QUOTA_TRANSACTION_INTERVAL_MIN_MS);
+    writes.inFlight = true;
+    writes.nextWriteMs = now + Constants.QUOTA_TRANSACTION_INTERVAL_MIN_MS;
     boolean accepted =
         store.transact(
             StateStore.Urgency.JOB,
-            new Transaction(change.conditions, change.puts, List.of()),
-            reply -> handleResult(team, change, reply));
+            change.build(key, store.modRevision(key)),
+            reply -> handleResult(key, writes, change, reply));
     if (!accepted) {
-      teamsInFlight.remove(team);
-      for (LedJob ledJob : change.jobs) {
+      writes.inFlight = false;
+      for (LedJob ledJob : change.jobs()) {
         ledJob.writes().withdrawQuotaWrite();
       }
     }
   }
 
-  private void handleResult(String team, Change change, TransactionResult reply) {
-    teamsInFlight.remove(team);
-    RetryDelay retry = teamRetries.computeIfAbsent(team, k -> new RetryDelay());
+  private void handleResult(
+      String teamKey, TeamWrites writes, QuotaTransaction change, TransactionResult reply) {
+    writes.inFlight = false;
+    // an invalid write is the fault of a job's entry and delays that job alone
     if (reply.code() != ResultCode.INVALID) {
-      retry.recordResult(clock.now(), reply.code());
+      writes.retry.recordResult(clock.now(), reply.code());
     }
-    for (LedJob ledJob : change.jobs) {
-      handleResult(ledJob, reply);
+    for (LedJob ledJob : change.jobs()) {
+      ledJob.endQuotaWrite(clock.now(), reply.code());
+      if (reply.code() == ResultCode.CONFLICT && reply.revision() > store.revision()) {
+        jobLeader.refreshEntry(ledJob);
+      }
     }
     if (reply.code() == ResultCode.CONFLICT) {
-      teamsInFlight.add(team);
-      String key = StateStore.TEAM_PREFIX + team;
-      if (!store.read(StateStore.Urgency.JOB, key, read -> teamsInFlight.remove(team))) {
-        teamsInFlight.remove(team);
-      }
+      refreshUsage(teamKey, writes);
     } else if (reply.code() != ResultCode.OK) {
-      nextChangeMs.put(team, Math.max(clock.now() + Constants.STATE_RETRY_MS, retry.retryAtMs()));
+      writes.nextWriteMs =
+          Math.max(clock.now() + Constants.STATE_RETRY_MS, writes.retry.retryAtMs());
     }
     placementTrigger.request();
   }
 
-  private void handleResult(LedJob ledJob, TransactionResult reply) {
-    ledJob.endQuotaWrite(clock.now(), reply.code());
-    if (reply.code() == ResultCode.CONFLICT && reply.revision() > store.revision()) {
-      jobLeader.refreshEntry(ledJob);
-    }
-  }
-
-  /** Whether the job's team has a limit, so that its tasks need grants. */
-  public boolean hasQuota(JobSpec spec) {
-    Team team = settings.teams().get(spec.team());
-    return team != null && team.hasQuota();
-  }
-
-  /**
-   * Whether the job must give up what of its grant becomes free: its team is at its limit, a job of
-   * the team has had none for long, and of those that have some this one has most. A large job with
-   * tasks waiting would otherwise use its grant again and again, and nobody else get any.
-   */
-  public boolean mustReleaseQuota(LedJob ledJob) {
-    return ledJob.id().equals(releasingJobs.get(ledJob.spec().team()));
-  }
-
-  /** Finds the jobs that must give up grants. */
-  private void selectReleasingJobs() {
-    releasingJobs.clear();
-    Map<String, JobEntry> largestByTeam = new HashMap<>();
-    Set<String> starved = new HashSet<>();
-    for (JobEntry job : openJobs.all()) {
-      if (job.isTerminal() || !hasQuota(job.spec())) {
-        continue;
-      }
-      String team = job.spec().team();
-      boolean service = job.spec().isService();
-      if (service ? job.quotaReservedTasks() < job.spec().tasks() : job.quotaReservedTasks() == 0) {
-        TeamUsageEntry usage = teamUsage(team);
-        boolean quotaExhausted =
-            remainingTasks(
-                    settings.teams().get(team),
-                    job.spec(),
-                    usage.reservedCpus(),
-                    usage.reservedGpus(),
-                    1)
-                == 0;
-        long starvationMs = service ? Constants.PREEMPTION_DELAY_MS : Constants.STARVATION_MS;
-        if (quotaExhausted && clock.wallClockMs() - job.submittedMs() > starvationMs) {
-          starved.add(team);
-        }
-      } else if (!service) {
-        largestByTeam.merge(team, job, (a, b) -> quotaWeight(a) >= quotaWeight(b) ? a : b);
-      }
-    }
-    for (String team : starved) {
-      if (largestByTeam.containsKey(team)) {
-        releasingJobs.put(team, largestByTeam.get(team).spec().id());
-      }
+  /** Reads the team's usage after a conflict; it isn't written before the answer. */
+  private void refreshUsage(String teamKey, TeamWrites writes) {
+    writes.inFlight = true;
+    boolean accepted = store.read(StateStore.Urgency.JOB, teamKey, read -> writes.inFlight = false);
+    if (!accepted) {
+      writes.inFlight = false;
     }
   }
 
-  private static double quotaWeight(JobEntry job) {
-    return job.quotaReservedTasks() * (job.spec().cpus() + 1e-3 * job.spec().gpus());
-  }
-
   /**
-   * By how much the job's grant should change; never below what may be on machines. While the team
-   * is far from its limit a job gets at once what all its tasks need and keeps it: changing the
-   * grant with every few tasks took a third of the state service's changes, and starts waited.
+   * By how many tasks the job's reservation should change; never below what may be on machines.
+   * While its team is far from its quota a job reserves at once for all its tasks and keeps that:
+   * small changes would load the state service and delay starts.
    */
-  private int quotaDelta(LedJob ledJob, long now) {
-    int unused = ledJob.entry().quotaReservedTasks() - ledJob.activeAttempts().size();
+  private int reservationDelta(LedJob ledJob, long now) {
     if (!ledJob.recovered()) {
       return 0;
     }
-    // replicas start again and again: what they need stays granted until the job is cancelled
+    int reserved = ledJob.entry().quotaReservedTasks();
+    int unused = reserved - ledJob.activeAttempts().size();
+    // replicas start again and again: their reservation stays until the job is cancelled
     if (ledJob.spec().isService() && !ledJob.finished()) {
-      return Math.max(0, ledJob.spec().tasks() - ledJob.entry().quotaReservedTasks());
+      return Math.max(0, ledJob.spec().tasks() - reserved);
     }
     if (ledJob.finished() || mustReleaseQuota(ledJob)) {
       return -Math.max(0, unused);
     }
     int pending = ledJob.pending();
-    boolean headroom = hasHeadroom(ledJob.spec().team());
-    if (unused - pending > (headroom ? ledJob.entry().quotaReservedTasks() / 2 : 0)) {
+    boolean headroom = teamQuotas.hasHeadroom(ledJob.spec().team());
+    if (unused - pending > (headroom ? reserved / 2 : 0)) {
       return -(unused - pending);
     }
     int requested = headroom ? pending : ledJob.requestedQuota();
     if (requested > 0) {
       return Math.min(requested, Math.max(0, pending - unused));
     }
-    if (!headroom
-        && unused > 0
-        && ledJob.quotaIdleLongerThan(Constants.QUOTA_RESERVATION_IDLE_MS, now)) {
-      return -unused;
-    }
-    return 0;
-  }
-
-  private TeamUsageEntry teamUsage(String team) {
-    StateStore.Held stored = store.entry(StateStore.TEAM_PREFIX + team);
-    return stored == null ? new TeamUsageEntry(0, 0) : (TeamUsageEntry) stored.value();
-  }
-
-  /** How many more tasks like these keep the team's sums within this fraction of its limits. */
-  private static int remainingTasks(
-      Team team, JobSpec spec, double cpus, double gpus, double fraction) {
-    double tasks = Integer.MAX_VALUE;
-    if (team.cpuQuota() > 0 && spec.cpus() > 0) {
-      tasks = (team.cpuQuota() * fraction - cpus) / spec.cpus();
-    }
-    if (team.gpuQuota() > 0 && spec.gpus() > 0) {
-      tasks = Math.min(tasks, (team.gpuQuota() * fraction - gpus) / spec.gpus());
-    }
-    return (int) Math.max(0, Math.floor(tasks + 1e-9));
-  }
-
-  /** Whether all running grants of the team are at most half of what it may use. */
-  private boolean hasHeadroom(String team) {
-    Team jobTeam = settings.teams().get(team);
-    TeamUsageEntry usage = teamUsage(team);
-    return (jobTeam.cpuQuota() <= 0
-            || usage.reservedCpus() <= jobTeam.cpuQuota() * Constants.QUOTA_UNCONTENDED_FRACTION)
-        && (jobTeam.gpuQuota() <= 0
-            || usage.reservedGpus() <= jobTeam.gpuQuota() * Constants.QUOTA_UNCONTENDED_FRACTION);
+    boolean idle =
+        !headroom
+            && unused > 0
+            && ledJob.quotaIdleLongerThan(Constants.QUOTA_RESERVATION_IDLE_MS, now);
+    return idle ? -unused : 0;
   }
 }
--- /dev/null
+++ b/src/main/java/mallowstall/core/quota/QuotaTransaction.java
@@ -0,0 +1,80 @@
+package mallowstall.core.quota;
+
+import java.util.ArrayList;
+import java.util.List;
+import mallowstall.core.jobs.LedJob;
+import mallowstall.core.kernel.Condition;
+import mallowstall.core.kernel.PutOperation;
+import mallowstall.core.kernel.Transaction;
+import mallowstall.core.kv.StateStore;
+import mallowstall.core.model.TeamUsageEntry;
+
+/**
+ * Builds the transaction that changes the quota reservations of some jobs of a team together with
+ * the team's usage. Mutable; not thread-safe.
+ */
+final class QuotaTransaction {
+  private final List<LedJob> jobs = new ArrayList<>();
+  private final List<Condition> conditions = new ArrayList<>();
+  private final List<PutOperation> puts = new ArrayList<>();
+  private double reservedCpus;
+  private double reservedGpus;
+  private int maxJobs;
+
+  /** A transaction without a change yet, on this usage, that may change so many jobs. */
+  QuotaTransaction(TeamUsageEntry usage, int maxJobs) {
+    reservedCpus = usage.reservedCpus();
+    reservedGpus = usage.reservedGpus();
+    this.maxJobs = maxJobs;
+  }
+
+  /**
+   * Adds the change of a job's reservation if there is one and the transaction has room for it.
+   *
+   * @param tasks by how many tasks the reservation grows; negative: shrinks
+   * @param alone whether the job's entry may be refused for its size, so that it must not delay
+   *     other jobs
+   */
+  void add(LedJob ledJob, int tasks, boolean alone) {
+    if (tasks == 0 || jobs.size() >= maxJobs || alone && !jobs.isEmpty()) {
+      return;
+    }
+    reservedCpus += tasks * ledJob.spec().cpus();
+    reservedGpus += tasks * ledJob.spec().gpus();
+    String key = StateStore.JOB_PREFIX + ledJob.id();
+    conditions.add(new Condition(key, ledJob.modRevision()));
+    puts.add(
+        new PutOperation(
+            key,
+            ledJob.entry().withQuotaReservation(ledJob.entry().quotaReservedTasks() + tasks),
+            0));
+    jobs.add(ledJob);
+    if (alone) {
+      maxJobs = 1;
+    }
+  }
+
+  /** The jobs whose reservations change, in the order in which they were added; a live view. */
+  List<LedJob> jobs() {
+    return jobs;
+  }
+
+  /** Processors that the team has reserved with the changes so far. */
+  double reservedCpus() {
+    return reservedCpus;
+  }
+
+  /** GPUs that the team has reserved with the changes so far. */
+  double reservedGpus() {
+    return reservedGpus;
+  }
+
+  /** The finished transaction, given the key and the revision of the team's usage entry. */
+  Transaction build(String teamKey, long teamModRevision) {
+    conditions.add(new Condition(teamKey, teamModRevision));
+    // rounding of the sums must not leave a negative usage
+    TeamUsageEntry usage = new TeamUsageEntry(Math.max(0, reservedCpus), Math.max(0, reservedGpus));
+    puts.add(new PutOperation(teamKey, usage, 0));
+    return new Transaction(conditions, puts, List.of());
+  }
+}
--- /dev/null
+++ b/src/main/java/mallowstall/core/quota/TeamQuotas.java
@@ -0,0 +1,68 @@
+package mallowstall.core.quota;
+
+import mallowstall.Constants;
+import mallowstall.core.kv.StateStore;
+import mallowstall.core.model.CoreSettings;
+import mallowstall.core.model.JobSpec;
+import mallowstall.core.model.Team;
+import mallowstall.core.model.TeamUsageEntry;
+
+/** Teams' quotas by the settings and their usage by the state replica. Not thread-safe. */
+final class TeamQuotas {
+  /** Absorbs rounding of sums of processors, in tasks. */
+  private static final double TOLERANCE_TASKS = 1e-9;
+
+  private final CoreSettings settings;
+  private final StateStore store;
+
+  TeamQuotas(CoreSettings settings, StateStore store) {
+    this.settings = settings;
+    this.store = store;
+  }
+
+  /** Whether the job's team has a quota, so that its tasks need a reservation. */
+  boolean hasQuota(JobSpec spec) {
+    Team team = settings.teams().get(spec.team());
+    return team != null && team.hasQuota();
+  }
+
+  /** What the team's jobs have reserved by the state replica. */
+  TeamUsageEntry usage(String team) {
+    StateStore.Held stored = store.entry(StateStore.TEAM_PREFIX + team);
+    return stored == null ? new TeamUsageEntry(0, 0) : (TeamUsageEntry) stored.value();
+  }
+
+  /**
+   * How many more tasks of the job keep its team within this fraction of its quota.
+   *
+   * @param cpus processors that the team has reserved
+   * @param gpus GPUs that the team has reserved
+   */
+  int remainingTasks(JobSpec spec, double cpus, double gpus, double fraction) {
+    Team team = settings.teams().get(spec.team());
+    double tasks = Integer.MAX_VALUE;
+    if (team.cpuQuota() > 0 && spec.cpus() > 0) {
+      tasks = (team.cpuQuota() * fraction - cpus) / spec.cpus();
+    }
+    if (team.gpuQuota() > 0 && spec.gpus() > 0) {
+      tasks = Math.min(tasks, (team.gpuQuota() * fraction - gpus) / spec.gpus());
+    }
+    return (int) Math.max(0, Math.floor(tasks + TOLERANCE_TASKS));
+  }
+
+  /** Whether the team's quota has no room for another task of the job. */
+  boolean isExhausted(JobSpec spec) {
+    TeamUsageEntry usage = usage(spec.team());
+    return remainingTasks(spec, usage.reservedCpus(), usage.reservedGpus(), 1) == 0;
+  }
+
+  /** Whether the team is far enough from its quota for its jobs not to compete. */
+  boolean hasHeadroom(String teamName) {
+    Team team = settings.teams().get(teamName);
+    TeamUsageEntry usage = usage(teamName);
+    return (team.cpuQuota() <= 0
+            || usage.reservedCpus() <= team.cpuQuota() * Constants.QUOTA_UNCONTENDED_FRACTION)
+        && (team.gpuQuota() <= 0
+            || usage.reservedGpus() <= team.gpuQuota() * Constants.QUOTA_UNCONTENDED_FRACTION);
+  }
+}
