--- a/src/main/java/mallowstall/core/quota/package-info.java
+++ b/src/main/java/mallowstall/core/quota/package-info.java
@@ -1,9 +1,11 @@
 /**
- * Teams' quotas and guaranteed shares: how many tasks of a team may run at a time, over all
- * controllers, and which jobs are covered by their team's guarantee.
+ * Teams' quotas and guaranteed shares. {@link mallowstall.core.quota.QuotaLedger} raises and lowers
+ * the quota reservations of led jobs, each together with the team's usage in one transaction, and
+ * owns only the writes under way: the reservations themselves stand in the entries of jobs and
+ * teams. {@link mallowstall.core.quota.GuaranteedShares} computes which jobs their team's guarantee
+ * covers.
  *
- * <p>A led job reserves quota by a transaction on its entry and on its team's usage before its
- * tasks are started, so the sum over all controllers never exceeds the quota. All of it runs on the
- * event thread of the core. See docs/design.md.
+ * <p>One event at a time; no I/O, clock or threads. May depend on model, kernel, kv, cluster and
+ * jobs. See docs/design.md, "quota" and "Exceptions to the design".
  */
 package mallowstall.core.quota;
