--- a/src/main/java/mallowstall/Constants.java
+++ b/src/main/java/mallowstall/Constants.java
@@ -388,6 +388,9 @@
   /** Amounts that differ by less are equal, whatever their unit: sums of decimals are inexact. */
   public static final double AMOUNT_EPSILON = 1e-6;
 
+  /** The same for sums of a few decimals, in processors, GPUs, GB or tasks. */
+  public static final double ROUNDING_EPSILON = 1e-9;
+
   /** Count. New machines sent to another controller that are remembered: more than a fleet has. */
   public static final int REDIRECTS_MAX = 10_000;
 
--- a/src/main/java/mallowstall/core/ControllerCore.java
+++ b/src/main/java/mallowstall/core/ControllerCore.java
@@ -189,7 +189,7 @@
 
   /** A submission that is wrong by itself, unless a controller of another version accepted it. */
   public void rejectSubmission(String id, String reason, Consumer<ApiResponse> reply) {
-    jobApi.rejectSubmission(id, 400, reason, reply);
+    jobApi.rejectSubmission(id, ApiResponse.invalid(reason), reply);
     runDueWork();
   }
 
--- a/src/main/java/mallowstall/core/api/JobApi.java
+++ b/src/main/java/mallowstall/core/api/JobApi.java
@@ -1,10 +1,9 @@
 package mallowstall.core.api;
 
-import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.ToIntFunction;
 import mallowstall.Constants;
@@ -14,7 +13,6 @@
 import mallowstall.core.cluster.MachineTypeCatalog;
 import mallowstall.core.kernel.Condition;
 import mallowstall.core.kernel.EventClock;
-import mallowstall.core.kernel.GetResult;
 import mallowstall.core.kernel.PutOperation;
 import mallowstall.core.kernel.ResultCode;
 import mallowstall.core.kernel.Transaction;
@@ -25,21 +23,31 @@
 import mallowstall.core.model.JobEntry;
 import mallowstall.core.model.JobOutcome;
 import mallowstall.core.model.JobSpec;
-import mallowstall.core.model.MachineType;
-import mallowstall.core.model.Team;
 
-/** What users ask for: accepted, cancelled and done are recorded before they are told. */
+/**
+ * Submissions, queries and cancellations of users (protocol, Users). A job is called accepted,
+ * cancelled or done only after that is written. Every request gets exactly one response, possibly
+ * before the method returns; errors are responses too. Thread: the event loop's.
+ */
 public final class JobApi {
+  private static final int CANCELLATION_RETRIES = 3;
+
+  private static final String NO_STATE_SERVICE = "no contact with the state service";
+  private static final String QUEUE_FULL = "too many requests are waiting";
+
   private final EventClock clock;
   private final CoreSettings settings;
+  private final StateStore store;
   private final JobBitmaps jobBitmaps;
   private final MachineTypeCatalog types;
   private final Connectivity connectivity;
   private final CancellationExchange cancellations;
   private final ClusterVersion clusterVersion;
   private final ToIntFunction<String> runningTasks;
-  private final StateStore store;
-  private final Map<String, List<Consumer<GetResult>>> pendingReads = new HashMap<>();
+  private final FreshJobReader reader;
+  private final SchedulabilityCheck schedulability;
+
+  /** Ended jobs by id, those used last: a final state never changes and needs no read. */
   private final Map<String, JobEntry> terminalJobs =
       new LinkedHashMap<>(64, 0.75f, true) {
         @Override
@@ -48,7 +56,11 @@
         }
       };
 
-  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  /**
+   * Wires this module to the ones that it uses.
+   *
+   * @param runningTasks how many tasks of the job with this id run now
+   */
   public JobApi(
       EventClock clock,
       CoreSettings settings,
@@ -61,22 +73,25 @@
       ToIntFunction<String> runningTasks) {
     this.clock = clock;
     this.settings = settings;
+    this.store = store;
     this.jobBitmaps = jobBitmaps;
     this.types = types;
     this.connectivity = connectivity;
     this.cancellations = cancellations;
     this.clusterVersion = clusterVersion;
     this.runningTasks = runningTasks;
-    this.store = store;
+    reader = new FreshJobReader(clock, store);
+    schedulability = new SchedulabilityCheck(settings, types);
   }
 
-  /** Records the job's entry as the state replica now shows it. */
+  /** Takes note of a change of the job's entry in the state replica. */
   public void jobChanged(JobEntry before, JobEntry job) {
     if (job.isTerminal()) {
       terminalJobs.put(job.spec().id(), job);
     }
   }
 
+  /** Whether users' requests can be served: the state replica and the machine types are here. */
   public boolean isReady() {
     return store.synced()
         && store.incarnation() != 0
@@ -84,54 +99,51 @@
         && !connectivity.isIsolatedFromStateService();
   }
 
-  private ApiResponse unavailable(String reason) {
-    return ApiResponse.unavailable(reason, store.retryAfterS());
-  }
-
   /**
-   * Accepts a submission once its entry is written, or answers why not; idempotent for a known job.
+   * Accepts a submission once its entry is written, or responds why not. A repeated submission gets
+   * the state of the job.
    */
   public void submit(JobSpec spec, Consumer<ApiResponse> reply) {
-    JobEntry known = store.job(spec.id());
-    if (known != null) {
-      query(spec.id(), reply);
+    String id = spec.id();
+    if (store.job(id) != null) {
+      query(id, reply);
       return;
     }
     JobEntry job =
         JobEntry.newlyAccepted(spec, clock.wallClockMs(), settings.node(), store.incarnation());
     if (!jobBitmaps.fitsAtLargest(job)) {
-      rejectSubmission(spec.id(), 400, "the description is too large", reply);
+      rejectSubmission(id, ApiResponse.invalid("the description is too large"), reply);
       return;
     }
     if (types.isEmpty()) {
       reply.accept(unavailable("the machine types are not known yet"));
       return;
     }
-    String unschedulable = unschedulableReason(spec);
-    if (unschedulable != null) {
-      rejectSubmission(spec.id(), 422, unschedulable, reply);
+    Optional<String> unschedulable = schedulability.rejectionReason(spec);
+    if (unschedulable.isPresent()) {
+      rejectSubmission(id, ApiResponse.unschedulable(unschedulable.get()), reply);
       return;
     }
     if (!store.synced() || !store.isSessionValid()) {
-      reply.accept(unavailable("no contact with the state service"));
+      reply.accept(unavailable(NO_STATE_SERVICE));
       return;
     }
     if (spec.isService() && !clusterVersion.allowsServices()) {
       ApiResponse unsupported = unavailable("a controller runs a version without services");
-      replyUnlessAccepted(spec.id(), unsupported, reply);
+      respondUnlessAccepted(id, unsupported, reply);
       return;
     }
-    String key = StateStore.JOB_PREFIX + spec.id();
+    recordSubmission(job, reply);
+  }
+
+  private void recordSubmission(JobEntry job, Consumer<ApiResponse> reply) {
+    String id = job.spec().id();
+    String key = StateStore.JOB_PREFIX + id;
     long submittedAtMs = clock.now();
-    boolean queued =
-        store.transact(
-            StateStore.Urgency.USER,
-            new Transaction(
-                List.of(new Condition(key, 0)), List.of(new PutOperation(key, job, 0)), List.of()),
-            result -> submissionRecorded(spec.id(), result.code(), submittedAtMs, reply));
-    if (!queued) {
-      reply.accept(unavailable("too many requests are waiting"));
-    }
+    Transaction creation =
+        new Transaction(
+            List.of(new Condition(key, 0)), List.of(new PutOperation(key, job, 0)), List.of());
+    transact(creation, reply, result -> submissionRecorded(id, result, submittedAtMs, reply));
   }
 
   private void submissionRecorded(
@@ -141,192 +153,119 @@
     } else if (code != ResultCode.OK) {
       reply.accept(unavailable("the job could not be recorded"));
     } else if (clock.now() - submittedAtMs > Constants.READ_MAX_AGE_MS) {
-      // A controller that stood still meanwhile called a job pending that was over. The user asks
-      // again and is told what it is then: read now, it was overtaken once more (seed 4932 of the
-      // histories).
+      // The job may be over by now, and so may the result of a read: the user has to ask again.
       reply.accept(unavailable("recorded late, ask again"));
     } else {
-      reply.accept(ApiResponse.state(201, id, "pending", 0, 0));
+      reply.accept(ApiResponse.accepted(id));
     }
   }
 
   /**
-   * Wrong, unless it repeats the submission of an accepted job, which must never be told so: that
-   * is asked for first. Without the state service it is told at once.
+   * Rejects a submission, unless it repeats that of a job which was accepted (perhaps by a
+   * controller of another version): then the response is the job's state.
    */
-  public void rejectSubmission(String id, int status, String reason, Consumer<ApiResponse> reply) {
+  public void rejectSubmission(String id, ApiResponse rejection, Consumer<ApiResponse> reply) {
     if (store.job(id) != null) {
       query(id, reply);
       return;
     }
-    replyUnlessAccepted(id, ApiResponse.error(status, reason), reply);
+    respondUnlessAccepted(id, rejection, reply);
   }
 
-  /** Gives this answer unless the state service knows the job; then its state is told. */
-  private void replyUnlessAccepted(String id, ApiResponse fallback, Consumer<ApiResponse> reply) {
+  /** Responds with the state of the job if the state service has it, else with the fallback. */
+  private void respondUnlessAccepted(String id, ApiResponse fallback, Consumer<ApiResponse> reply) {
     if (!store.synced() || clock.now() - store.lastContactMs() > Constants.READ_MAX_AGE_MS) {
       reply.accept(fallback);
       return;
     }
-    readCurrent(
+    reader.read(
         id,
-        read -> {
-          if (read.code() != ResultCode.OK || read.item().value() == null) {
-            reply.accept(fallback);
-          } else {
-            reply.accept(toResponse((JobEntry) read.item().value()));
-          }
-        });
+        read ->
+            reply.accept(read.status() == JobRead.Status.FOUND ? stateOf(read.job()) : fallback));
   }
 
-  private String unschedulableReason(JobSpec spec) {
-    Team team = settings.teams().get(spec.team());
-    if (team == null) {
-      return "unknown team " + spec.team();
-    }
-    boolean fitsSomeType = false;
-    for (MachineType type : types.all()) {
-      fitsSomeType |=
-          spec.fits(type) && (spec.zone() == null || type.zones().contains(spec.zone()));
-    }
-    if (!fitsSomeType) {
-      return "a task fits no allowed machine type";
-    }
-    // replicas run all at once; a batch may run one task after the other
-    int concurrentTasks = spec.isService() ? spec.tasks() : 1;
-    String subject = spec.isService() ? "all replicas together need" : "a task needs";
-    if (team.cpuQuota() > 0 && concurrentTasks * spec.cpus() > team.cpuQuota() + 1e-9) {
-      return subject + " more cpus than the team's limit";
-    }
-    if (team.gpuQuota() > 0 && concurrentTasks * spec.gpus() > team.gpuQuota() + 1e-9) {
-      return subject + " more gpus than the team's limit";
+  /** Responds with the state of the job, or 404. */
+  public void query(String id, Consumer<ApiResponse> reply) {
+    withCurrentEntry(id, reply, read -> reply.accept(stateOf(read.job())));
+  }
+
+  /** Cancels a job; the response comes once the cancellation is written, or 404. */
+  public void cancel(String id, Consumer<ApiResponse> reply) {
+    cancel(id, reply, CANCELLATION_RETRIES);
+  }
+
+  private void cancel(String id, Consumer<ApiResponse> reply, int retries) {
+    withCurrentEntry(id, reply, read -> recordCancellation(read, reply, retries));
+  }
+
+  private void recordCancellation(JobRead read, Consumer<ApiResponse> reply, int retries) {
+    JobEntry job = read.job();
+    if (job.isTerminal()) {
+      reply.accept(stateOf(job));
+      return;
     }
-    return null;
+    JobEntry cancelled = job.withOutcome(JobOutcome.CANCELLED);
+    JobBitmaps.Write write = jobBitmaps.writePreservingBits(cancelled, read.modRevision());
+    transact(
+        new Transaction(write.conditions(), write.puts(), List.of()),
+        reply,
+        code -> {
+          if (code == ResultCode.OK) {
+            reply.accept(stateOf(cancelled));
+          } else if (code == ResultCode.CONFLICT && retries > 0) {
+            cancel(job.spec().id(), reply, retries - 1);
+          } else {
+            reply.accept(unavailable("the cancellation could not be recorded"));
+          }
+        });
   }
 
-  /**
-   * Answered from a read made after the question came, or from a final state, which never changes.
-   */
-  public void query(String id, Consumer<ApiResponse> reply) {
+  /** Hands over the entry read after this call; responds itself if there is none to act on. */
+  private void withCurrentEntry(String id, Consumer<ApiResponse> reply, Consumer<JobRead> onFound) {
     JobEntry terminalJob = terminalJobs.get(id);
     if (terminalJob != null) {
-      reply.accept(toResponse(terminalJob));
+      reply.accept(stateOf(terminalJob));
       return;
     }
-    readCurrent(
+    reader.read(
         id,
         read -> {
-          if (read.code() != ResultCode.OK) {
-            reply.accept(unavailable("no contact with the state service"));
-          } else if (read.item().value() == null) {
-            reply.accept(ApiResponse.error(404, "no such job"));
-          } else {
-            reply.accept(toResponse((JobEntry) read.item().value()));
+          switch (read.status()) {
+            case FOUND -> onFound.accept(read);
+            case NOT_FOUND -> reply.accept(ApiResponse.notFound());
+            case UNAVAILABLE -> reply.accept(unavailable(NO_STATE_SERVICE));
           }
         });
   }
 
-  /** Joins questions about one job that come before its read is sent. */
-  private void readCurrent(String id, Consumer<GetResult> onRead) {
-    List<Consumer<GetResult>> joined = pendingReads.get(id);
-    if (joined != null) {
-      joined.add(onRead);
-      return;
+  /** Queues a change; if the queue is full, that is the response. */
+  private void transact(
+      Transaction transaction, Consumer<ApiResponse> reply, Consumer<ResultCode> onResult) {
+    boolean queued =
+        store.transact(
+            StateStore.Urgency.USER, transaction, result -> onResult.accept(result.code()));
+    if (!queued) {
+      reply.accept(unavailable(QUEUE_FULL));
     }
-    List<Consumer<GetResult>> callbacks = new ArrayList<>();
-    callbacks.add(onRead);
-    pendingReads.put(id, callbacks);
-    long requestedAtMs = clock.now();
-    clock.schedule(
-        0,
-        () -> {
-          pendingReads.remove(id);
-          boolean queued =
-              store.read(
-                  StateStore.Urgency.USER,
-                  StateStore.JOB_PREFIX + id,
-                  reply -> {
-                    // A controller that stood still would tell what it read before: a job that
-                    // others had called done meanwhile was called running again.
-                    boolean stale = clock.now() - requestedAtMs > Constants.READ_MAX_AGE_MS;
-                    GetResult result = stale ? new GetResult(ResultCode.REJECTED, null) : reply;
-                    callbacks.forEach(callback -> callback.accept(result));
-                  });
-          if (!queued) {
-            callbacks.forEach(
-                callback -> callback.accept(new GetResult(ResultCode.REJECTED, null)));
-          }
-        });
   }
 
-  /**
-   * What was read, unless something newer is known by now: while the state service answered slowly,
-   * a job was called running to a user whom another controller had just told that it is cancelled.
-   */
-  private ApiResponse toResponse(JobEntry stored) {
+  private ApiResponse unavailable(String reason) {
+    return ApiResponse.unavailable(reason, store.retryAfterS());
+  }
+
+  /** The state by this entry, or by what is known since: others may have ended the job already. */
+  private ApiResponse stateOf(JobEntry stored) {
     String id = stored.spec().id();
     JobEntry known = store.job(id);
     JobEntry job = known != null && known.isTerminal() ? known : stored;
     if (!job.isTerminal() && cancellations.isReportedByPeer(id)) {
       job = job.withOutcome(JobOutcome.CANCELLED);
     }
-    if (job.outcome() == JobOutcome.DONE) {
-      return ApiResponse.state(200, id, "done", job.spec().tasks(), 0);
-    }
-    if (job.outcome() == JobOutcome.CANCELLED) {
-      return ApiResponse.state(200, id, "cancelled", job.completedTaskCount(), 0);
-    }
-    int running = runningTasks.applyAsInt(id);
-    return ApiResponse.state(
-        200, id, running > 0 ? "running" : "pending", job.completedTaskCount(), running);
-  }
-
-  /** Cancels a job; the answer comes once the cancellation is written. */
-  public void cancel(String id, Consumer<ApiResponse> reply) {
-    cancel(id, reply, 3);
-  }
-
-  private void cancel(String id, Consumer<ApiResponse> reply, int tries) {
-    JobEntry terminalJob = terminalJobs.get(id);
-    if (terminalJob != null) {
-      reply.accept(toResponse(terminalJob));
-      return;
-    }
-    readCurrent(
-        id,
-        read -> {
-          if (read.code() != ResultCode.OK) {
-            reply.accept(unavailable("no contact with the state service"));
-            return;
-          }
-          if (read.item().value() == null) {
-            reply.accept(ApiResponse.error(404, "no such job"));
-            return;
-          }
-          JobEntry job = (JobEntry) read.item().value();
-          if (job.isTerminal()) {
-            reply.accept(toResponse(job));
-            return;
-          }
-          JobEntry cancelled = job.withOutcome(JobOutcome.CANCELLED);
-          JobBitmaps.Write write =
-              jobBitmaps.writePreservingBits(cancelled, read.item().modRevision());
-          boolean queued =
-              store.transact(
-                  StateStore.Urgency.USER,
-                  new Transaction(write.conditions(), write.puts(), List.of()),
-                  result -> {
-                    if (result.code() == ResultCode.OK) {
-                      reply.accept(toResponse(cancelled));
-                    } else if (result.code() == ResultCode.CONFLICT && tries > 0) {
-                      cancel(id, reply, tries - 1);
-                    } else {
-                      reply.accept(unavailable("the cancellation could not be recorded"));
-                    }
-                  });
-          if (!queued) {
-            reply.accept(unavailable("too many requests are waiting"));
-          }
-        });
+    return switch (job.outcome()) {
+      case DONE -> ApiResponse.done(id, job.spec().tasks());
+      case CANCELLED -> ApiResponse.cancelled(id, job.completedTaskCount());
+      case NONE, SERVING ->
+          ApiResponse.open(id, job.completedTaskCount(), runningTasks.applyAsInt(id));
+    };
   }
 }
--- /dev/null
+++ b/src/main/java/mallowstall/core/api/JobRead.java
@@ -0,0 +1,27 @@
+package mallowstall.core.api;
+
+import mallowstall.core.model.JobEntry;
+
+/**
+ * The result of reading a job's entry from the state service.
+ *
+ * @param status whether there is an entry; the other components count with {@code FOUND} only
+ * @param job the entry as read; null unless found
+ * @param modRevision the revision of the state service at which the entry was last written
+ */
+record JobRead(Status status, JobEntry job, long modRevision) {
+  /** Whether the read has shown the entry. */
+  enum Status {
+    FOUND,
+    NOT_FOUND,
+    /** Not read, or read too long ago to be told. */
+    UNAVAILABLE
+  }
+
+  static final JobRead NOT_FOUND = new JobRead(Status.NOT_FOUND, null, 0);
+  static final JobRead UNAVAILABLE = new JobRead(Status.UNAVAILABLE, null, 0);
+
+  static JobRead found(JobEntry job, long modRevision) {
+    return new JobRead(Status.FOUND, job, modRevision);
+  }
+}
--- a/src/main/java/mallowstall/core/model/ApiResponse.java
+++ b/src/main/java/mallowstall/core/model/ApiResponse.java
@@ -1,6 +1,16 @@
 package mallowstall.core.model;
 
-/** Answer to a user: a status and either a state or a message. */
+/**
+ * Response to a user's request (protocol, Users): either a job's state or an error.
+ *
+ * @param status HTTP status
+ * @param id the job's id; null in an error
+ * @param state the job's state by its name in the protocol; null in an error
+ * @param completedTaskCount tasks of the job that are done
+ * @param runningTaskCount tasks of the job that run now
+ * @param message what is wrong, in an error; null in a state
+ * @param retryAfterS seconds after which the request should be repeated; 0: it needn't be
+ */
 public record ApiResponse(
     int status,
     String id,
@@ -9,19 +19,65 @@
     int runningTaskCount,
     String message,
     int retryAfterS) {
-  /** The state of a job. */
-  public static ApiResponse state(
-      int status, String id, String state, int completedTaskCount, int runningTaskCount) {
-    return new ApiResponse(status, id, state, completedTaskCount, runningTaskCount, null, 0);
+  private static final int OK = 200;
+  private static final int CREATED = 201;
+  private static final int BAD_REQUEST = 400;
+  private static final int NOT_FOUND = 404;
+  private static final int UNPROCESSABLE = 422;
+  private static final int SERVICE_UNAVAILABLE = 503;
+
+  private static final String PENDING = "pending";
+  private static final String RUNNING = "running";
+  private static final String DONE = "done";
+  private static final String CANCELLED = "cancelled";
+
+  /** 201: the submission is recorded. */
+  public static ApiResponse accepted(String id) {
+    return state(CREATED, id, PENDING, 0, 0);
   }
 
-  /** An error that a repetition doesn't change. */
-  public static ApiResponse error(int status, String message) {
-    return new ApiResponse(status, null, null, 0, 0, message, 0);
+  /** A job that has not ended: running if any of its tasks is. */
+  public static ApiResponse open(String id, int completedTaskCount, int runningTaskCount) {
+    String state = runningTaskCount > 0 ? RUNNING : PENDING;
+    return state(OK, id, state, completedTaskCount, runningTaskCount);
+  }
+
+  /** A job of which all tasks are done. */
+  public static ApiResponse done(String id, int completedTaskCount) {
+    return state(OK, id, DONE, completedTaskCount, 0);
+  }
+
+  /** A job that was cancelled. */
+  public static ApiResponse cancelled(String id, int completedTaskCount) {
+    return state(OK, id, CANCELLED, completedTaskCount, 0);
+  }
+
+  /** 400: the request itself is wrong; repeating it doesn't help. */
+  public static ApiResponse invalid(String message) {
+    return error(BAD_REQUEST, message);
+  }
+
+  /** 404: there is no such job. */
+  public static ApiResponse notFound() {
+    return error(NOT_FOUND, "no such job");
+  }
+
+  /** 422: the job could never run; repeating the request doesn't help. */
+  public static ApiResponse unschedulable(String message) {
+    return error(UNPROCESSABLE, message);
   }
 
   /** 503: the user should come again after so many seconds. */
   public static ApiResponse unavailable(String message, int retryAfterS) {
-    return new ApiResponse(503, null, null, 0, 0, message, retryAfterS);
+    return new ApiResponse(SERVICE_UNAVAILABLE, null, null, 0, 0, message, retryAfterS);
+  }
+
+  private static ApiResponse state(
+      int status, String id, String state, int completedTaskCount, int runningTaskCount) {
+    return new ApiResponse(status, id, state, completedTaskCount, runningTaskCount, null, 0);
+  }
+
+  private static ApiResponse error(int status, String message) {
+    return new ApiResponse(status, null, null, 0, 0, message, 0);
   }
 }
--- a/src/main/java/mallowstall/core/model/Capacity.java
+++ b/src/main/java/mallowstall/core/model/Capacity.java
@@ -18,6 +18,6 @@
     if (spec.memoryGb() > 0) {
       fitting = Math.min(fitting, memoryGb / spec.memoryGb());
     }
-    return (int) Math.floor(fitting + 1e-9);
+    return (int) Math.floor(fitting + Constants.ROUNDING_EPSILON);
   }
 }
