--- a/src/main/java/mallowstall/core/api/JobApi.java
+++ b/src/main/java/mallowstall/core/api/JobApi.java
@@ -261,11 +261,12 @@
     if (!job.isTerminal() && cancellations.isReportedByPeer(id)) {
       job = job.withOutcome(JobOutcome.CANCELLED);
     }
-    return switch (job.outcome()) {
-      case DONE -> ApiResponse.done(id, job.spec().tasks());
-      case CANCELLED -> ApiResponse.cancelled(id, job.completedTaskCount());
-      case NONE, SERVING ->
-          ApiResponse.open(id, job.completedTaskCount(), runningTasks.applyAsInt(id));
-    };
+    if (job.outcome() == JobOutcome.DONE) {
+      return ApiResponse.done(id, job.spec().tasks());
+    }
+    if (job.outcome() == JobOutcome.CANCELLED) {
+      return ApiResponse.cancelled(id, job.completedTaskCount());
+    }
+    return ApiResponse.open(id, job.completedTaskCount(), runningTasks.applyAsInt(id));
   }
 }
--- a/src/main/java/mallowstall/core/model/Capacity.java
+++ b/src/main/java/mallowstall/core/model/Capacity.java
@@ -2,11 +2,14 @@
 
 import mallowstall.Constants;
 
-/** How many like tasks a given amount of room holds. */
+/** How many equal tasks fit into free capacity. */
 public final class Capacity {
   private Capacity() {}
 
-  /** Tasks that fit into so much room; a resource of which they take nothing doesn't count. */
+  /**
+   * Number of tasks that fit into the free processors, GPUs and GB of memory, at most {@link
+   * Constants#TASKS_PER_MACHINE_MAX}; a resource of which they take nothing doesn't count.
+   */
   public static int fittingTasks(double cpus, double gpus, double memoryGb, JobSpec spec) {
     double fitting = Constants.TASKS_PER_MACHINE_MAX;
     if (spec.cpus() > 0) {
--- a/src/main/java/mallowstall/core/model/HeartbeatResponse.java
+++ b/src/main/java/mallowstall/core/model/HeartbeatResponse.java
@@ -2,21 +2,32 @@
 
 import java.util.List;
 
-/** Answer to a report. */
+/**
+ * Response to a heartbeat (protocol, Workers).
+ *
+ * @param status HTTP status
+ * @param fencingToken token of the machine's leader; counts with 200 only
+ * @param commands what the worker is to execute; counts with 200 only
+ * @param redirectTo controller to report to, with 421; null: the worker chooses one
+ */
 public record HeartbeatResponse(
     int status, long fencingToken, List<WorkerCommand> commands, String redirectTo) {
-  /** The worker stays, and executes these commands. */
+  private static final int OK = 200;
+  private static final int MISDIRECTED_REQUEST = 421;
+  private static final int SERVICE_UNAVAILABLE = 503;
+
+  /** 200: the worker stays with this leader and executes the commands. */
   public static HeartbeatResponse accepted(long fencingToken, List<WorkerCommand> commands) {
-    return new HeartbeatResponse(200, fencingToken, commands, null);
+    return new HeartbeatResponse(OK, fencingToken, commands, null);
   }
 
-  /** The worker reports to that controller instead. */
+  /** 421: the worker is to report to that controller. */
   public static HeartbeatResponse redirect(String node) {
-    return new HeartbeatResponse(421, 0, List.of(), node);
+    return new HeartbeatResponse(MISDIRECTED_REQUEST, 0, List.of(), node);
   }
 
-  /** This controller can't answer for the machine now. */
+  /** 503: this controller can't lead the machine now. */
   public static HeartbeatResponse unavailable() {
-    return new HeartbeatResponse(503, 0, List.of(), null);
+    return new HeartbeatResponse(SERVICE_UNAVAILABLE, 0, List.of(), null);
   }
 }
--- a/src/main/java/mallowstall/core/model/IncarnationCounterEntry.java
+++ b/src/main/java/mallowstall/core/model/IncarnationCounterEntry.java
@@ -1,4 +1,8 @@
 package mallowstall.core.model;
 
-/** The counter of incarnations. */
+/**
+ * The counter from which starting controller processes take their incarnation.
+ *
+ * @param value the last incarnation that was given out
+ */
 public record IncarnationCounterEntry(long value) implements StoredEntry {}
--- a/src/main/java/mallowstall/core/model/JobEntry.java
+++ b/src/main/java/mallowstall/core/model/JobEntry.java
@@ -1,10 +1,18 @@
 package mallowstall.core.model;
 
-import mallowstall.core.kv.JobBitmaps;
-
 /**
- * A job's entry. {@code done} holds the first bits of the bitmap, further ones are {@link
- * CompletionBitsEntry}: see {@link JobBitmaps}.
+ * The stored entry of a job (docs/design.md, Keys in the state service).
+ *
+ * @param spec the description that was submitted
+ * @param submittedMs ms of the time of day at which the job was accepted
+ * @param leader controller that leads the job
+ * @param incarnation the leader's incarnation
+ * @param epoch leader epoch; grows by one with each change of the leader
+ * @param completionBits first part of the completion bitmap, one bit per task; further parts are
+ *     {@link CompletionBitsEntry}
+ * @param completedTaskCount tasks that are done, of the whole job
+ * @param quotaReservedTasks tasks reserved in the team's quota
+ * @param outcome how the job has ended, if it has
  */
 public record JobEntry(
     JobSpec spec,
@@ -45,7 +53,7 @@
         outcome);
   }
 
-  /** With these done bits in the entry itself, and so many done tasks in all. */
+  /** The same with this first part of the bitmap, and so many done tasks in the whole job. */
   public JobEntry withCompletion(
       byte[] newCompletionBits, int newCompletedTaskCount, JobOutcome newOutcome) {
     return new JobEntry(
@@ -74,12 +82,12 @@
         outcome);
   }
 
-  /** True once the job has ended: nothing of it may be started any more. */
+  /** Whether the job has ended: none of its tasks may be started any more. */
   public boolean isTerminal() {
     return outcome == JobOutcome.DONE || outcome == JobOutcome.CANCELLED;
   }
 
-  /** True while somebody must still look after the job. */
+  /** Whether a controller must still lead the job: it is open, or holds a quota reservation. */
   public boolean needsLeader() {
     return !isTerminal() || quotaReservedTasks > 0;
   }
--- a/src/main/java/mallowstall/core/model/JobKind.java
+++ b/src/main/java/mallowstall/core/model/JobKind.java
@@ -1,6 +1,6 @@
 package mallowstall.core.model;
 
-/** How a job's tasks end: those of a batch by themselves, replicas of a service when cancelled. */
+/** How the tasks of a job end: those of a batch by themselves, those of a service if cancelled. */
 public enum JobKind {
   BATCH,
   SERVICE
--- a/src/main/java/mallowstall/core/model/JobSpec.java
+++ b/src/main/java/mallowstall/core/model/JobSpec.java
@@ -1,8 +1,32 @@
 package mallowstall.core.model;
 
 import java.util.List;
+import mallowstall.Constants;
 
-/** A job as its user described it. */
+/**
+ * A job as its user described it (protocol, Users). Amounts are per task.
+ *
+ * @param id id of the job, chosen by the user
+ * @param jobClass class of the job; names the placement policy
+ * @param team team whose quota counts
+ * @param priority priority against other jobs
+ * @param tasks number of tasks
+ * @param cpus processors
+ * @param gpus GPUs
+ * @param memoryGb GB of memory
+ * @param image name of the image
+ * @param imageGb GB of the image in the cache of a machine
+ * @param machineTypes machine types that are allowed; null: all
+ * @param zone zone that is demanded; null: any
+ * @param singleZone whether all tasks must run in one zone
+ * @param spread whether tasks should run on different machines
+ * @param spot whether tasks may run on spot machines
+ * @param estimatedRunS s that one task runs by the user's estimate
+ * @param checkpointIntervalS s between two checkpoints of a task; 0: it takes none
+ * @param checkpointSaveS s that a task needs to save a checkpoint
+ * @param deadlineS s after submission by which the job should be done; null: no deadline
+ * @param kind batch or service; null, as in entries of older versions, becomes batch
+ */
 public record JobSpec(
     String id,
     String jobClass,
@@ -24,30 +48,32 @@
     double checkpointSaveS,
     Double deadlineS,
     JobKind kind) {
-  /** Entries of batch jobs carry no kind: versions without services wrote them. */
+  /** Entries of batch jobs have no kind: versions without services wrote them. */
   public JobSpec {
     if (kind == null) {
       kind = JobKind.BATCH;
     }
   }
 
-  /** Whether its tasks are replicas that run until the job is cancelled. */
+  /** Whether the tasks are replicas that run until the job is cancelled. */
   public boolean isService() {
     return kind == JobKind.SERVICE;
   }
 
   /** Whether one task fits on an empty machine of this type, and the job allows the type. */
   public boolean fits(MachineType type) {
-    return (machineTypes == null || machineTypes.contains(type.name()))
-        && cpus <= type.cpus() + 1e-9
-        && gpus <= type.gpus() + 1e-9
-        && memoryGb <= type.memoryGb() + 1e-9;
+    return allowsType(type.name())
+        && cpus <= type.cpus() + Constants.ROUNDING_EPSILON
+        && gpus <= type.gpus() + Constants.ROUNDING_EPSILON
+        && memoryGb <= type.memoryGb() + Constants.ROUNDING_EPSILON;
   }
 
   /** Whether the job may run on a machine of this type, in this zone, spot or not. */
   public boolean allowsMachine(String type, String machineZone, boolean spotMachine) {
-    return (machineTypes == null || machineTypes.contains(type))
-        && (zone == null || zone.equals(machineZone))
-        && (!spotMachine || spot);
+    return allowsType(type) && (zone == null || zone.equals(machineZone)) && (!spotMachine || spot);
+  }
+
+  private boolean allowsType(String type) {
+    return machineTypes == null || machineTypes.contains(type);
   }
 }
--- a/src/main/java/mallowstall/core/model/ListedMachine.java
+++ b/src/main/java/mallowstall/core/model/ListedMachine.java
@@ -1,5 +1,14 @@
 package mallowstall.core.model;
 
-/** A machine as the cloud lists it. */
+/**
+ * A machine in the cloud's inventory.
+ *
+ * @param id id of the machine
+ * @param type name of the machine type
+ * @param zone zone of the machine
+ * @param spot whether the cloud may interrupt it
+ * @param state state as the cloud names it (protocol, Cloud)
+ * @param ageS s since the machine was rented
+ */
 public record ListedMachine(
     String id, String type, String zone, boolean spot, String state, double ageS) {}
--- a/src/main/java/mallowstall/core/model/MachineEntry.java
+++ b/src/main/java/mallowstall/core/model/MachineEntry.java
@@ -1,9 +1,15 @@
 package mallowstall.core.model;
 
 /**
- * Who owns a machine. The token is the revision at which this was written, so whatever is written
- * later has the larger one; it isn't known before and stands in the mirror only. No node: the
- * machine was returned.
+ * Which controller leads a machine. The fencing token is the revision at which the entry was
+ * written, so a later leader's is larger; it isn't stored and stands in the state replica only.
+ *
+ * @param node the leading controller; empty: the machine was removed (tombstone)
+ * @param incarnation the leader's incarnation
+ * @param fencingToken revision of the change that wrote this; 0 until that is known
+ * @param type name of the machine type
+ * @param zone zone of the machine
+ * @param spot whether the cloud may interrupt it
  */
 public record MachineEntry(
     String node, long incarnation, long fencingToken, String type, String zone, boolean spot)
@@ -13,7 +19,7 @@
     return new MachineEntry(node, incarnation, newFencingToken, type, zone, spot);
   }
 
-  /** The entry of a returned machine that a group entry still names. */
+  /** The entry of a removed machine that a group entry still names. */
   public static MachineEntry tombstone() {
     return new MachineEntry("", 0, 0, "", "", false);
   }
--- a/src/main/java/mallowstall/core/model/MachineGroupEntry.java
+++ b/src/main/java/mallowstall/core/model/MachineGroupEntry.java
@@ -3,8 +3,12 @@
 import java.util.List;
 
 /**
- * Machines that turned to one controller at about the same time, taken over in one change: one each
- * took longer than their leases when hundreds changed owner.
+ * Machines that one controller registered in one change: with a change each, hundreds of machines
+ * would outlast their leases.
+ *
+ * @param node the leading controller
+ * @param incarnation its incarnation
+ * @param machines the machines of the group
  */
 public record MachineGroupEntry(String node, long incarnation, List<MachineGroupMember> machines)
     implements StoredEntry {}
--- a/src/main/java/mallowstall/core/model/PeerMessage.java
+++ b/src/main/java/mallowstall/core/model/PeerMessage.java
@@ -1,4 +1,4 @@
 package mallowstall.core.model;
 
-/** Messages between controllers. */
+/** A message between controllers; one may be lost when a connection breaks. */
 public sealed interface PeerMessage permits StatusUpdate, StartBatch, StopBatch {}
--- a/src/main/java/mallowstall/core/model/Priority.java
+++ b/src/main/java/mallowstall/core/model/Priority.java
@@ -1,6 +1,6 @@
 package mallowstall.core.model;
 
-/** Priorities, lowest first. */
+/** Priorities of jobs, lowest first; their order is compared. */
 public enum Priority {
   LOW,
   NORMAL,
--- a/src/main/java/mallowstall/core/model/ProgramVersion.java
+++ b/src/main/java/mallowstall/core/model/ProgramVersion.java
@@ -1,8 +1,8 @@
 package mallowstall.core.model;
 
-/** Versions of this program, as controllers show them to each other in the state service. */
+/** Versions of this program that controllers show to each other by a {@link VersionEntry}. */
 public final class ProgramVersion {
-  /** A controller that has shown no version: it never ran, or runs a version without services. */
+  /** No version was shown: the controller never ran, or its version has no services. */
   public static final int UNKNOWN = 0;
 
   /** The first version that knows services and bitmaps in small pieces. */
--- a/src/main/java/mallowstall/core/model/StopRequest.java
+++ b/src/main/java/mallowstall/core/model/StopRequest.java
@@ -1,5 +1,13 @@
 package mallowstall.core.model;
 
-/** A holder's wish that a task be stopped. */
+/**
+ * The request of a job leader to stop one attempt of a task.
+ *
+ * @param machine id of the machine
+ * @param job id of the job
+ * @param task number of the task
+ * @param attempt number of the attempt
+ * @param gracePeriodS s that the task gets to save a checkpoint; 0: none
+ */
 public record StopRequest(
     String machine, String job, int task, long attempt, double gracePeriodS) {}
--- a/src/main/java/mallowstall/core/model/StoredEntry.java
+++ b/src/main/java/mallowstall/core/model/StoredEntry.java
@@ -1,6 +1,6 @@
 package mallowstall.core.model;
 
-/** Anything kept under a key of the state service. */
+/** A value of the state service (docs/design.md, Keys in the state service). */
 public sealed interface StoredEntry
     permits SessionEntry,
         VersionEntry,
--- a/src/main/java/mallowstall/core/model/TaskAttempt.java
+++ b/src/main/java/mallowstall/core/model/TaskAttempt.java
@@ -1,11 +1,15 @@
 package mallowstall.core.model;
 
 /**
- * One attempt of a task: a worker may list a refused attempt beside the one that it runs. Compared
- * by hand for the reason that {@link TaskKey} gives.
+ * One attempt of a task. A worker may list a rejected attempt beside the one that it runs. Equality
+ * is written by hand for the reason that {@link TaskKey} gives.
+ *
+ * @param job id of the job
+ * @param task number of the task
+ * @param attempt number of the attempt; later ones are larger
  */
 public record TaskAttempt(String job, int task, long attempt) {
-  /** The attempt that is named there. */
+  /** The attempt that is reported there. */
   public static TaskAttempt of(TaskReport report) {
     return new TaskAttempt(report.job(), report.task(), report.attempt());
   }
--- a/src/main/java/mallowstall/core/model/TaskKey.java
+++ b/src/main/java/mallowstall/core/model/TaskKey.java
@@ -1,8 +1,11 @@
 package mallowstall.core.model;
 
 /**
- * One task of a job, whatever the attempt. Compared by hand: what the compiler makes for records
- * goes through method handles, which the one compiler level used here doesn't inline.
+ * One task of a job, whatever the attempt. Equality is written by hand: the generated one of
+ * records goes through method handles, which the one compiler level used here doesn't inline.
+ *
+ * @param job id of the job
+ * @param task number of the task
  */
 public record TaskKey(String job, int task) {
   @Override
--- a/src/main/java/mallowstall/core/model/TaskState.java
+++ b/src/main/java/mallowstall/core/model/TaskState.java
@@ -1,9 +1,11 @@
 package mallowstall.core.model;
 
-/** What a worker says of a task. */
+/** State of an attempt as its worker reports it. */
 public enum TaskState {
+  /** Its image is being fetched. */
   FETCHING,
   RUNNING,
+  /** Saves a checkpoint before it stops. */
   CHECKPOINTING,
   EXITED
 }
--- a/src/main/java/mallowstall/core/model/TaskStatus.java
+++ b/src/main/java/mallowstall/core/model/TaskStatus.java
@@ -1,6 +1,14 @@
 package mallowstall.core.model;
 
-/** One task as its owner knows it; {@code state} null: accepted, not yet seen on the machine. */
+/**
+ * A task in the status of its machine.
+ *
+ * @param job id of the job
+ * @param task number of the task
+ * @param attempt number of the attempt
+ * @param state state of the attempt; null: reserved, not yet in a heartbeat
+ * @param exitReason why it exited; null before
+ */
 public record TaskStatus(
     String job, int task, long attempt, TaskState state, ExitReason exitReason) {
   @Override
--- a/src/main/java/mallowstall/core/model/TeamUsageEntry.java
+++ b/src/main/java/mallowstall/core/model/TeamUsageEntry.java
@@ -1,4 +1,9 @@
 package mallowstall.core.model;
 
-/** What all running grants of a team add up to. */
+/**
+ * Sum of all quota reservations of a team.
+ *
+ * @param reservedCpus processors
+ * @param reservedGpus GPUs
+ */
 public record TeamUsageEntry(double reservedCpus, double reservedGpus) implements StoredEntry {}
