--- a/src/main/java/mallowstall/core/model/ExitReason.java
+++ b/src/main/java/mallowstall/core/model/ExitReason.java
@@ -8,10 +8,10 @@
   STOPPED,
   /** It failed, or for a reason that this version doesn't know. */
   ERROR,
-  /** The machine had too little free capacity to start it. */
+  /** Not started: the machine had too little free capacity. */
   INSUFFICIENT_CAPACITY,
-  /** The worker ran another attempt of the task. */
+  /** Not started: another attempt of the task is on the machine. */
   BUSY,
-  /** The worker doesn't know the attempt that it was to stop. */
+  /** Not started: there is no such job or task. */
   TASK_NOT_FOUND
 }
