--- a/src/main/java/mallowstall/core/package-info.java
+++ b/src/main/java/mallowstall/core/package-info.java
@@ -1,7 +1,7 @@
 /**
  * The scheduling core of one controller, without sockets. {@link mallowstall.core.ControllerCore}
- * creates the modules in the order of their layers, passes each incoming event to the module
- * concerned and owns no scheduling state itself.
+ * passes each incoming event to the module concerned and owns no scheduling state itself; the
+ * classes beside it create the modules, one class for each concern, in the order of the layers.
  *
  * <p>Everything below this package runs one event at a time on the caller's thread and does no I/O,
  * reads no clock and starts no thread: time comes in with {@code setTime}, requests leave through
