--- a/src/test/java/mallowstall/OneController.java
+++ b/src/test/java/mallowstall/OneController.java
@@ -22,9 +22,9 @@
 import mallowstall.core.kernel.TransactionResult;
 import mallowstall.core.kernel.WatchResult;
 import mallowstall.core.model.CoreSettings;
+import mallowstall.core.model.CoreSettingsBuilder;
 import mallowstall.core.model.MachineType;
 import mallowstall.core.model.PeerMessage;
-import mallowstall.core.model.ProgramVersion;
 import mallowstall.core.model.ScaleOutRequest;
 import mallowstall.core.model.StoredEntry;
 import mallowstall.core.model.Team;
@@ -55,23 +55,13 @@
   public OneController(List<String> peers, List<MachineType> types) {
     this.types = types;
     CoreSettings settings =
-        new CoreSettings(
-            "n1",
-            peers,
-            Map.of(),
-            Map.of("vision", new Team("vision", 0, 40, 0, 4)),
-            1_000,
-            10_000,
-            35_000,
-            25,
-            1_000,
-            500,
-            24,
-            16_384,
-            0.01,
-            10_000,
-            Map.of(),
-            ProgramVersion.CURRENT);
+        CoreSettingsBuilder.settingsOf("n1")
+            .peers(peers)
+            .teams(Map.of("vision", new Team("vision", 0, 40, 0, 4)))
+            .stateRates(1_000, 500)
+            .stateLimits(24, 16_384)
+            .cloud(0.01, 10_000)
+            .build();
     core = new ControllerCore(settings, this, Policies.bundled(), new Uncounted(), 7);
   }
 
--- a/src/test/java/mallowstall/core/CombinedFaultsTest.java
+++ b/src/test/java/mallowstall/core/CombinedFaultsTest.java
@@ -1,5 +1,6 @@
 package mallowstall.core;
 
+import static mallowstall.core.model.JobSpecBuilder.batchJob;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -33,10 +34,6 @@
   private static final String CANCELLED_JOB = "wk-000001";
   private static final String OTHER_JOB = "wk-000002";
 
-  private static JobSpec batchSpec(Simulation sim, String id, int tasks) {
-    return sim.batchSpec(id, tasks, 2, Priority.NORMAL, "free", false, false, true, null);
-  }
-
   /** Tasks of the job that run, by the controller that their machines report to. */
   private static Map<String, Integer> runningTasksByLeader(Simulation sim, String job) {
     Map<String, Integer> out = new TreeMap<>();
@@ -106,8 +103,8 @@
         Simulation sim = new Simulation(100 + seed);
         sim.taskRunMs = 400_000;
         sim.runUntil(8_000);
-        sim.submit(batchSpec(sim, CANCELLED_JOB, 8));
-        sim.submit(batchSpec(sim, OTHER_JOB, 6));
+        sim.submit(batchJob(CANCELLED_JOB).tasks(8).build());
+        sim.submit(batchJob(OTHER_JOB).tasks(6).build());
         sim.runUntil(16_000);
         assertEquals(8, sum(runningTasksByLeader(sim, CANCELLED_JOB)));
         SimulatedController leader =
@@ -242,7 +239,7 @@
         sim.stateService.entries.get(StateStore.SESSION_PREFIX + "n1");
     assertEquals(node.core.incarnation(), ((SessionEntry) now.value()).incarnation());
     assertTrue(sim.stateService.leases.containsKey(now.leaseId()));
-    sim.submit(batchSpec(sim, CANCELLED_JOB, 12));
+    sim.submit(batchJob(CANCELLED_JOB).tasks(12).build());
     sim.runUntil(sim.nowMs + 60_000);
     assertEquals(List.of(), sim.checker.violations);
     assertEquals("done", sim.checker.lastState(CANCELLED_JOB));
@@ -281,7 +278,7 @@
     SimulatedController slow = sim.controllers.get("n0");
     slow.stateDelayMs = 3_500;
     List<ApiResponse> responses = new ArrayList<>();
-    JobSpec spec = batchSpec(sim, CANCELLED_JOB, 4);
+    JobSpec spec = batchJob(CANCELLED_JOB).tasks(4).build();
     sim.checker.onSubmitted(spec);
     slow.enqueueEvent(() -> slow.core.submit(spec, responses::add));
     sim.runUntil(sim.nowMs + 400);
@@ -305,12 +302,12 @@
     Simulation sim = new Simulation(123);
     sim.taskRunMs = 100_000;
     sim.runUntil(8_000);
-    sim.submit(batchSpec(sim, CANCELLED_JOB, 4));
+    sim.submit(batchJob(CANCELLED_JOB).tasks(4).build());
     sim.runUntil(9_000);
     for (SimulatedController node : sim.controllers.values()) {
       for (String id : List.of(CANCELLED_JOB, "wk-000777")) {
         List<ApiResponse> responses = new ArrayList<>();
-        JobSpec never = sim.batchSpec(id, 1, 99, Priority.NORMAL, "free", false, false, true, null);
+        JobSpec never = batchJob(id).tasks(1).cpus(99).build();
         node.enqueueEvent(() -> node.core.submit(never, responses::add));
         sim.runUntil(sim.nowMs + 1_000);
         node.enqueueEvent(
@@ -347,7 +344,7 @@
       Simulation sim = new Simulation(124);
       sim.taskRunMs = 100_000;
       sim.runUntil(8_000);
-      sim.submit(batchSpec(sim, CANCELLED_JOB, 4));
+      sim.submit(batchJob(CANCELLED_JOB).tasks(4).build());
       sim.runUntil(12_000);
       SimulatedController slow = sim.controllers.get("n0");
       slow.stateDelayMs = lag;
@@ -379,7 +376,7 @@
     for (long seed = 0; seed < 12; seed++) {
       Simulation sim = new Simulation(140 + seed);
       sim.runUntil(8_000);
-      sim.submit(batchSpec(sim, CANCELLED_JOB, 12));
+      sim.submit(batchJob(CANCELLED_JOB).tasks(12).build());
       long until = sim.nowMs + 3_000;
       while (sim.nowMs < until && sum(runningTasksByLeader(sim, CANCELLED_JOB)) < 8) {
         sim.runUntil(sim.nowMs + 20);
@@ -410,7 +407,7 @@
       boolean inject(Simulation sim) {
         sim.cancelAtEndRate = 0.5;
         for (int i = 10; i < 40; i++) {
-          sim.submit(batchSpec(sim, "wk-0000" + i, 1 + i % 3));
+          sim.submit(batchJob("wk-0000" + i).tasks(1 + i % 3).build());
         }
         for (int i = 0; i < 400; i++) {
           sim.schedule(
@@ -540,8 +537,7 @@
         sim.statusUpdateFaultRate = 0.3;
         for (int i = 10; i < 50; i++) {
           Priority priority = Priority.values()[i % 4];
-          sim.submit(
-              sim.batchSpec("wk-0000" + i, 4, 2, priority, "free", false, false, true, null));
+          sim.submit(batchJob("wk-0000" + i).tasks(4).priority(priority).build());
         }
         sim.runUntil(sim.nowMs + 40_000);
         long open =
@@ -580,7 +576,7 @@
         sim.runUntil(sim.nowMs + 30_000);
         for (int i = 10; i < 40; i++) {
           String id = "wk-0000" + i;
-          sim.schedule(i * 1_000L, () -> sim.submit(batchSpec(sim, id, 4)));
+          sim.schedule(i * 1_000L, () -> sim.submit(batchJob(id).tasks(4).build()));
         }
         for (int i = 0; i < 20; i++) {
           sim.schedule(
@@ -623,9 +619,7 @@
       boolean inject(Simulation sim) {
         sim.delayedTransactionRate = 0.3;
         for (int i = 10; i < 20; i++) {
-          sim.submit(
-              sim.batchSpec(
-                  "wk-0000" + i, 4, 2, Priority.NORMAL, "tight", false, false, true, null));
+          sim.submit(batchJob("wk-0000" + i).tasks(4).team("tight").build());
         }
         for (int i = 0; i < 4; i++) {
           sim.runUntil(sim.nowMs + 8_000);
@@ -646,7 +640,7 @@
           for (int t = 0; t < 3; t++) {
             sim.taskRunMsByTask.put(id + "/" + t, 2_000L + t * 30_000L);
           }
-          sim.submit(batchSpec(sim, id, 2 + j % 2));
+          sim.submit(batchJob(id).tasks(2 + j % 2).build());
         }
         sim.runUntil(sim.nowMs + 24_000);
         boolean between = false;
@@ -667,12 +661,9 @@
     ONE_ZONE_LOSES_MACHINES {
       @Override
       boolean inject(Simulation sim) {
-        sim.submit(
-            sim.batchSpec("wk-000010", 6, 2, Priority.NORMAL, "free", false, false, true, "a"));
-        sim.submit(
-            sim.batchSpec("wk-000011", 6, 2, Priority.NORMAL, "free", true, false, true, null));
-        sim.submit(
-            sim.batchSpec("wk-000012", 5, 2, Priority.NORMAL, "free", false, true, true, null));
+        sim.submit(batchJob("wk-000010").tasks(6).zone("a").build());
+        sim.submit(batchJob("wk-000011").tasks(6).singleZone(true).build());
+        sim.submit(batchJob("wk-000012").tasks(5).spread(true).build());
         sim.runUntil(sim.nowMs + 6_000);
         int lost = 0;
         for (SimulatedWorker worker : List.copyOf(sim.workers.values())) {
@@ -778,16 +769,7 @@
       sim.runUntil(8_000);
       for (int i = 1; i <= 6; i++) {
         sim.submit(
-            sim.batchSpec(
-                "wk-00000" + i,
-                i > 4 ? 9 : 4,
-                2,
-                Priority.NORMAL,
-                i > 4 ? "tight" : "free",
-                false,
-                false,
-                true,
-                null));
+            batchJob("wk-00000" + i).tasks(i > 4 ? 9 : 4).team(i > 4 ? "tight" : "free").build());
       }
       sim.runUntil(18_000);
       assertTrue(sim.checker.startCount > 8, "work is under way");
--- a/src/test/java/mallowstall/core/FaultSafetyTest.java
+++ b/src/test/java/mallowstall/core/FaultSafetyTest.java
@@ -1,8 +1,8 @@
 package mallowstall.core;
 
 import static mallowstall.core.SafetyTestSupport.assertFinished;
-import static mallowstall.core.SafetyTestSupport.batchSpec;
 import static mallowstall.core.SafetyTestSupport.leaderOf;
+import static mallowstall.core.model.JobSpecBuilder.batchJob;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -42,7 +42,7 @@
     sim.runUntil(6_000);
     sim.delayAllCommands =
         true; // every direct command is executed up to 20 s late, its answer is lost
-    sim.submit(batchSpec(sim, "wk-000001", 12, "free"));
+    sim.submit(batchJob("wk-000001").tasks(12).build());
     sim.runUntil(25_000);
     sim.delayAllCommands = false;
     sim.runUntil(120_000);
@@ -54,7 +54,7 @@
   void delayedTransactionUndoesNothing() {
     Simulation sim = new Simulation(32);
     sim.runUntil(6_000);
-    sim.submit(batchSpec(sim, "wk-000001", 6, "tight"));
+    sim.submit(batchJob("wk-000001").tasks(6).team("tight").build());
     sim.runUntil(7_000);
     JobEntry before = sim.jobEntry("wk-000001");
     long version = sim.stateService.entries.get(StateStore.JOB_PREFIX + "wk-000001").version();
@@ -76,7 +76,7 @@
     for (int after = 1; after < 60; after += 7) {
       Simulation sim = new Simulation(33);
       sim.runUntil(6_000);
-      sim.submit(batchSpec(sim, "wk-000001", 10, "free"));
+      sim.submit(batchJob("wk-000001").tasks(10).build());
       while (!sim.stateService.entries.containsKey(StateStore.JOB_PREFIX + "wk-000001")) {
         sim.runUntil(sim.nowMs + 1);
       }
@@ -92,7 +92,7 @@
     Simulation sim = new Simulation(34);
     sim.runUntil(6_000);
     for (int i = 0; i < 8; i++) {
-      sim.submit(batchSpec(sim, "wk-00000" + i, 6, i % 2 == 0 ? "free" : "tight"));
+      sim.submit(batchJob("wk-00000" + i).tasks(6).team(i % 2 == 0 ? "free" : "tight").build());
     }
     for (int i = 0; i < 12; i++) {
       sim.runUntil(sim.nowMs + 900);
@@ -108,7 +108,7 @@
   void controllerWithoutStateServiceLosesJobsSafely() {
     Simulation sim = new Simulation(35);
     sim.runUntil(6_000);
-    sim.submit(batchSpec(sim, "wk-000001", 30, "free"));
+    sim.submit(batchJob("wk-000001").tasks(30).build());
     sim.runUntil(8_000);
     SimulatedController node = leaderOf(sim, "wk-000001");
     node.stateServiceUnreachable = true;
@@ -128,7 +128,7 @@
   void controllerWithoutPeersKeepsInvariants() {
     Simulation sim = new Simulation(36);
     sim.runUntil(6_000);
-    sim.submit(batchSpec(sim, "wk-000001", 30, "free"));
+    sim.submit(batchJob("wk-000001").tasks(30).build());
     sim.runUntil(8_000);
     SimulatedController node = leaderOf(sim, "wk-000001");
     for (SimulatedController controller : sim.controllers.values()) {
@@ -148,7 +148,7 @@
   void outageLongerThanLeaseKeepsTasksRunning() {
     Simulation sim = new Simulation(37);
     sim.runUntil(6_000);
-    sim.submit(batchSpec(sim, "wk-000001", 8, "free"));
+    sim.submit(batchJob("wk-000001").tasks(8).build());
     sim.runUntil(8_000);
     sim.stateService.outage = true;
     sim.runUntil(48_000);
@@ -164,7 +164,7 @@
   void allControllersCrashTogether() {
     Simulation sim = new Simulation(38);
     sim.runUntil(6_000);
-    sim.submit(batchSpec(sim, "wk-000001", 20, "tight"));
+    sim.submit(batchJob("wk-000001").tasks(20).team("tight").build());
     sim.runUntil(9_000);
     sim.crashAll(4_000);
     sim.runUntil(150_000);
@@ -176,7 +176,7 @@
     for (int after = 0; after < 40; after += 5) {
       Simulation sim = new Simulation(39);
       sim.runUntil(6_000);
-      sim.submit(batchSpec(sim, "wk-000001", 12, "tight"));
+      sim.submit(batchJob("wk-000001").tasks(12).team("tight").build());
       while (!sim.stateService.entries.containsKey(StateStore.JOB_PREFIX + "wk-000001")) {
         sim.runUntil(sim.nowMs + 1);
       }
@@ -197,7 +197,7 @@
     Simulation sim = new Simulation(40);
     sim.runUntil(6_000);
     for (int i = 0; i < 9; i++) {
-      sim.submit(batchSpec(sim, "wk-00000" + i, 9, "tight"));
+      sim.submit(batchJob("wk-00000" + i).tasks(9).team("tight").build());
     }
     sim.runUntil(250_000);
     for (int i = 0; i < 9; i++) {
@@ -221,7 +221,7 @@
       Simulation sim = new Simulation(51);
       sim.taskRunMs = 25_000;
       sim.runUntil(8_000);
-      sim.submit(batchSpec(sim, "wk-000001", 14, "free"));
+      sim.submit(batchJob("wk-000001").tasks(14).build());
       sim.runUntil(14_000);
       SimulatedController claimant = sim.controllers.get(name);
       if (claimant == leaderOf(sim, "wk-000001")) {
@@ -281,7 +281,7 @@
     Simulation sim = new Simulation(65);
     sim.runUntil(8_000);
     for (int i = 0; i < 6; i++) {
-      sim.submit(batchSpec(sim, "wk-00000" + i, 30, "free"));
+      sim.submit(batchJob("wk-00000" + i).tasks(30).build());
     }
     sim.runUntil(14_000);
     sim.partitionPeers();
@@ -308,7 +308,7 @@
     Simulation sim = new Simulation(66);
     sim.runUntil(8_000);
     for (int i = 0; i < 6; i++) {
-      sim.submit(batchSpec(sim, "wk-00000" + i, 6, "tight"));
+      sim.submit(batchJob("wk-00000" + i).tasks(6).team("tight").build());
     }
     sim.runUntil(12_000);
     sim.stateService.outage = true;
@@ -405,7 +405,7 @@
     sim.taskRunMs = 3_000;
     sim.runUntil(8_000);
     for (int i = 0; i < 9; i++) {
-      sim.submit(batchSpec(sim, "wk-00000" + i, 8, "tight"));
+      sim.submit(batchJob("wk-00000" + i).tasks(8).team("tight").build());
     }
     sim.runUntil(9_500);
     SimulatedController node = leaderOf(sim, "wk-000004");
@@ -428,7 +428,7 @@
   void staleReadsAreNotReported() {
     Simulation sim = new Simulation(93);
     sim.runUntil(8_000);
-    sim.submit(batchSpec(sim, "wk-000001", 4, "free"));
+    sim.submit(batchJob("wk-000001").tasks(4).build());
     sim.runUntil(9_000);
     SimulatedController node = sim.controllers.get("n1");
     for (long lag : new long[] {200, 1_200, 2_500}) {
@@ -450,7 +450,7 @@
       Simulation sim = new Simulation(92);
       sim.taskRunMs = 60_000;
       sim.runUntil(8_000);
-      sim.submit(batchSpec(sim, "wk-000001", 1, "tight"));
+      sim.submit(batchJob("wk-000001").tasks(1).team("tight").build());
       sim.runUntil(13_000);
       SimulatedController node = leaderOf(sim, "wk-000001");
       long attempt = 0;
@@ -480,7 +480,7 @@
     Simulation sim = new Simulation(90);
     sim.runUntil(8_000);
     for (int i = 0; i < 4; i++) {
-      sim.submit(batchSpec(sim, "wk-00000" + i, 8, "tight"));
+      sim.submit(batchJob("wk-00000" + i).tasks(8).team("tight").build());
     }
     sim.runUntil(10_000);
     sim.partitionZone("b");
@@ -489,8 +489,7 @@
     sim.runUntil(24_000);
     List<JobSpec> outside = new ArrayList<>();
     for (int i = 4; i < 8; i++) {
-      outside.add(
-          sim.batchSpec("wk-00000" + i, 4, 2, Priority.HIGH, "free", false, false, true, "a"));
+      outside.add(batchJob("wk-00000" + i).tasks(4).priority(Priority.HIGH).zone("a").build());
       sim.submit(outside.get(outside.size() - 1));
     }
     sim.runUntil(55_000);
@@ -517,7 +516,7 @@
   void sessionExpiryBetweenFailoverAndRebuildLosesNoJob() {
     Simulation sim = new Simulation(72);
     sim.runUntil(8_000);
-    sim.submit(batchSpec(sim, "wk-000001", 40, "free"));
+    sim.submit(batchJob("wk-000001").tasks(40).build());
     sim.runUntil(12_000);
     SimulatedController node = leaderOf(sim, "wk-000001");
     node.crash(60_000);
@@ -538,7 +537,7 @@
     Simulation sim = new Simulation(73);
     sim.runUntil(8_000);
     for (int i = 0; i < 8; i++) {
-      sim.submit(batchSpec(sim, "wk-00000" + i, 8, "tight"));
+      sim.submit(batchJob("wk-00000" + i).tasks(8).team("tight").build());
     }
     sim.runUntil(12_000);
     SimulatedController node = leaderOf(sim, "wk-000001");
@@ -570,7 +569,7 @@
       sim.messageLossRate = 0.03;
       sim.runUntil(8_000);
       for (int i = 0; i < 6; i++) {
-        sim.submit(batchSpec(sim, "wk-00000" + i, 8, "tight"));
+        sim.submit(batchJob("wk-00000" + i).tasks(8).team("tight").build());
       }
       sim.runUntil(12_000);
       for (int i = 0; i < 5; i++) {
--- a/src/test/java/mallowstall/core/MachineLeadershipTest.java
+++ b/src/test/java/mallowstall/core/MachineLeadershipTest.java
@@ -2,8 +2,8 @@
 
 import static mallowstall.core.SafetyTestSupport.assertFinished;
 import static mallowstall.core.SafetyTestSupport.awaitRecovery;
-import static mallowstall.core.SafetyTestSupport.batchSpec;
 import static mallowstall.core.SafetyTestSupport.leaderOf;
+import static mallowstall.core.model.JobSpecBuilder.batchJob;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -50,7 +50,7 @@
   void machineThatDiesWithItsLeaderDelaysFailoverBriefly() {
     Simulation sim = new Simulation(44);
     sim.runUntil(8_000);
-    sim.submit(batchSpec(sim, "wk-000001", 60, "free"));
+    sim.submit(batchJob("wk-000001").tasks(60).build());
     sim.runUntil(12_000);
     SimulatedController node = leaderOf(sim, "wk-000001");
     String dead = null;
@@ -111,7 +111,7 @@
     Simulation sim = new Simulation(61);
     sim.taskRunMs = 14_000;
     sim.runUntil(8_000);
-    sim.submit(batchSpec(sim, "wk-000001", 12, "free"));
+    sim.submit(batchJob("wk-000001").tasks(12).build());
     sim.runUntil(11_000);
     SimulatedWorker worker = null;
     for (SimulatedWorker candidate : sim.workers.values()) {
@@ -133,7 +133,7 @@
     assertFinished(sim, "wk-000001");
     // whether it was replaced meanwhile or not, a machine that hears again serves again
     worker.inboundBlocked = false;
-    sim.submit(batchSpec(sim, "wk-000002", 30, "free"));
+    sim.submit(batchJob("wk-000002").tasks(30).build());
     sim.runUntil(200_000);
     assertFinished(sim, "wk-000002");
   }
@@ -144,7 +144,7 @@
     Simulation sim = new Simulation(62);
     sim.taskRunMs = 100_000;
     sim.runUntil(8_000);
-    sim.submit(batchSpec(sim, "wk-000001", 12, "free"));
+    sim.submit(batchJob("wk-000001").tasks(12).build());
     sim.runUntil(12_000);
     for (SimulatedWorker worker : sim.workers.values()) {
       worker.inboundBlocked = true;
@@ -241,7 +241,7 @@
     Simulation sim = new Simulation(64);
     sim.taskRunMs = 60_000;
     sim.runUntil(8_000);
-    sim.submit(batchSpec(sim, "wk-000001", 40, "free"));
+    sim.submit(batchJob("wk-000001").tasks(40).build());
     sim.runUntil(14_000);
     SimulatedController node = leaderOf(sim, "wk-000001");
     sim.isolate(node);
@@ -277,7 +277,7 @@
     }
     long registrations = registrationsSince(sim, before);
     assertTrue(registrations < 150, "changes for 304 machines: " + registrations);
-    sim.submit(batchSpec(sim, "wk-000001", 40, "free"));
+    sim.submit(batchJob("wk-000001").tasks(40).build());
     sim.runUntil(90_000);
     assertFinished(sim, "wk-000001");
   }
@@ -293,7 +293,7 @@
     sim.addMachines(1_462);
     sim.runUntil(20_000);
     for (int i = 0; i < 6; i++) {
-      sim.submit(batchSpec(sim, "wk-00000" + i, 700, "free"));
+      sim.submit(batchJob("wk-00000" + i).tasks(700).build());
     }
     sim.runUntil(24_000);
     long before = sim.stateService.revision;
@@ -450,7 +450,7 @@
     Simulation sim = new Simulation(79);
     sim.taskRunMs = 60_000;
     sim.runUntil(8_000);
-    sim.submit(batchSpec(sim, "wk-000001", 16, "free"));
+    sim.submit(batchJob("wk-000001").tasks(16).build());
     sim.runUntil(12_000);
     SimulatedWorker worker = null;
     for (SimulatedWorker candidate : sim.workers.values()) {
@@ -503,7 +503,7 @@
   void imagesStayKnownAfterLeaderChange() {
     Simulation sim = new Simulation(93);
     sim.runUntil(6_000);
-    sim.submit(batchSpec(sim, "wk-000001", 16, "free"));
+    sim.submit(batchJob("wk-000001").tasks(16).build());
     sim.runUntil(30_000);
     assertFinished(sim, "wk-000001");
     SimulatedController ends = sim.controllers.get("n0");
--- a/src/test/java/mallowstall/core/RandomFaults.java
+++ b/src/test/java/mallowstall/core/RandomFaults.java
@@ -1,5 +1,7 @@
 package mallowstall.core;
 
+import static mallowstall.core.model.JobSpecBuilder.batchJob;
+
 import java.util.List;
 import mallowstall.core.model.Priority;
 
@@ -25,16 +27,16 @@
             boolean spread = !oneZone && sim.random.nextInt(5) == 0;
             String zone = sim.random.nextInt(8) == 0 ? "a" : null;
             sim.submit(
-                sim.batchSpec(
-                    id,
-                    1 + sim.random.nextInt(9),
-                    1 + sim.random.nextInt(4),
-                    priority,
-                    sim.random.nextBoolean() ? "free" : "tight",
-                    oneZone,
-                    spread && zone == null,
-                    sim.random.nextInt(3) > 0,
-                    zone));
+                batchJob(id)
+                    .tasks(1 + sim.random.nextInt(9))
+                    .cpus(1 + sim.random.nextInt(4))
+                    .priority(priority)
+                    .team(sim.random.nextBoolean() ? "free" : "tight")
+                    .singleZone(oneZone)
+                    .spread(spread && zone == null)
+                    .spot(sim.random.nextInt(3) > 0)
+                    .zone(zone)
+                    .build());
             if (sim.random.nextInt(5) == 0) {
               sim.schedule(1_000 + sim.random.nextInt(15_000), () -> sim.cancel(id));
             }
--- a/src/test/java/mallowstall/core/RandomizedSimulationTest.java
+++ b/src/test/java/mallowstall/core/RandomizedSimulationTest.java
@@ -1,5 +1,6 @@
 package mallowstall.core;
 
+import static mallowstall.core.model.JobSpecBuilder.batchJob;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,7 +13,6 @@
 import java.util.concurrent.atomic.AtomicLong;
 import mallowstall.core.model.CommandKind;
 import mallowstall.core.model.JobSpec;
-import mallowstall.core.model.Priority;
 import mallowstall.core.model.ProgramVersion;
 import mallowstall.core.model.WorkerCommand;
 import org.junit.jupiter.api.AfterAll;
@@ -189,8 +189,7 @@
   void checkerDetectsUnansweredJob() {
     Simulation sim = new Simulation(6);
     InvariantChecker rules = new InvariantChecker(sim.teams, 1_000);
-    rules.onSubmitted(
-        sim.batchSpec("wk-000003", 1, 4, Priority.NORMAL, "free", false, false, false, null));
+    rules.onSubmitted(batchJob("wk-000003").tasks(1).cpus(4).spot(false).build());
     rules.faultsEndedMs = 10_000;
     rules.onAnswer(9_000, "wk-000003", 201, "pending");
     rules.onAnswer(60_000, "wk-000003", 503, null);
@@ -206,7 +205,7 @@
     Simulation sim = new Simulation(5);
     sim.runUntil(5_000);
     JobSpec spec =
-        sim.batchSpec("wk-000001", 2, 4, Priority.NORMAL, "tight", true, false, false, null);
+        batchJob("wk-000001").tasks(2).cpus(4).team("tight").singleZone(true).spot(false).build();
     sim.checker.onSubmitted(spec);
     List<SimulatedWorker> workers = List.copyOf(sim.workers.values());
     WorkerCommand run = new WorkerCommand(CommandKind.START, "wk-000001", 0, 1, 0);
@@ -220,8 +219,7 @@
         sim.checker.violations.stream().anyMatch(b -> b.contains("wrong_place")),
         sim.checker.violations.toString());
     InvariantChecker rules = new InvariantChecker(sim.teams, 1_000);
-    rules.onSubmitted(
-        sim.batchSpec("wk-000002", 9, 4, Priority.NORMAL, "tight", false, false, false, null));
+    rules.onSubmitted(batchJob("wk-000002").tasks(9).cpus(4).team("tight").spot(false).build());
     for (int i = 0; i < 7; i++) {
       rules.onStarted(
           1, new InvariantChecker.RunningTask("m" + i, "wk-000002", i, "t8", "a", false));
@@ -253,7 +251,7 @@
     Simulation sim = new Simulation(7);
     InvariantChecker rules = new InvariantChecker(sim.teams, 1_000);
     rules.onSubmitted(
-        sim.batchSpec("wk-000004", 2, 4, Priority.NORMAL, "tight", false, false, false, "a"));
+        batchJob("wk-000004").tasks(2).cpus(4).team("tight").spot(false).zone("a").build());
     rules.onAnswer(1, "wk-000004", 201, "pending");
     rules.faultsEndedMs = 1_000;
     rules.onMachineUp(new InvariantChecker.Machine("m1", "t8", "b", false, 8)); // not allowed
@@ -311,8 +309,7 @@
     Simulation sim = new Simulation(8);
     sim.taskRunMs = 20_000;
     sim.runUntil(5_000);
-    sim.checker.onSubmitted(
-        sim.batchSpec("wk-000005", 2, 4, Priority.NORMAL, "free", false, false, false, null));
+    sim.checker.onSubmitted(batchJob("wk-000005").tasks(2).cpus(4).spot(false).build());
     List<SimulatedWorker> workers = List.copyOf(sim.workers.values());
     SimulatedWorker brieflyPaused = workers.get(0);
     SimulatedWorker longPaused = workers.get(1);
--- a/src/test/java/mallowstall/core/RandomizedUpgradeTest.java
+++ b/src/test/java/mallowstall/core/RandomizedUpgradeTest.java
@@ -1,5 +1,6 @@
 package mallowstall.core;
 
+import static mallowstall.core.model.JobSpecBuilder.service;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -266,16 +267,16 @@
     boolean oneZone = sim.random.nextInt(5) == 0;
     boolean spread = !oneZone && sim.random.nextInt(4) == 0;
     String zone = !oneZone && !spread && sim.random.nextInt(6) == 0 ? "a" : null;
-    return sim.serviceSpec(
-        id,
-        1 + sim.random.nextInt(5),
-        1 + sim.random.nextInt(3),
-        Priority.values()[sim.random.nextInt(4)],
-        sim.random.nextInt(3) == 0 ? "tight" : "free",
-        oneZone,
-        spread,
-        sim.random.nextInt(3) > 0,
-        zone);
+    return service(id)
+        .tasks(1 + sim.random.nextInt(5))
+        .cpus(1 + sim.random.nextInt(3))
+        .priority(Priority.values()[sim.random.nextInt(4)])
+        .team(sim.random.nextInt(3) == 0 ? "tight" : "free")
+        .singleZone(oneZone)
+        .spread(spread)
+        .spot(sim.random.nextInt(3) > 0)
+        .zone(zone)
+        .build();
   }
 
   private static void submit(Simulation sim, JobSpec service) {
--- a/src/test/java/mallowstall/core/SafetyTestSupport.java
+++ b/src/test/java/mallowstall/core/SafetyTestSupport.java
@@ -4,18 +4,12 @@
 
 import java.util.List;
 import mallowstall.core.model.JobEntry;
-import mallowstall.core.model.JobSpec;
 import mallowstall.core.model.MachineEntry;
-import mallowstall.core.model.Priority;
 
 /** What the tests of single cases share. */
 final class SafetyTestSupport {
   private SafetyTestSupport() {}
 
-  static JobSpec batchSpec(Simulation sim, String id, int tasks, String team) {
-    return sim.batchSpec(id, tasks, 2, Priority.NORMAL, team, false, false, true, null);
-  }
-
   static SimulatedController leaderOf(Simulation sim, String id) {
     return sim.controllers.get(sim.jobEntry(id).leader());
   }
--- a/src/test/java/mallowstall/core/SchedulingProgressTest.java
+++ b/src/test/java/mallowstall/core/SchedulingProgressTest.java
@@ -2,6 +2,7 @@
 
 import static mallowstall.core.SafetyTestSupport.assertFinished;
 import static mallowstall.core.SafetyTestSupport.leaderOf;
+import static mallowstall.core.model.JobSpecBuilder.batchJob;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -9,8 +10,6 @@
 import java.util.List;
 import java.util.Set;
 import mallowstall.core.model.JobEntry;
-import mallowstall.core.model.JobKind;
-import mallowstall.core.model.JobSpec;
 import mallowstall.core.model.Priority;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -33,7 +32,7 @@
     }
     sim.addMachine("t8", "a", true, 0);
     sim.runUntil(60_000);
-    sim.submit(sim.batchSpec("wk-000001", 2, 2, Priority.NORMAL, "free", false, false, false, "a"));
+    sim.submit(batchJob("wk-000001").tasks(2).spot(false).zone("a").build());
     sim.runUntil(150_000);
     assertFinished(sim, "wk-000001");
   }
@@ -63,12 +62,11 @@
       String id = String.format("wk-1%05d", i);
       sim.schedule(
           i * 700L,
-          () ->
-              sim.submit(sim.batchSpec(id, 4, 4, Priority.HIGH, "free", false, false, true, null)));
+          () -> sim.submit(batchJob(id).tasks(4).cpus(4).priority(Priority.HIGH).build()));
     }
     sim.runUntil(30_000);
-    sim.submit(sim.batchSpec("wk-000001", 40, 4, Priority.NORMAL, "free", true, false, true, null));
-    sim.submit(sim.batchSpec("wk-000002", 40, 4, Priority.LOW, "free", false, true, true, null));
+    sim.submit(batchJob("wk-000001").tasks(40).cpus(4).singleZone(true).build());
+    sim.submit(batchJob("wk-000002").tasks(40).cpus(4).priority(Priority.LOW).spread(true).build());
     Set<String> startedJobs = new HashSet<>();
     while (sim.nowMs < 230_000) {
       sim.runUntil(sim.nowMs + 5_000);
@@ -88,11 +86,9 @@
     Simulation sim = new Simulation(71);
     sim.taskRunMs = 8_000;
     sim.runUntil(8_000);
-    sim.submit(
-        sim.batchSpec("wk-000001", 400, 2, Priority.HIGH, "tight", false, false, true, null));
+    sim.submit(batchJob("wk-000001").tasks(400).priority(Priority.HIGH).team("tight").build());
     sim.runUntil(15_000);
-    sim.submit(
-        sim.batchSpec("wk-000002", 10, 2, Priority.NORMAL, "tight", false, false, true, null));
+    sim.submit(batchJob("wk-000002").tasks(10).team("tight").build());
     sim.runUntil(180_000);
     assertTrue(
         sim.jobEntry("wk-000001").completedTaskCount() < 400, "there is more to do than can be");
@@ -110,27 +106,14 @@
       Simulation sim = new Simulation(76);
       sim.runUntil(8_000);
       sim.submit(
-          new JobSpec(
-              "wk-000001",
-              "c",
-              "free",
-              Priority.NORMAL,
-              20,
-              4,
-              0,
-              1,
-              "i",
-              1,
-              null,
-              null,
-              false,
-              false,
-              true,
-              30,
-              0,
-              0,
-              deadline,
-              JobKind.BATCH));
+          batchJob("wk-000001")
+              .jobClass("c")
+              .tasks(20)
+              .cpus(4)
+              .image("i")
+              .estimatedRunS(30)
+              .deadlineS(deadline)
+              .build());
       sim.runUntil(13_000);
       int machines = sim.workers.size();
       if (deadline == 72) {
@@ -146,8 +129,7 @@
   void jobOfHundredThousandTasksIsPlacedAsOne() {
     Simulation sim = new Simulation(43);
     sim.runUntil(6_000);
-    sim.submit(
-        sim.batchSpec("wk-000001", 100_000, 1, Priority.NORMAL, "free", false, false, true, null));
+    sim.submit(batchJob("wk-000001").tasks(100_000).cpus(1).build());
     sim.policyEvaluations = 0;
     long rounds = sim.ticks;
     sim.runUntil(30_000);
--- a/src/test/java/mallowstall/core/ServiceInvariantsTest.java
+++ b/src/test/java/mallowstall/core/ServiceInvariantsTest.java
@@ -1,5 +1,6 @@
 package mallowstall.core;
 
+import static mallowstall.core.model.JobSpecBuilder.service;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -7,7 +8,6 @@
 import mallowstall.core.model.CommandKind;
 import mallowstall.core.model.ExitReason;
 import mallowstall.core.model.JobSpec;
-import mallowstall.core.model.Priority;
 import mallowstall.core.model.WorkerCommand;
 import org.junit.jupiter.api.Test;
 
@@ -25,8 +25,7 @@
   }
 
   private static JobSpec serviceSpec(int replicas, String team) {
-    return new Simulation(5)
-        .serviceSpec(SERVICE, replicas, 4, Priority.NORMAL, team, false, false, true, null);
+    return service(SERVICE).tasks(replicas).cpus(4).team(team).build();
   }
 
   private static InvariantChecker.Machine machine(String id, String zone) {
@@ -95,9 +94,7 @@
     rules.check(1_006);
     assertTrue(rules.violations.get(0).contains("ran_cancelled"), rules.violations.toString());
     InvariantChecker placed =
-        checkerFor(
-            new Simulation(5)
-                .serviceSpec(SERVICE, 3, 1, Priority.NORMAL, "free", false, false, false, "b"));
+        checkerFor(service(SERVICE).tasks(3).cpus(1).spot(false).zone("b").build());
     placed.onStarted(2, replicaOn(machine("m1", "a"), 0));
     assertViolation(placed, "wrong_place");
   }
@@ -160,9 +157,7 @@
     checkPastTimeout(atLimit, FAULTS_ENDED_MS);
     assertEquals(List.of(), atLimit.violations, "the team is at its limit");
 
-    JobSpec pinned =
-        new Simulation(5)
-            .serviceSpec(SERVICE, 1, 4, Priority.NORMAL, "free", false, false, false, "b");
+    JobSpec pinned = service(SERVICE).tasks(1).cpus(4).spot(false).zone("b").build();
     InvariantChecker elsewhere = checkerFor(pinned);
     elsewhere.onMachineUp(machine("m1", "a"));
     elsewhere.onMachineUp(new InvariantChecker.Machine("m2", "t8", "b", true, 8));
@@ -175,12 +170,8 @@
 
   @Test
   void capacityCountsOnlyInAllowedZones() {
-    JobSpec oneZone =
-        new Simulation(5)
-            .serviceSpec(SERVICE, 2, 8, Priority.NORMAL, "free", true, false, true, null);
-    JobSpec spread =
-        new Simulation(5)
-            .serviceSpec(SERVICE, 2, 8, Priority.NORMAL, "free", false, true, true, null);
+    JobSpec oneZone = service(SERVICE).tasks(2).cpus(8).singleZone(true).build();
+    JobSpec spread = service(SERVICE).tasks(2).cpus(8).spread(true).build();
     for (JobSpec service : List.of(oneZone, spread)) {
       String allowed = service.singleZone() ? "a" : "b";
       String forbidden = service.singleZone() ? "b" : "a";
--- a/src/test/java/mallowstall/core/SimulatedController.java
+++ b/src/test/java/mallowstall/core/SimulatedController.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
+import java.util.function.Supplier;
 import mallowstall.Constants;
 import mallowstall.core.kernel.CommandResult;
 import mallowstall.core.kernel.Effects;
@@ -21,7 +22,7 @@
 import mallowstall.core.kernel.TransactionResult;
 import mallowstall.core.kernel.WatchResult;
 import mallowstall.core.kv.StateStore;
-import mallowstall.core.model.CoreSettings;
+import mallowstall.core.model.CoreSettingsBuilder;
 import mallowstall.core.model.JobEntry;
 import mallowstall.core.model.JobOutcome;
 import mallowstall.core.model.ListedMachine;
@@ -125,23 +126,17 @@
     peers.remove(name);
     core =
         new ControllerCore(
-            new CoreSettings(
-                name,
-                peers,
-                Simulation.ZONE_BY_NODE,
-                simulation.teams,
-                Simulation.HEARTBEAT_MS,
-                Simulation.LEASE_MS,
-                Simulation.CANCEL_MS,
-                25,
-                300,
-                simulation.controllerLimits.changesPerSecond(),
-                simulation.controllerLimits.txnOps(),
-                simulation.controllerLimits.valueBytes(),
-                5,
-                2_000,
-                Map.of(),
-                runningVersion),
+            CoreSettingsBuilder.settingsOf(name)
+                .peers(peers)
+                .nodeZones(Simulation.ZONE_BY_NODE)
+                .teams(simulation.teams)
+                .timesMs(Simulation.HEARTBEAT_MS, Simulation.LEASE_MS, Simulation.CANCEL_MS)
+                .stateRates(300, simulation.controllerLimits.changesPerSecond())
+                .stateLimits(
+                    simulation.controllerLimits.txnOps(), simulation.controllerLimits.valueBytes())
+                .cloud(5, 2_000)
+                .programVersion(runningVersion)
+                .build(),
             simulation.recorder.effects(this, this),
             c -> new Simulation.TestPolicy(c, () -> simulation.policyEvaluations++),
             new Metrics() {
@@ -380,8 +375,7 @@
         });
   }
 
-  private <T> void callStateService(
-      java.util.function.Supplier<T> exec, T refused, T unknown, Consumer<T> then) {
+  private <T> void callStateService(Supplier<T> exec, T refused, T unknown, Consumer<T> then) {
     if (sendDelayMs > 0) {
       // executed when it wakes, with the answer long given up on
       simulation.schedule(sendDelayMs, exec::get);
@@ -421,7 +415,7 @@
   }
 
   /** Executed at some moment of the delay; what takes too long is given up on. */
-  private <T> void callSlowly(java.util.function.Supplier<T> exec, T unknown, Consumer<T> then) {
+  private <T> void callSlowly(Supplier<T> exec, T unknown, Consumer<T> then) {
     simulation.countFault("slowState");
     int totalDelayMs = randomSlowDelayMs();
     int startedProcess = processNumber;
--- a/src/test/java/mallowstall/core/Simulation.java
+++ b/src/test/java/mallowstall/core/Simulation.java
@@ -1,5 +1,8 @@
 package mallowstall.core;
 
+import static mallowstall.core.model.JobSpecBuilder.batchJob;
+import static mallowstall.core.model.JobSpecBuilder.service;
+
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.HashMap;
@@ -18,10 +21,10 @@
 import mallowstall.core.model.JobEntry;
 import mallowstall.core.model.JobKind;
 import mallowstall.core.model.JobSpec;
+import mallowstall.core.model.JobSpecBuilder;
 import mallowstall.core.model.MachineEntry;
 import mallowstall.core.model.MachineGroupEntry;
 import mallowstall.core.model.MachineType;
-import mallowstall.core.model.Priority;
 import mallowstall.core.model.ProgramVersion;
 import mallowstall.core.model.StoredEntry;
 import mallowstall.core.model.TaskState;
@@ -41,10 +44,6 @@
   static final List<String> NODES = List.of("n0", "n1", "n2");
   static final Map<String, String> ZONE_BY_NODE = Map.of("n0", "a", "n1", "b", "n2", "a");
 
-  /** The class of a job of each priority; spelt out, so as to depend on no name in the program. */
-  private static final List<String> CLASSES =
-      List.of("c-LOW", "c-NORMAL", "c-HIGH", "c-PRODUCTION");
-
   static final long HEARTBEAT_MS = 1_000;
   static final long LEASE_MS = 10_000;
   static final long CANCEL_MS = 35_000;
@@ -242,7 +241,7 @@
 
   static JobEntry asBatch(JobEntry job) {
     return new JobEntry(
-        withKind(job.spec(), JobKind.BATCH),
+        JobSpecBuilder.copyOf(job.spec(), JobKind.BATCH).build(),
         job.submittedMs(),
         job.leader(),
         job.incarnation(),
@@ -406,78 +405,6 @@
   // ---- users --------------------------------------------------------------------------------
   final List<String> jobs = new ArrayList<>();
 
-  JobSpec batchSpec(
-      String id,
-      int tasks,
-      double cpus,
-      Priority priority,
-      String team,
-      boolean oneZone,
-      boolean spread,
-      boolean spot,
-      String zone) {
-    return new JobSpec(
-        id,
-        CLASSES.get(priority.ordinal()),
-        team,
-        priority,
-        tasks,
-        cpus,
-        0,
-        1,
-        id,
-        1,
-        null,
-        zone,
-        oneZone,
-        spread,
-        spot,
-        4,
-        0,
-        0,
-        60.0,
-        JobKind.BATCH);
-  }
-
-  /** A service: placed like a batch job, but its replicas run until it is cancelled. */
-  JobSpec serviceSpec(
-      String id,
-      int replicas,
-      double cpus,
-      Priority priority,
-      String team,
-      boolean oneZone,
-      boolean spread,
-      boolean spot,
-      String zone) {
-    JobSpec batch = batchSpec(id, replicas, cpus, priority, team, oneZone, spread, spot, zone);
-    return withKind(batch, JobKind.SERVICE);
-  }
-
-  private static JobSpec withKind(JobSpec spec, JobKind kind) {
-    return new JobSpec(
-        spec.id(),
-        spec.jobClass(),
-        spec.team(),
-        spec.priority(),
-        spec.tasks(),
-        spec.cpus(),
-        spec.gpus(),
-        spec.memoryGb(),
-        spec.image(),
-        spec.imageGb(),
-        spec.machineTypes(),
-        spec.zone(),
-        spec.singleZone(),
-        spec.spread(),
-        spec.spot(),
-        kind == JobKind.SERVICE ? 0 : spec.estimatedRunS(),
-        spec.checkpointIntervalS(),
-        spec.checkpointSaveS(),
-        kind == JobKind.SERVICE ? null : spec.deadlineS(),
-        kind);
-  }
-
   /** Asks this controller, whose adapter refuses the kinds of jobs that its version lacks. */
   void submitAt(SimulatedController node, JobSpec spec, Consumer<ApiResponse> reply) {
     if (spec.isService() && !node.supportsServices()) {
@@ -690,16 +617,11 @@
     boolean team = random.nextBoolean();
     String id = String.format("wk-9%05d", nextUnplaceableNumber++);
     JobSpec spec =
-        batchSpec(
-            id,
-            1 + random.nextInt(4),
-            team ? 1 : 9,
-            Priority.NORMAL,
-            team ? "nobody" : "free",
-            false,
-            false,
-            true,
-            null);
+        batchJob(id)
+            .tasks(1 + random.nextInt(4))
+            .cpus(team ? 1 : 9)
+            .team(team ? "nobody" : "free")
+            .build();
     node.enqueueEvent(
         () ->
             node.core.submit(
@@ -767,7 +689,7 @@
     }
     countFault("impossible service");
     String id = String.format("wk-8%05d", nextUnplaceableNumber++);
-    JobSpec tooMany = serviceSpec(id, 7, 4, Priority.NORMAL, "tight", false, false, true, null);
+    JobSpec tooMany = service(id).tasks(7).cpus(4).team("tight").build();
     submitAt(node, tooMany, answer -> checker.onUnplaceableAnswer(nowMs, id, answer.status()));
   }
 
--- a/src/test/java/mallowstall/core/SlowControllersTest.java
+++ b/src/test/java/mallowstall/core/SlowControllersTest.java
@@ -1,6 +1,6 @@
 package mallowstall.core;
 
-import static mallowstall.core.SafetyTestSupport.batchSpec;
+import static mallowstall.core.model.JobSpecBuilder.batchJob;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -25,8 +25,8 @@
     Simulation sim = new Simulation(seed);
     sim.taskRunMs = 30_000;
     sim.runUntil(8_000);
-    sim.submit(batchSpec(sim, LONG_JOB, 10, "free"));
-    sim.submit(batchSpec(sim, CANCELLED_JOB, 8, "free"));
+    sim.submit(batchJob(LONG_JOB).tasks(10).build());
+    sim.submit(batchJob(CANCELLED_JOB).tasks(8).build());
     sim.runUntil(14_000);
     return sim;
   }
@@ -36,7 +36,7 @@
     slow.forEach(node -> node.eventCostMs = EVENT_COST_MS);
     sim.runUntil(sim.nowMs + 5_000);
     sim.cancel(CANCELLED_JOB);
-    sim.submit(batchSpec(sim, LATER_JOB, 6, "free"));
+    sim.submit(batchJob(LATER_JOB).tasks(6).build());
     sim.runUntil(sim.nowMs + 8_000);
     sim.stateService.outage = true;
     sim.runUntil(sim.nowMs + 6_000);
--- a/src/test/java/mallowstall/core/StateLimitsTest.java
+++ b/src/test/java/mallowstall/core/StateLimitsTest.java
@@ -1,5 +1,6 @@
 package mallowstall.core;
 
+import static mallowstall.core.model.JobSpecBuilder.batchJob;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -26,6 +27,7 @@
 import mallowstall.core.model.JobEntry;
 import mallowstall.core.model.JobOutcome;
 import mallowstall.core.model.JobSpec;
+import mallowstall.core.model.JobSpecBuilder;
 import mallowstall.core.model.MachineEntry;
 import mallowstall.core.model.MachineGroupEntry;
 import mallowstall.core.model.Priority;
@@ -45,7 +47,7 @@
   private static final String TOO_MANY = "limits, too many";
 
   private static JobSpec manyTaskSpec(Simulation sim, String id, String team) {
-    return sim.batchSpec(id, MANY_TASKS, 4, Priority.NORMAL, team, false, false, true, null);
+    return batchJob(id).tasks(MANY_TASKS).cpus(4).team(team).build();
   }
 
   private static BitSet firstTasks(int count) {
@@ -266,8 +268,7 @@
   void completionBitsReadAfterTheirEntryCount() {
     Simulation sim = new Simulation(314, LIMITS_AFTER);
     sim.runUntil(10_000);
-    JobSpec spec =
-        sim.batchSpec("wk-000001", 20_010, 4, Priority.NORMAL, "free", false, false, true, null);
+    JobSpec spec = batchJob("wk-000001").tasks(20_010).cpus(4).build();
     SimulatedController leader = sim.controllers.get("n1");
     long incarnation = leader.core.incarnation();
     JobEntry job = JobEntry.newlyAccepted(spec, 1_700_000_000_000L, leader.name, incarnation);
@@ -316,8 +317,7 @@
     long revision = sim.stateService.revision;
     sim.runUntil(15_000);
     for (int i = 3; i < 6; i++) {
-      sim.submit(
-          sim.batchSpec("wk-00000" + i, 6, 2, Priority.HIGH, "tight", false, false, true, null));
+      sim.submit(batchJob("wk-00000" + i).tasks(6).priority(Priority.HIGH).team("tight").build());
     }
     sim.runUntil(70_000);
     for (int i = 3; i < 6; i++) {
@@ -351,7 +351,7 @@
     sim.runUntil(10_000);
     List<String> ids = List.of("wk-000001", "wk-000002", "wk-000003", "wk-000004");
     for (String id : ids) {
-      sim.submit(sim.batchSpec(id, 4, 2, Priority.NORMAL, "free", false, false, true, null));
+      sim.submit(batchJob(id).tasks(4).build());
     }
     sim.runUntil(11_500);
     sim.stateService.setLimits(new Simulation.StateLimits(8_192, 24, 0));
@@ -381,8 +381,7 @@
     sim.runUntil(10_000);
     sim.stateService.setLimits(LIMITS_AFTER);
     JobSpec large =
-        withLongNames(
-            sim.batchSpec("wk-000001", 4, 1, Priority.LOW, "free", false, false, true, null));
+        withLongNames(batchJob("wk-000001").tasks(4).cpus(1).priority(Priority.LOW).build());
     List<ApiResponse> answers = new ArrayList<>();
     SimulatedController node = sim.controllers.get("n0");
     node.enqueueEvent(() -> node.core.submit(large, answers::add));
@@ -402,27 +401,7 @@
     for (int i = 0; i < 9; i++) {
       types.add("t".repeat(199) + i);
     }
-    return new JobSpec(
-        spec.id(),
-        spec.jobClass(),
-        spec.team(),
-        spec.priority(),
-        spec.tasks(),
-        spec.cpus(),
-        spec.gpus(),
-        spec.memoryGb(),
-        spec.image(),
-        spec.imageGb(),
-        types,
-        spec.zone(),
-        spec.singleZone(),
-        spec.spread(),
-        spec.spot(),
-        spec.estimatedRunS(),
-        spec.checkpointIntervalS(),
-        spec.checkpointSaveS(),
-        spec.deadlineS(),
-        spec.kind());
+    return JobSpecBuilder.copyOf(spec).machineTypes(types).build();
   }
 
   /**
--- a/src/test/java/mallowstall/core/UpgradeTest.java
+++ b/src/test/java/mallowstall/core/UpgradeTest.java
@@ -1,5 +1,7 @@
 package mallowstall.core;
 
+import static mallowstall.core.model.JobSpecBuilder.batchJob;
+import static mallowstall.core.model.JobSpecBuilder.service;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,7 +13,6 @@
 import mallowstall.core.model.ExitReason;
 import mallowstall.core.model.JobOutcome;
 import mallowstall.core.model.JobSpec;
-import mallowstall.core.model.Priority;
 import mallowstall.core.model.ProgramVersion;
 import org.junit.jupiter.api.Test;
 
@@ -26,12 +27,11 @@
   private static final long RESTART_TIMEOUT_MS = 40_000;
 
   private static JobSpec serviceSpec(Simulation sim) {
-    return sim.serviceSpec(
-        SERVICE_JOB, REPLICAS, 2, Priority.NORMAL, "free", false, false, true, null);
+    return service(SERVICE_JOB).tasks(REPLICAS).build();
   }
 
   private static JobSpec batchSpec(Simulation sim, int tasks) {
-    return sim.batchSpec(BATCH_JOB, tasks, 2, Priority.NORMAL, "free", false, false, true, null);
+    return batchJob(BATCH_JOB).tasks(tasks).build();
   }
 
   /** What the controller answers, which the rules are told too. */
@@ -118,8 +118,7 @@
       ApiResponse again = submitAt(sim, sim.controllers.get(name), serviceSpec(sim));
       assertEquals(200, again.status());
       assertEquals("running", again.state());
-      JobSpec other =
-          sim.serviceSpec("wk-000003", 1, 2, Priority.NORMAL, "free", false, false, true, null);
+      JobSpec other = service("wk-000003").tasks(1).build();
       assertEquals(503, submitAt(sim, sim.controllers.get(name), other).status());
     }
     assertEquals(List.of(), sim.checker.violations);
--- a/src/test/java/mallowstall/core/MachineViewTest.java
+++ b/src/test/java/mallowstall/core/cluster/MachineViewTest.java
@@ -1,10 +1,9 @@
-package mallowstall.core;
+package mallowstall.core.cluster;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import mallowstall.core.cluster.MachineView;
 import mallowstall.core.model.MachineStatus;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/mallowstall/core/ReplicaRestartsTest.java
+++ b/src/test/java/mallowstall/core/jobs/ReplicaRestartsTest.java
@@ -1,4 +1,4 @@
-package mallowstall.core;
+package mallowstall.core.jobs;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,7 +7,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import mallowstall.Constants;
-import mallowstall.core.jobs.ReplicaRestarts;
 import org.junit.jupiter.api.Test;
 
 /** How soon a replica that has ended may start again. */
--- a/src/test/java/mallowstall/core/EventLoopLagTest.java
+++ b/src/test/java/mallowstall/core/kernel/EventLoopLagTest.java
@@ -1,10 +1,9 @@
-package mallowstall.core;
+package mallowstall.core.kernel;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import mallowstall.Constants;
-import mallowstall.core.kernel.EventLoopLag;
 import org.junit.jupiter.api.Test;
 
 /** Gaps that grow while a process runs behind its timers. */
--- a/src/test/java/mallowstall/core/JobBitmapsTest.java
+++ b/src/test/java/mallowstall/core/kv/JobBitmapsTest.java
@@ -1,4 +1,4 @@
-package mallowstall.core;
+package mallowstall.core.kv;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -14,16 +14,15 @@
 import mallowstall.Constants;
 import mallowstall.core.kernel.Condition;
 import mallowstall.core.kernel.PutOperation;
-import mallowstall.core.kv.JobBitmaps;
-import mallowstall.core.kv.StateStore;
 import mallowstall.core.model.CompletionBitsEntry;
 import mallowstall.core.model.CoreSettings;
+import mallowstall.core.model.CoreSettingsBuilder;
 import mallowstall.core.model.JobEntry;
-import mallowstall.core.model.JobKind;
 import mallowstall.core.model.JobOutcome;
 import mallowstall.core.model.JobSpec;
-import mallowstall.core.model.Priority;
-import mallowstall.core.model.ProgramVersion;
+import mallowstall.core.model.JobSpecBuilder;
+import mallowstall.core.model.StoredEntry;
+import mallowstall.state.StoredEntries;
 import org.junit.jupiter.api.Test;
 
 /** What is stored for jobs and their done bits, in both layouts and on the way between them. */
@@ -35,51 +34,22 @@
   private boolean allVersionsReadPieces = true;
   private long version;
 
+  private static int encodedSize(StoredEntry value) {
+    return StoredEntries.encode(value).length;
+  }
+
   private JobBitmaps entries(int valueBytes, int txnOps) {
     CoreSettings settings =
-        new CoreSettings(
-            "n0",
-            List.of("n1", "controller-with-a-long-name"),
-            Map.of(),
-            Map.of(),
-            1_000,
-            10_000,
-            35_000,
-            25,
-            300,
-            120,
-            txnOps,
-            valueBytes,
-            5,
-            2_000,
-            Map.of(),
-            ProgramVersion.CURRENT);
+        CoreSettingsBuilder.settingsOf("n0")
+            .peers(List.of("n1", "controller-with-a-long-name"))
+            .stateLimits(txnOps, valueBytes)
+            .build();
     return new JobBitmaps(
-        settings, Simulation::encodedSize, () -> allVersionsReadPieces, storedEntries::get);
+        settings, JobBitmapsTest::encodedSize, () -> allVersionsReadPieces, storedEntries::get);
   }
 
   private static JobSpec spec(int tasks, String name) {
-    return new JobSpec(
-        JOB,
-        name,
-        "free",
-        Priority.NORMAL,
-        tasks,
-        1,
-        0,
-        1,
-        name,
-        1,
-        null,
-        null,
-        false,
-        false,
-        true,
-        4,
-        0,
-        0,
-        60.0,
-        JobKind.BATCH);
+    return JobSpecBuilder.batchJob(JOB).jobClass(name).tasks(tasks).cpus(1).image(name).build();
   }
 
   private static JobEntry accepted(int tasks) {
@@ -121,8 +91,7 @@
     assertTrue(write.conditions().size() <= 4 * txnOps, "conditions: " + write.conditions().size());
     for (PutOperation put : write.puts()) {
       assertTrue(
-          Simulation.encodedSize(put.value()) <= valueBytes,
-          put.key() + " has " + Simulation.encodedSize(put.value()));
+          encodedSize(put.value()) <= valueBytes, put.key() + " has " + encodedSize(put.value()));
     }
     for (Condition condition : write.conditions()) {
       StateStore.Held held = storedEntries.get(condition.key());
@@ -298,7 +267,7 @@
               JobOutcome.NONE);
       List<PutOperation> puts = entries.writeRecordingCompletions(old, 0, done, List.of(0)).puts();
       for (PutOperation put : puts) {
-        assertTrue(Simulation.encodedSize(put.value()) <= 2_048, put.key());
+        assertTrue(encodedSize(put.value()) <= 2_048, put.key());
       }
     }
     assertFalse(
--- a/src/test/java/mallowstall/core/ValueSizeTest.java
+++ b/src/test/java/mallowstall/core/kv/ValueSizeTest.java
@@ -1,21 +1,26 @@
-package mallowstall.core;
+package mallowstall.core.kv;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.List;
-import mallowstall.core.kv.ValueSize;
 import mallowstall.core.model.DigestEntry;
 import mallowstall.core.model.FreeCapacity;
 import mallowstall.core.model.MachineGroupEntry;
 import mallowstall.core.model.MachineGroupMember;
+import mallowstall.core.model.StoredEntry;
+import mallowstall.state.StoredEntries;
 import org.junit.jupiter.api.Test;
 
 /** Lists are cut by the size of the encoded value, whatever the names in them. */
 class ValueSizeTest {
   private static final int LIMIT_BYTES = 2_048;
 
+  private static int encodedSize(StoredEntry value) {
+    return StoredEntries.encode(value).length;
+  }
+
   private static List<FreeCapacity> capacities(int count, int nameLength) {
     List<FreeCapacity> out = new ArrayList<>();
     for (int i = 0; i < count; i++) {
@@ -31,10 +36,8 @@
       List<FreeCapacity> all = capacities(200, nameLength);
       List<FreeCapacity> some =
           ValueSize.longestFittingPrefix(
-              all,
-              r -> Simulation.encodedSize(new DigestEntry(Long.MAX_VALUE, r, 1e17)),
-              LIMIT_BYTES);
-      int bytes = Simulation.encodedSize(new DigestEntry(Long.MAX_VALUE, some, 1e17));
+              all, r -> encodedSize(new DigestEntry(Long.MAX_VALUE, r, 1e17)), LIMIT_BYTES);
+      int bytes = encodedSize(new DigestEntry(Long.MAX_VALUE, some, 1e17));
       assertTrue(bytes <= LIMIT_BYTES, "bytes: " + bytes);
       assertTrue(bytes > LIMIT_BYTES / 2, "bytes: " + bytes);
       assertEquals(all.subList(0, some.size()), some);
@@ -51,10 +54,8 @@
       }
       List<MachineGroupMember> some =
           ValueSize.longestFittingPrefix(
-              all,
-              g -> Simulation.encodedSize(new MachineGroupEntry(name, Long.MAX_VALUE, g)),
-              LIMIT_BYTES);
-      int bytes = Simulation.encodedSize(new MachineGroupEntry(name, Long.MAX_VALUE, some));
+              all, g -> encodedSize(new MachineGroupEntry(name, Long.MAX_VALUE, g)), LIMIT_BYTES);
+      int bytes = encodedSize(new MachineGroupEntry(name, Long.MAX_VALUE, some));
       assertTrue(bytes <= LIMIT_BYTES, "bytes: " + bytes);
       assertTrue(bytes > LIMIT_BYTES / 2, "bytes: " + bytes);
     }
@@ -66,6 +67,6 @@
     assertEquals(
         all,
         ValueSize.longestFittingPrefix(
-            all, r -> Simulation.encodedSize(new DigestEntry(1, r, 0)), LIMIT_BYTES));
+            all, r -> encodedSize(new DigestEntry(1, r, 0)), LIMIT_BYTES));
   }
 }
