--- a/src/test/java/mallowstall/core/CancellationInOutageTest.java
+++ b/src/test/java/mallowstall/core/CancellationInOutageTest.java
@@ -52,8 +52,8 @@
         Simulation sim = new Simulation(100 + seed);
         sim.taskRunMs = 400_000;
         sim.runUntil(8_000);
-        sim.submit(batchJob(CANCELLED_JOB).tasks(8).build());
-        sim.submit(batchJob(OTHER_JOB).tasks(6).build());
+        sim.users.submit(batchJob(CANCELLED_JOB).tasks(8).build());
+        sim.users.submit(batchJob(OTHER_JOB).tasks(6).build());
         sim.runUntil(16_000);
         assertEquals(8, sum(runningTasksByLeader(sim, CANCELLED_JOB)));
         SimulatedController leader =
--- a/src/test/java/mallowstall/core/CombinedFaultsTest.java
+++ b/src/test/java/mallowstall/core/CombinedFaultsTest.java
@@ -22,7 +22,7 @@
       sim.taskRunMs = 25_000;
       sim.runUntil(8_000);
       for (int i = 1; i <= 6; i++) {
-        sim.submit(
+        sim.users.submit(
             batchJob("wk-00000" + i).tasks(i > 4 ? 9 : 4).team(i > 4 ? "tight" : "free").build());
       }
       sim.runUntil(18_000);
@@ -32,7 +32,7 @@
       sim.checker.faultsEndedMs = sim.nowMs;
       sim.runUntil(sim.nowMs + 260_000);
       assertEquals(List.of(), sim.checker.violations, meeting + ", seed " + seed);
-      for (String id : sim.jobs) {
+      for (String id : sim.users.jobs) {
         String last = sim.checker.lastState(id);
         assertTrue("done".equals(last) || "cancelled".equals(last), id + " is " + last);
       }
--- a/src/test/java/mallowstall/core/DelayedRequestsTest.java
+++ b/src/test/java/mallowstall/core/DelayedRequestsTest.java
@@ -60,7 +60,7 @@
         sim.stateService.entries.get(StateStore.SESSION_PREFIX + "n1");
     assertEquals(node.core.incarnation(), ((SessionEntry) now.value()).incarnation());
     assertTrue(sim.stateService.leases.containsKey(now.leaseId()));
-    sim.submit(batchJob(CANCELLED_JOB).tasks(12).build());
+    sim.users.submit(batchJob(CANCELLED_JOB).tasks(12).build());
     sim.runUntil(sim.nowMs + 60_000);
     assertEquals(List.of(), sim.checker.violations);
     assertEquals("done", sim.checker.lastState(CANCELLED_JOB));
@@ -123,7 +123,7 @@
     Simulation sim = new Simulation(123);
     sim.taskRunMs = 100_000;
     sim.runUntil(8_000);
-    sim.submit(batchJob(CANCELLED_JOB).tasks(4).build());
+    sim.users.submit(batchJob(CANCELLED_JOB).tasks(4).build());
     sim.runUntil(9_000);
     for (SimulatedController node : sim.controllers.values()) {
       for (String id : List.of(CANCELLED_JOB, "wk-000777")) {
@@ -165,7 +165,7 @@
       Simulation sim = new Simulation(124);
       sim.taskRunMs = 100_000;
       sim.runUntil(8_000);
-      sim.submit(batchJob(CANCELLED_JOB).tasks(4).build());
+      sim.users.submit(batchJob(CANCELLED_JOB).tasks(4).build());
       sim.runUntil(12_000);
       SimulatedController slow = sim.controllers.get("n0");
       slow.stateDelayMs = lag;
@@ -197,7 +197,7 @@
     for (long seed = 0; seed < 12; seed++) {
       Simulation sim = new Simulation(140 + seed);
       sim.runUntil(8_000);
-      sim.submit(batchJob(CANCELLED_JOB).tasks(12).build());
+      sim.users.submit(batchJob(CANCELLED_JOB).tasks(12).build());
       long until = sim.nowMs + 3_000;
       while (sim.nowMs < until && sum(runningTasksByLeader(sim, CANCELLED_JOB)) < 8) {
         sim.runUntil(sim.nowMs + 20);
@@ -206,7 +206,7 @@
       assertEquals(
           "cancelled", cancelAt(sim, sim.controllers.get("n" + seed % 3), CANCELLED_JOB).state());
       for (SimulatedWorker worker : sim.workers.values()) {
-        for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
+        for (SimulatedTask task : worker.tasks.values()) {
           if (task.state == TaskState.FETCHING) {
             waiting++;
           }
--- a/src/test/java/mallowstall/core/FailoverSafetyTest.java
+++ b/src/test/java/mallowstall/core/FailoverSafetyTest.java
@@ -34,7 +34,7 @@
       Simulation sim = new Simulation(51);
       sim.taskRunMs = 25_000;
       sim.runUntil(8_000);
-      sim.submit(batchJob("wk-000001").tasks(14).build());
+      sim.users.submit(batchJob("wk-000001").tasks(14).build());
       sim.runUntil(14_000);
       SimulatedController claimant = sim.controllers.get(name);
       if (claimant == leaderOf(sim, "wk-000001")) {
@@ -75,7 +75,7 @@
   void sessionExpiryBetweenFailoverAndRebuildLosesNoJob() {
     Simulation sim = new Simulation(72);
     sim.runUntil(8_000);
-    sim.submit(batchJob("wk-000001").tasks(40).build());
+    sim.users.submit(batchJob("wk-000001").tasks(40).build());
     sim.runUntil(12_000);
     SimulatedController node = leaderOf(sim, "wk-000001");
     node.crash(60_000);
@@ -96,7 +96,7 @@
     Simulation sim = new Simulation(73);
     sim.runUntil(8_000);
     for (int i = 0; i < 8; i++) {
-      sim.submit(batchJob("wk-00000" + i).tasks(8).team("tight").build());
+      sim.users.submit(batchJob("wk-00000" + i).tasks(8).team("tight").build());
     }
     sim.runUntil(12_000);
     SimulatedController node = leaderOf(sim, "wk-000001");
@@ -128,7 +128,7 @@
       sim.messageLossRate = 0.03;
       sim.runUntil(8_000);
       for (int i = 0; i < 6; i++) {
-        sim.submit(batchJob("wk-00000" + i).tasks(8).team("tight").build());
+        sim.users.submit(batchJob("wk-00000" + i).tasks(8).team("tight").build());
       }
       sim.runUntil(12_000);
       for (int i = 0; i < 5; i++) {
--- a/src/test/java/mallowstall/core/FaultCombination.java
+++ b/src/test/java/mallowstall/core/FaultCombination.java
@@ -28,12 +28,13 @@
     boolean inject(Simulation sim) {
       sim.cancelAtEndRate = 0.5;
       for (int i = 10; i < 40; i++) {
-        sim.submit(batchJob("wk-0000" + i).tasks(1 + i % 3).build());
+        sim.users.submit(batchJob("wk-0000" + i).tasks(1 + i % 3).build());
       }
       for (int i = 0; i < 400; i++) {
         sim.schedule(
             i * 100L,
-            () -> sim.scheduleInvalidRequests(1)); // repeats submissions, cancels what is done
+            () ->
+                sim.users.scheduleInvalidRequests(1)); // repeats submissions, cancels what is done
       }
       sim.runUntil(sim.nowMs + 60_000);
       sim.cancelAtEndRate = 0;
@@ -107,12 +108,12 @@
     boolean inject(Simulation sim) {
       sim.checker.reorderedAnswersViolate = false;
       sim.maxStateDelayMs = 2_500;
-      sim.schedule(2_000, () -> sim.cancelRunningJobs(3, 0));
-      sim.schedule(9_000, () -> sim.scheduleInvalidRequests(20));
+      sim.schedule(2_000, () -> sim.users.cancelRunningJobs(3, 0));
+      sim.schedule(9_000, () -> sim.users.scheduleInvalidRequests(20));
       sim.runUntil(sim.nowMs + 20_000);
       sim.maxStateDelayMs = 0;
       sim.rejectOneThenOutage(sim.controllers.get("n0"), 3_000, Simulation.CANCEL_MS + 5_000);
-      sim.schedule(2_500, () -> sim.cancelRunningJobs(2, 0));
+      sim.schedule(2_500, () -> sim.users.cancelRunningJobs(2, 0));
       sim.runUntil(sim.nowMs + Simulation.CANCEL_MS + 10_000);
       return sim.faultCounts.containsKey("slowState") && sim.faultCounts.containsKey("cancelNow");
     }
@@ -122,7 +123,7 @@
     @Override
     boolean inject(Simulation sim) {
       for (int i = 1; i <= 4; i++) {
-        sim.cancel("wk-00000" + i); // makes room for it
+        sim.users.cancel("wk-00000" + i); // makes room for it
       }
       double used = 0;
       for (long until = sim.nowMs + 20_000;
@@ -143,7 +144,7 @@
         worker.partitioned = true;
         sim.schedule(15_000, () -> worker.partitioned = false);
       }
-      sim.schedule(1_500, () -> sim.cancel("wk-000005"));
+      sim.schedule(1_500, () -> sim.users.cancel("wk-000005"));
       sim.runUntil(sim.nowMs + 30_000);
       return used >= 22;
     }
@@ -158,7 +159,7 @@
       sim.statusUpdateFaultRate = 0.3;
       for (int i = 10; i < 50; i++) {
         Priority priority = Priority.values()[i % 4];
-        sim.submit(batchJob("wk-0000" + i).tasks(4).priority(priority).build());
+        sim.users.submit(batchJob("wk-0000" + i).tasks(4).priority(priority).build());
       }
       sim.runUntil(sim.nowMs + 40_000);
       long open =
@@ -181,7 +182,7 @@
       for (SimulatedWorker worker : sim.workers.values()) {
         worker.outboundBlocked = true;
       }
-      sim.schedule(3_000, () -> sim.cancel("wk-000004"));
+      sim.schedule(3_000, () -> sim.users.cancel("wk-000004"));
       sim.runUntil(sim.nowMs + Simulation.LEASE_MS + 8_000);
       for (SimulatedWorker simWorker : sim.workers.values()) {
         simWorker.outboundBlocked = false;
@@ -197,7 +198,7 @@
       sim.runUntil(sim.nowMs + 30_000);
       for (int i = 10; i < 40; i++) {
         String id = "wk-0000" + i;
-        sim.schedule(i * 1_000L, () -> sim.submit(batchJob(id).tasks(4).build()));
+        sim.schedule(i * 1_000L, () -> sim.users.submit(batchJob(id).tasks(4).build()));
       }
       for (int i = 0; i < 20; i++) {
         sim.schedule(
@@ -208,7 +209,7 @@
               }
             });
       }
-      sim.schedule(14_000, () -> sim.cancelRunningJobs(2, 8_000));
+      sim.schedule(14_000, () -> sim.users.cancelRunningJobs(2, 8_000));
       sim.runUntil(sim.nowMs + 55_000);
       return sim.faultCounts.containsKey("hang, held orders executed");
     }
@@ -240,7 +241,7 @@
     boolean inject(Simulation sim) {
       sim.delayedTransactionRate = 0.3;
       for (int i = 10; i < 20; i++) {
-        sim.submit(batchJob("wk-0000" + i).tasks(4).team("tight").build());
+        sim.users.submit(batchJob("wk-0000" + i).tasks(4).team("tight").build());
       }
       for (int i = 0; i < 4; i++) {
         sim.runUntil(sim.nowMs + 8_000);
@@ -261,7 +262,7 @@
         for (int t = 0; t < 3; t++) {
           sim.taskRunMsByTask.put(id + "/" + t, 2_000L + t * 30_000L);
         }
-        sim.submit(batchJob(id).tasks(2 + j % 2).build());
+        sim.users.submit(batchJob(id).tasks(2 + j % 2).build());
       }
       sim.runUntil(sim.nowMs + 24_000);
       boolean between = false;
@@ -282,9 +283,9 @@
   ONE_ZONE_LOSES_MACHINES {
     @Override
     boolean inject(Simulation sim) {
-      sim.submit(batchJob("wk-000010").tasks(6).zone("a").build());
-      sim.submit(batchJob("wk-000011").tasks(6).singleZone(true).build());
-      sim.submit(batchJob("wk-000012").tasks(5).spread(true).build());
+      sim.users.submit(batchJob("wk-000010").tasks(6).zone("a").build());
+      sim.users.submit(batchJob("wk-000011").tasks(6).singleZone(true).build());
+      sim.users.submit(batchJob("wk-000012").tasks(5).spread(true).build());
       sim.runUntil(sim.nowMs + 6_000);
       int lost = 0;
       for (SimulatedWorker worker : List.copyOf(sim.workers.values())) {
@@ -307,7 +308,7 @@
       }
       sim.schedule(38_000, () -> sim.stateService.outage = true);
       sim.schedule(70_000, sim.stateService::endOutage);
-      sim.schedule(60_000, () -> sim.cancel("wk-000003"));
+      sim.schedule(60_000, () -> sim.users.cancel("wk-000003"));
       sim.runUntil(sim.nowMs + 120_000);
       return sim.faultCounts.getOrDefault("changeLeaders", 0) > 6
           && sim.faultCounts.containsKey("changeLeaders, in an outage");
--- a/src/test/java/mallowstall/core/FaultSafetyTest.java
+++ b/src/test/java/mallowstall/core/FaultSafetyTest.java
@@ -28,7 +28,7 @@
     sim.runUntil(6_000);
     sim.delayAllCommands =
         true; // every direct command is executed up to 20 s late, its answer is lost
-    sim.submit(batchJob("wk-000001").tasks(12).build());
+    sim.users.submit(batchJob("wk-000001").tasks(12).build());
     sim.runUntil(25_000);
     sim.delayAllCommands = false;
     sim.runUntil(120_000);
@@ -40,7 +40,7 @@
   void delayedTransactionUndoesNothing() {
     Simulation sim = new Simulation(32);
     sim.runUntil(6_000);
-    sim.submit(batchJob("wk-000001").tasks(6).team("tight").build());
+    sim.users.submit(batchJob("wk-000001").tasks(6).team("tight").build());
     sim.runUntil(7_000);
     JobEntry before = sim.jobEntry("wk-000001");
     long version = sim.stateService.entries.get(StateStore.JOB_PREFIX + "wk-000001").version();
@@ -62,7 +62,7 @@
     for (int after = 1; after < 60; after += 7) {
       Simulation sim = new Simulation(33);
       sim.runUntil(6_000);
-      sim.submit(batchJob("wk-000001").tasks(10).build());
+      sim.users.submit(batchJob("wk-000001").tasks(10).build());
       while (!sim.stateService.entries.containsKey(StateStore.JOB_PREFIX + "wk-000001")) {
         sim.runUntil(sim.nowMs + 1);
       }
@@ -78,7 +78,8 @@
     Simulation sim = new Simulation(34);
     sim.runUntil(6_000);
     for (int i = 0; i < 8; i++) {
-      sim.submit(batchJob("wk-00000" + i).tasks(6).team(i % 2 == 0 ? "free" : "tight").build());
+      sim.users.submit(
+          batchJob("wk-00000" + i).tasks(6).team(i % 2 == 0 ? "free" : "tight").build());
     }
     for (int i = 0; i < 12; i++) {
       sim.runUntil(sim.nowMs + 900);
@@ -94,7 +95,7 @@
   void outageLongerThanLeaseKeepsTasksRunning() {
     Simulation sim = new Simulation(37);
     sim.runUntil(6_000);
-    sim.submit(batchJob("wk-000001").tasks(8).build());
+    sim.users.submit(batchJob("wk-000001").tasks(8).build());
     sim.runUntil(8_000);
     sim.stateService.outage = true;
     sim.runUntil(48_000);
@@ -110,7 +111,7 @@
   void allControllersCrashTogether() {
     Simulation sim = new Simulation(38);
     sim.runUntil(6_000);
-    sim.submit(batchJob("wk-000001").tasks(20).team("tight").build());
+    sim.users.submit(batchJob("wk-000001").tasks(20).team("tight").build());
     sim.runUntil(9_000);
     sim.crashAll(4_000);
     sim.runUntil(150_000);
@@ -122,12 +123,12 @@
     for (int after = 0; after < 40; after += 5) {
       Simulation sim = new Simulation(39);
       sim.runUntil(6_000);
-      sim.submit(batchJob("wk-000001").tasks(12).team("tight").build());
+      sim.users.submit(batchJob("wk-000001").tasks(12).team("tight").build());
       while (!sim.stateService.entries.containsKey(StateStore.JOB_PREFIX + "wk-000001")) {
         sim.runUntil(sim.nowMs + 1);
       }
       sim.runUntil(sim.nowMs + after);
-      sim.cancel("wk-000001");
+      sim.users.cancel("wk-000001");
       sim.runUntil(90_000);
       assertEquals(List.of(), sim.checker.violations);
       assertEquals("cancelled", sim.checker.lastState("wk-000001"));
@@ -143,7 +144,7 @@
     Simulation sim = new Simulation(40);
     sim.runUntil(6_000);
     for (int i = 0; i < 9; i++) {
-      sim.submit(batchJob("wk-00000" + i).tasks(9).team("tight").build());
+      sim.users.submit(batchJob("wk-00000" + i).tasks(9).team("tight").build());
     }
     sim.runUntil(250_000);
     for (int i = 0; i < 9; i++) {
@@ -162,7 +163,7 @@
     Simulation sim = new Simulation(66);
     sim.runUntil(8_000);
     for (int i = 0; i < 6; i++) {
-      sim.submit(batchJob("wk-00000" + i).tasks(6).team("tight").build());
+      sim.users.submit(batchJob("wk-00000" + i).tasks(6).team("tight").build());
     }
     sim.runUntil(12_000);
     sim.stateService.outage = true;
--- a/src/test/java/mallowstall/core/HeartbeatSafetyTest.java
+++ b/src/test/java/mallowstall/core/HeartbeatSafetyTest.java
@@ -166,7 +166,7 @@
     Simulation sim = new Simulation(79);
     sim.taskRunMs = 60_000;
     sim.runUntil(8_000);
-    sim.submit(batchJob("wk-000001").tasks(16).build());
+    sim.users.submit(batchJob("wk-000001").tasks(16).build());
     sim.runUntil(12_000);
     SimulatedWorker worker = null;
     for (SimulatedWorker candidate : sim.workers.values()) {
@@ -178,7 +178,7 @@
     SimulatedWorker mute = worker;
     SimulatedController node = sim.controllers.get(sim.machineEntry(worker.id).node());
     List<StopRequest> stops = new ArrayList<>();
-    for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
+    for (SimulatedTask task : worker.tasks.values()) {
       stops.add(new StopRequest(worker.id, task.job, task.task, task.attempt, 0));
     }
     worker.outboundBlocked = true;
@@ -221,7 +221,7 @@
     Simulation sim = new Simulation(61);
     sim.taskRunMs = 14_000;
     sim.runUntil(8_000);
-    sim.submit(batchJob("wk-000001").tasks(12).build());
+    sim.users.submit(batchJob("wk-000001").tasks(12).build());
     sim.runUntil(11_000);
     SimulatedWorker worker = null;
     for (SimulatedWorker candidate : sim.workers.values()) {
@@ -243,7 +243,7 @@
     assertFinished(sim, "wk-000001");
     // whether it was replaced meanwhile or not, a machine that hears again serves again
     worker.inboundBlocked = false;
-    sim.submit(batchJob("wk-000002").tasks(30).build());
+    sim.users.submit(batchJob("wk-000002").tasks(30).build());
     sim.runUntil(200_000);
     assertFinished(sim, "wk-000002");
   }
@@ -254,12 +254,12 @@
     Simulation sim = new Simulation(62);
     sim.taskRunMs = 100_000;
     sim.runUntil(8_000);
-    sim.submit(batchJob("wk-000001").tasks(12).build());
+    sim.users.submit(batchJob("wk-000001").tasks(12).build());
     sim.runUntil(12_000);
     for (SimulatedWorker worker : sim.workers.values()) {
       worker.inboundBlocked = true;
     }
-    sim.cancel("wk-000001");
+    sim.users.cancel("wk-000001");
     sim.runUntil(70_000);
     assertEquals("cancelled", sim.checker.lastState("wk-000001"));
     assertEquals(List.of(), sim.checker.violations);
--- a/src/test/java/mallowstall/core/MachineLeadershipTest.java
+++ b/src/test/java/mallowstall/core/MachineLeadershipTest.java
@@ -43,7 +43,7 @@
   void machineThatDiesWithItsLeaderDelaysFailoverBriefly() {
     Simulation sim = new Simulation(44);
     sim.runUntil(8_000);
-    sim.submit(batchJob("wk-000001").tasks(60).build());
+    sim.users.submit(batchJob("wk-000001").tasks(60).build());
     sim.runUntil(12_000);
     SimulatedController node = leaderOf(sim, "wk-000001");
     String dead = null;
@@ -74,7 +74,7 @@
     Simulation sim = new Simulation(64);
     sim.taskRunMs = 60_000;
     sim.runUntil(8_000);
-    sim.submit(batchJob("wk-000001").tasks(40).build());
+    sim.users.submit(batchJob("wk-000001").tasks(40).build());
     sim.runUntil(14_000);
     SimulatedController node = leaderOf(sim, "wk-000001");
     sim.isolate(node);
@@ -110,7 +110,7 @@
     }
     long registrations = registrationsSince(sim, before);
     assertTrue(registrations < 150, "changes for 304 machines: " + registrations);
-    sim.submit(batchJob("wk-000001").tasks(40).build());
+    sim.users.submit(batchJob("wk-000001").tasks(40).build());
     sim.runUntil(90_000);
     assertFinished(sim, "wk-000001");
   }
@@ -126,7 +126,7 @@
     sim.addMachines(1_462);
     sim.runUntil(20_000);
     for (int i = 0; i < 6; i++) {
-      sim.submit(batchJob("wk-00000" + i).tasks(700).build());
+      sim.users.submit(batchJob("wk-00000" + i).tasks(700).build());
     }
     sim.runUntil(24_000);
     long before = sim.stateService.revision;
@@ -256,7 +256,7 @@
   void imagesStayKnownAfterLeaderChange() {
     Simulation sim = new Simulation(93);
     sim.runUntil(6_000);
-    sim.submit(batchJob("wk-000001").tasks(16).build());
+    sim.users.submit(batchJob("wk-000001").tasks(16).build());
     sim.runUntil(30_000);
     assertFinished(sim, "wk-000001");
     SimulatedController ends = sim.controllers.get("n0");
--- a/src/test/java/mallowstall/core/PartitionSafetyTest.java
+++ b/src/test/java/mallowstall/core/PartitionSafetyTest.java
@@ -22,7 +22,7 @@
   void controllerWithoutStateServiceLosesJobsSafely() {
     Simulation sim = new Simulation(35);
     sim.runUntil(6_000);
-    sim.submit(batchJob("wk-000001").tasks(30).build());
+    sim.users.submit(batchJob("wk-000001").tasks(30).build());
     sim.runUntil(8_000);
     SimulatedController node = leaderOf(sim, "wk-000001");
     node.stateServiceUnreachable = true;
@@ -42,7 +42,7 @@
   void controllerWithoutPeersKeepsInvariants() {
     Simulation sim = new Simulation(36);
     sim.runUntil(6_000);
-    sim.submit(batchJob("wk-000001").tasks(30).build());
+    sim.users.submit(batchJob("wk-000001").tasks(30).build());
     sim.runUntil(8_000);
     SimulatedController node = leaderOf(sim, "wk-000001");
     for (SimulatedController controller : sim.controllers.values()) {
@@ -64,7 +64,7 @@
     Simulation sim = new Simulation(65);
     sim.runUntil(8_000);
     for (int i = 0; i < 6; i++) {
-      sim.submit(batchJob("wk-00000" + i).tasks(30).build());
+      sim.users.submit(batchJob("wk-00000" + i).tasks(30).build());
     }
     sim.runUntil(14_000);
     sim.partitionPeers();
@@ -97,7 +97,7 @@
     sim.taskRunMs = 3_000;
     sim.runUntil(8_000);
     for (int i = 0; i < 9; i++) {
-      sim.submit(batchJob("wk-00000" + i).tasks(8).team("tight").build());
+      sim.users.submit(batchJob("wk-00000" + i).tasks(8).team("tight").build());
     }
     sim.runUntil(9_500);
     SimulatedController node = leaderOf(sim, "wk-000004");
@@ -120,7 +120,7 @@
   void staleReadsAreNotReported() {
     Simulation sim = new Simulation(93);
     sim.runUntil(8_000);
-    sim.submit(batchJob("wk-000001").tasks(4).build());
+    sim.users.submit(batchJob("wk-000001").tasks(4).build());
     sim.runUntil(9_000);
     SimulatedController node = sim.controllers.get("n1");
     for (long lag : new long[] {200, 1_200, 2_500}) {
@@ -142,7 +142,7 @@
     Simulation sim = new Simulation(90);
     sim.runUntil(8_000);
     for (int i = 0; i < 4; i++) {
-      sim.submit(batchJob("wk-00000" + i).tasks(8).team("tight").build());
+      sim.users.submit(batchJob("wk-00000" + i).tasks(8).team("tight").build());
     }
     sim.runUntil(10_000);
     sim.partitionZone("b");
@@ -152,7 +152,7 @@
     List<JobSpec> outside = new ArrayList<>();
     for (int i = 4; i < 8; i++) {
       outside.add(batchJob("wk-00000" + i).tasks(4).priority(Priority.HIGH).zone("a").build());
-      sim.submit(outside.get(outside.size() - 1));
+      sim.users.submit(outside.get(outside.size() - 1));
     }
     sim.runUntil(55_000);
     for (JobSpec spec : outside) {
--- a/src/test/java/mallowstall/core/RandomFaults.java
+++ b/src/test/java/mallowstall/core/RandomFaults.java
@@ -26,7 +26,7 @@
             boolean oneZone = sim.random.nextInt(5) == 0;
             boolean spread = !oneZone && sim.random.nextInt(5) == 0;
             String zone = sim.random.nextInt(8) == 0 ? "a" : null;
-            sim.submit(
+            sim.users.submit(
                 batchJob(id)
                     .tasks(1 + sim.random.nextInt(9))
                     .cpus(1 + sim.random.nextInt(4))
@@ -38,12 +38,12 @@
                     .zone(zone)
                     .build());
             if (sim.random.nextInt(5) == 0) {
-              sim.schedule(1_000 + sim.random.nextInt(15_000), () -> sim.cancel(id));
+              sim.schedule(1_000 + sim.random.nextInt(15_000), () -> sim.users.cancel(id));
             }
           });
     }
     for (int i = 0; i < 20; i++) {
-      sim.schedule(sim.random.nextInt(120_000), sim::queryUnknownJob);
+      sim.schedule(sim.random.nextInt(120_000), sim.users::queryUnknownJob);
     }
   }
 
@@ -147,10 +147,11 @@
           }
         }
       }
-      case 3 -> sim.cancelRunningJobs(1 + sim.random.nextInt(6), 0);
+      case 3 -> sim.users.cancelRunningJobs(1 + sim.random.nextInt(6), 0);
       case 4 ->
-          sim.cancelRunningJobs(1 + sim.random.nextInt(6), 1_000 + sim.random.nextInt(12_000));
-      case 5 -> sim.scheduleInvalidRequests(10 + sim.random.nextInt(30));
+          sim.users.cancelRunningJobs(
+              1 + sim.random.nextInt(6), 1_000 + sim.random.nextInt(12_000));
+      case 5 -> sim.users.scheduleInvalidRequests(10 + sim.random.nextInt(30));
       case 6 -> {
         // ten times in two minutes, or as many as there is time for
         long every = 12_000;
@@ -164,7 +165,7 @@
             3_000 + sim.random.nextInt(7_000),
             Simulation.CANCEL_MS + 2_000 + sim.random.nextInt(8_000));
         if (sim.random.nextBoolean()) {
-          sim.schedule(sim.random.nextInt(9_000), () -> sim.cancelRunningJobs(3, 0));
+          sim.schedule(sim.random.nextInt(9_000), () -> sim.users.cancelRunningJobs(3, 0));
         }
         if (sim.random.nextBoolean()) {
           sim.schedule(12_000 + sim.random.nextInt(20_000), sim::crashBusiestLeaders);
@@ -175,7 +176,7 @@
         sim.isolate(node);
         sim.schedule(
             sim.random.nextInt(4_000),
-            () -> sim.cancelRunningJobs(3, sim.random.nextBoolean() ? 0 : 6_000));
+            () -> sim.users.cancelRunningJobs(3, sim.random.nextBoolean() ? 0 : 6_000));
         sim.schedule(
             3_000 + sim.random.nextInt(45_000),
             () -> {
--- a/src/test/java/mallowstall/core/RandomizedSimulationTest.java
+++ b/src/test/java/mallowstall/core/RandomizedSimulationTest.java
@@ -24,7 +24,7 @@
 class RandomizedSimulationTest {
   private static void assertAllFinished(Simulation sim) {
     assertEquals(List.of(), sim.checker.violations);
-    for (String id : sim.jobs) {
+    for (String id : sim.users.jobs) {
       String last = sim.checker.lastState(id);
       assertTrue("done".equals(last) || "cancelled".equals(last), id + " is " + last);
     }
@@ -177,7 +177,7 @@
 
   /** A user may have given up before any controller could take the job: then it was never told. */
   private static void assertFinishedForUsers(Simulation sim) {
-    for (String id : sim.jobs) {
+    for (String id : sim.users.jobs) {
       String last = sim.checker.lastState(id);
       assertTrue(
           last == null || "done".equals(last) || "cancelled".equals(last), id + " is " + last);
@@ -209,8 +209,8 @@
     sim.checker.onSubmitted(spec);
     List<SimulatedWorker> workers = List.copyOf(sim.workers.values());
     WorkerCommand run = new WorkerCommand(CommandKind.START, "wk-000001", 0, 1, 0);
-    workers.get(0).execute(run);
-    workers.get(1).execute(run);
+    workers.get(0).taskRunner.execute(run);
+    workers.get(1).taskRunner.execute(run);
     sim.runUntil(8_000);
     assertTrue(
         sim.checker.violations.stream().anyMatch(b -> b.contains("ran_twice")),
@@ -313,8 +313,8 @@
     List<SimulatedWorker> workers = List.copyOf(sim.workers.values());
     SimulatedWorker brieflyPaused = workers.get(0);
     SimulatedWorker longPaused = workers.get(1);
-    brieflyPaused.execute(new WorkerCommand(CommandKind.START, "wk-000005", 0, 1, 0));
-    longPaused.execute(new WorkerCommand(CommandKind.START, "wk-000005", 1, 1, 0));
+    brieflyPaused.taskRunner.execute(new WorkerCommand(CommandKind.START, "wk-000005", 0, 1, 0));
+    longPaused.taskRunner.execute(new WorkerCommand(CommandKind.START, "wk-000005", 1, 1, 0));
     sim.runUntil(8_000);
     assertEquals(2, sim.checker.machinesOf("wk-000005").size());
     sim.checker.onCancelRequested("wk-000005");
--- a/src/test/java/mallowstall/core/RandomizedUpgradeTest.java
+++ b/src/test/java/mallowstall/core/RandomizedUpgradeTest.java
@@ -260,7 +260,7 @@
       }
       sim.schedule(sim.random.nextInt(50_000), () -> submit(sim, service));
     }
-    sim.schedule(sim.random.nextInt(50_000), sim::submitUnplaceableService);
+    sim.schedule(sim.random.nextInt(50_000), sim.users::submitUnplaceableService);
   }
 
   private static JobSpec randomService(Simulation sim, String id) {
@@ -280,7 +280,7 @@
   }
 
   private static void submit(Simulation sim, JobSpec service) {
-    sim.submit(service);
+    sim.users.submit(service);
     if (sim.random.nextInt(4) > 0) {
       return;
     }
@@ -289,7 +289,7 @@
 
   private static void cancel(Simulation sim, String service) {
     sim.countFault("service cancelled");
-    sim.cancel(service);
+    sim.users.cancel(service);
   }
 
   private static void killMachineOfService(Simulation sim) {
@@ -318,7 +318,7 @@
   /** A machine with replicas; null: there is none. */
   private static SimulatedWorker findServiceMachine(Simulation sim) {
     List<String> machines = new ArrayList<>();
-    for (String id : sim.jobs) {
+    for (String id : sim.users.jobs) {
       if (sim.checker.isService(id)) {
         machines.addAll(sim.checker.machinesOf(id));
       }
@@ -333,7 +333,7 @@
   private static void assertInvariants(Simulation sim) {
     assertEquals(List.of(), sim.checker.violations);
     assertTrue(sim.checker.startCount > 40, "starts " + sim.checker.startCount);
-    for (String id : sim.jobs) {
+    for (String id : sim.users.jobs) {
       if (!sim.checker.isService(id)) {
         assertFinished(sim, id);
       }
@@ -359,7 +359,7 @@
   /** The services that were accepted and that nobody has asked to cancel. */
   private static List<String> acceptedServices(Simulation sim) {
     List<String> kept = new ArrayList<>();
-    for (String id : sim.jobs) {
+    for (String id : sim.users.jobs) {
       boolean accepted = sim.checker.lastState(id) != null && !sim.checker.isCancelRequested(id);
       if (sim.checker.isService(id) && accepted) {
         kept.add(id);
--- a/src/test/java/mallowstall/core/ReplicasTest.java
+++ b/src/test/java/mallowstall/core/ReplicasTest.java
@@ -27,7 +27,7 @@
     for (long seed = 1; seed <= 8; seed++) {
       Simulation sim = new Simulation(400 + seed);
       sim.runUntil(8_000);
-      sim.submit(service(SERVICE).tasks(3).team("tight").build());
+      sim.users.submit(service(SERVICE).tasks(3).team("tight").build());
       long until = sim.nowMs + 2_000;
       while (sim.nowMs < until
           && !sim.stateService.entries.containsKey(StateStore.JOB_PREFIX + SERVICE)) {
@@ -50,11 +50,11 @@
   void completedReplicaRestartsOnAnotherMachine() {
     Simulation sim = new Simulation(411);
     sim.runUntil(8_000);
-    sim.submit(service(SERVICE).tasks(4).spot(false).zone("a").build());
+    sim.users.submit(service(SERVICE).tasks(4).spot(false).zone("a").build());
     sim.runUntil(sim.nowMs + 10_000);
     assertEquals(2, sim.checker.machinesOf(SERVICE).size(), "on each machine of the zone");
     sim.taskRunMs = 35_000;
-    sim.submit(batchJob(OTHER_JOB).tasks(4).spot(false).zone("a").build());
+    sim.users.submit(batchJob(OTHER_JOB).tasks(4).spot(false).zone("a").build());
     sim.runUntil(sim.nowMs + 5_000);
     assertEquals(2, sim.checker.machinesOf(OTHER_JOB).size(), "both are full");
     assertTrue(sim.exitReplica(SERVICE, 0, ExitReason.DONE));
@@ -72,7 +72,7 @@
   void replicaWithoutCapacityInZoneTriggersScaleOut() {
     Simulation sim = new Simulation(421);
     sim.runUntil(8_000);
-    sim.submit(
+    sim.users.submit(
         service(SERVICE)
             .tasks(5)
             .cpus(4)
@@ -90,10 +90,11 @@
   void batchJobWithoutCapacityBesideServiceTriggersScaleOut() {
     Simulation sim = new Simulation(422);
     sim.runUntil(8_000);
-    sim.submit(service(SERVICE).tasks(8).cpus(2.5).priority(Priority.HIGH).spot(false).build());
+    sim.users.submit(
+        service(SERVICE).tasks(8).cpus(2.5).priority(Priority.HIGH).spot(false).build());
     sim.runUntil(sim.nowMs + 10_000);
     assertEquals(4, sim.checker.machinesOf(SERVICE).size(), "3 cpus are free on each");
-    sim.submit(batchJob(OTHER_JOB).tasks(1).cpus(4).spot(false).build());
+    sim.users.submit(batchJob(OTHER_JOB).tasks(1).cpus(4).spot(false).build());
     sim.runUntil(sim.nowMs + 60_000);
     assertEquals("done", sim.checker.lastState(OTHER_JOB));
     assertEquals(List.of(), sim.checker.violations);
@@ -102,7 +103,7 @@
   private static Simulation runService(long seed, int replicas) {
     Simulation sim = new Simulation(seed);
     sim.runUntil(8_000);
-    sim.submit(service(SERVICE).tasks(replicas).priority(Priority.PRODUCTION).build());
+    sim.users.submit(service(SERVICE).tasks(replicas).priority(Priority.PRODUCTION).build());
     sim.runUntil(sim.nowMs + 15_000);
     assertEquals(replicas, sim.checker.runningReplicas(SERVICE));
     return sim;
@@ -198,10 +199,10 @@
   void spotCapableDemandScalesOutSpotBesideServices() {
     Simulation sim = new Simulation(436);
     sim.runUntil(8_000);
-    sim.submit(service(SERVICE).tasks(2).priority(Priority.PRODUCTION).spot(false).build());
+    sim.users.submit(service(SERVICE).tasks(2).priority(Priority.PRODUCTION).spot(false).build());
     sim.runUntil(sim.nowMs + 10_000);
     sim.taskRunMs = 30_000;
-    sim.submit(batchJob(OTHER_JOB).tasks(30).cpus(8).build());
+    sim.users.submit(batchJob(OTHER_JOB).tasks(30).cpus(8).build());
     sim.runUntil(sim.nowMs + 25_000);
     List<SimulatedWorker> rented = List.copyOf(sim.workers.values()).subList(4, sim.workers.size());
     assertFalse(rented.isEmpty());
--- a/src/test/java/mallowstall/core/SafetyTestSupport.java
+++ b/src/test/java/mallowstall/core/SafetyTestSupport.java
@@ -42,7 +42,7 @@
   static Map<String, Integer> runningTasksByLeader(Simulation sim, String job) {
     Map<String, Integer> out = new TreeMap<>();
     for (SimulatedWorker worker : sim.workers.values()) {
-      for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
+      for (SimulatedTask task : worker.tasks.values()) {
         if (task.job.equals(job) && task.state != TaskState.EXITED) {
           out.merge(worker.controllerName, 1, Integer::sum);
         }
@@ -76,7 +76,7 @@
 
   /** A job of which a task runs there; null: none. */
   static String runningJob(SimulatedWorker worker) {
-    for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
+    for (SimulatedTask task : worker.tasks.values()) {
       if (task.state == TaskState.RUNNING) {
         return task.job;
       }
--- a/src/test/java/mallowstall/core/SchedulingProgressTest.java
+++ b/src/test/java/mallowstall/core/SchedulingProgressTest.java
@@ -32,7 +32,7 @@
     }
     sim.addMachine("t8", "a", true, 0);
     sim.runUntil(60_000);
-    sim.submit(batchJob("wk-000001").tasks(2).spot(false).zone("a").build());
+    sim.users.submit(batchJob("wk-000001").tasks(2).spot(false).zone("a").build());
     sim.runUntil(150_000);
     assertFinished(sim, "wk-000001");
   }
@@ -62,16 +62,17 @@
       String id = String.format("wk-1%05d", i);
       sim.schedule(
           i * 700L,
-          () -> sim.submit(batchJob(id).tasks(4).cpus(4).priority(Priority.HIGH).build()));
+          () -> sim.users.submit(batchJob(id).tasks(4).cpus(4).priority(Priority.HIGH).build()));
     }
     sim.runUntil(30_000);
-    sim.submit(batchJob("wk-000001").tasks(40).cpus(4).singleZone(true).build());
-    sim.submit(batchJob("wk-000002").tasks(40).cpus(4).priority(Priority.LOW).spread(true).build());
+    sim.users.submit(batchJob("wk-000001").tasks(40).cpus(4).singleZone(true).build());
+    sim.users.submit(
+        batchJob("wk-000002").tasks(40).cpus(4).priority(Priority.LOW).spread(true).build());
     Set<String> startedJobs = new HashSet<>();
     while (sim.nowMs < 230_000) {
       sim.runUntil(sim.nowMs + 5_000);
       for (SimulatedWorker worker : sim.workers.values()) {
-        for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
+        for (SimulatedTask task : worker.tasks.values()) {
           startedJobs.add(task.job);
         }
       }
@@ -86,9 +87,10 @@
     Simulation sim = new Simulation(71);
     sim.taskRunMs = 8_000;
     sim.runUntil(8_000);
-    sim.submit(batchJob("wk-000001").tasks(400).priority(Priority.HIGH).team("tight").build());
+    sim.users.submit(
+        batchJob("wk-000001").tasks(400).priority(Priority.HIGH).team("tight").build());
     sim.runUntil(15_000);
-    sim.submit(batchJob("wk-000002").tasks(10).team("tight").build());
+    sim.users.submit(batchJob("wk-000002").tasks(10).team("tight").build());
     sim.runUntil(180_000);
     assertTrue(
         sim.jobEntry("wk-000001").completedTaskCount() < 400, "there is more to do than can be");
@@ -105,7 +107,7 @@
     for (double deadline : new double[] {72, 200}) {
       Simulation sim = new Simulation(76);
       sim.runUntil(8_000);
-      sim.submit(
+      sim.users.submit(
           batchJob("wk-000001")
               .jobClass("c")
               .tasks(20)
@@ -129,7 +131,7 @@
   void jobOfHundredThousandTasksIsPlacedAsOne() {
     Simulation sim = new Simulation(43);
     sim.runUntil(6_000);
-    sim.submit(batchJob("wk-000001").tasks(100_000).cpus(1).build());
+    sim.users.submit(batchJob("wk-000001").tasks(100_000).cpus(1).build());
     sim.policyEvaluations = 0;
     long rounds = sim.ticks;
     sim.runUntil(30_000);
--- a/src/test/java/mallowstall/core/ServiceInvariantsTest.java
+++ b/src/test/java/mallowstall/core/ServiceInvariantsTest.java
@@ -221,12 +221,12 @@
     sim.runUntil(5_000);
     sim.checker.onSubmitted(serviceSpec(2, "free"));
     SimulatedWorker worker = List.copyOf(sim.workers.values()).get(0);
-    worker.execute(new WorkerCommand(CommandKind.START, SERVICE, 0, 1, 0));
-    worker.execute(new WorkerCommand(CommandKind.START, SERVICE, 1, 1, 0));
+    worker.taskRunner.execute(new WorkerCommand(CommandKind.START, SERVICE, 0, 1, 0));
+    worker.taskRunner.execute(new WorkerCommand(CommandKind.START, SERVICE, 1, 1, 0));
     sim.runUntil(8_000);
     assertEquals(2, sim.checker.runningReplicas(SERVICE));
     sim.runUntil(9_000);
-    worker.execute(new WorkerCommand(CommandKind.STOP, SERVICE, 1, 1, 0));
+    worker.taskRunner.execute(new WorkerCommand(CommandKind.STOP, SERVICE, 1, 1, 0));
     assertEquals(1, sim.checker.runningReplicas(SERVICE));
     assertTrue(sim.exitReplica(SERVICE, 0, ExitReason.DONE));
     assertEquals(0, sim.checker.runningReplicas(SERVICE));
@@ -239,14 +239,14 @@
     sim.runUntil(5_000);
     sim.checker.onSubmitted(serviceSpec(1, "free"));
     List<SimulatedWorker> workers = List.copyOf(sim.workers.values());
-    workers.get(0).execute(new WorkerCommand(CommandKind.START, SERVICE, 0, 1, 0));
+    workers.get(0).taskRunner.execute(new WorkerCommand(CommandKind.START, SERVICE, 0, 1, 0));
     sim.runUntil(8_000);
     assertTrue(sim.exitReplica(SERVICE, 0, ExitReason.DONE));
-    workers.get(0).execute(new WorkerCommand(CommandKind.START, SERVICE, 0, 2, 0));
+    workers.get(0).taskRunner.execute(new WorkerCommand(CommandKind.START, SERVICE, 0, 2, 0));
     sim.runUntil(8_100);
     assertEquals(0, sim.checker.runningReplicas(SERVICE));
     assertEquals(1, sim.faultCounts.get("result kept"));
-    workers.get(1).execute(new WorkerCommand(CommandKind.START, SERVICE, 0, 3, 0));
+    workers.get(1).taskRunner.execute(new WorkerCommand(CommandKind.START, SERVICE, 0, 3, 0));
     sim.runUntil(12_000);
     assertEquals(1, sim.checker.runningReplicas(SERVICE));
   }
@@ -258,8 +258,8 @@
     sim.checker.onSubmitted(serviceSpec(1, "free"));
     SimulatedWorker worker = List.copyOf(sim.workers.values()).get(0);
     worker.faulty = true;
-    worker.execute(new WorkerCommand(CommandKind.START, SERVICE, 0, 1, 0));
-    SimulatedWorker.SimulatedTask replica = worker.tasks.values().iterator().next();
+    worker.taskRunner.execute(new WorkerCommand(CommandKind.START, SERVICE, 0, 1, 0));
+    SimulatedTask replica = worker.tasks.values().iterator().next();
     sim.runUntil(8_000);
     assertEquals(0, sim.checker.runningReplicas(SERVICE));
     assertEquals(ExitReason.ERROR, replica.exitReason);
--- /dev/null
+++ b/src/test/java/mallowstall/core/SimulatedCloud.java
@@ -0,0 +1,77 @@
+package mallowstall.core;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Consumer;
+import mallowstall.Constants;
+import mallowstall.core.kernel.InventoryPage;
+import mallowstall.core.kernel.ScaleOutResult;
+import mallowstall.core.model.ListedMachine;
+import mallowstall.core.model.MachineType;
+import mallowstall.core.model.ScaleOutRequest;
+
+/** The cloud as one controller sees it. */
+final class SimulatedCloud {
+  private final Simulation simulation;
+  private final SimulatedController node;
+
+  SimulatedCloud(Simulation simulation, SimulatedController node) {
+    this.simulation = simulation;
+    this.node = node;
+  }
+
+  void fetchMachineTypes(Consumer<List<MachineType>> then) {
+    node.scheduleReply(20, () -> then.accept(List.of(simulation.machineType)));
+  }
+
+  void scaleOut(ScaleOutRequest request, Consumer<ScaleOutResult> then) {
+    node.scheduleReply(
+        30,
+        () -> {
+          List<String> machines = simulation.scaleOutResults.get(request.name());
+          if (machines == null) {
+            machines = new ArrayList<>();
+            while (machines.size() < request.count()
+                && simulation.workers.size() < simulation.maxMachines) {
+              machines.add(
+                  simulation.addMachine(
+                      request.type(),
+                      request.zone(),
+                      request.spot(),
+                      2_000 + simulation.random.nextInt(6_000)));
+            }
+            if (!machines.isEmpty()) {
+              simulation.scaleOutResults.put(request.name(), machines);
+            }
+          }
+          then.accept(new ScaleOutResult(machines.isEmpty() ? 503 : 200, machines));
+        });
+  }
+
+  void scaleIn(List<String> machines, Consumer<Boolean> then) {
+    if (machines.size() > Constants.SCALE_IN_MACHINES_MAX) { // as the protocol has it
+      node.scheduleReply(30, () -> then.accept(false));
+      return;
+    }
+    for (String machine : machines) {
+      simulation.killMachine(machine);
+    }
+    node.scheduleReply(30, () -> then.accept(true));
+  }
+
+  void listMachines(String after, Consumer<InventoryPage> then) {
+    List<ListedMachine> out = new ArrayList<>();
+    for (SimulatedWorker worker : simulation.workers.values()) {
+      out.add(
+          new ListedMachine(
+              worker.id,
+              "t8",
+              worker.zone,
+              worker.spot,
+              "running",
+              (simulation.nowMs - worker.bornAtMs) / 1000.0));
+    }
+    simulation.schedule(2_000, () -> {});
+    node.scheduleReply(2_000, () -> then.accept(new InventoryPage(true, out, false)));
+  }
+}
--- a/src/test/java/mallowstall/core/SimulatedController.java
+++ b/src/test/java/mallowstall/core/SimulatedController.java
@@ -5,28 +5,19 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import java.util.function.Supplier;
 import mallowstall.Constants;
 import mallowstall.core.kernel.CommandResult;
 import mallowstall.core.kernel.Effects;
 import mallowstall.core.kernel.GetResult;
 import mallowstall.core.kernel.InventoryPage;
-import mallowstall.core.kernel.KeyValue;
 import mallowstall.core.kernel.LeaseResult;
 import mallowstall.core.kernel.ListResult;
 import mallowstall.core.kernel.Metrics;
-import mallowstall.core.kernel.PutOperation;
-import mallowstall.core.kernel.ResultCode;
 import mallowstall.core.kernel.ScaleOutResult;
 import mallowstall.core.kernel.Transaction;
 import mallowstall.core.kernel.TransactionResult;
 import mallowstall.core.kernel.WatchResult;
-import mallowstall.core.kv.StateStore;
 import mallowstall.core.model.CoreSettingsBuilder;
-import mallowstall.core.model.JobEntry;
-import mallowstall.core.model.JobOutcome;
-import mallowstall.core.model.ListedMachine;
-import mallowstall.core.model.MachineEntry;
 import mallowstall.core.model.MachineType;
 import mallowstall.core.model.PeerMessage;
 import mallowstall.core.model.ProgramVersion;
@@ -39,9 +30,16 @@
 /** A controller, and the world as it sees it. */
 final class SimulatedController implements Effects {
   private final Simulation simulation;
+  private final StateServiceLink stateServiceLink;
+  private final WorkerLink workerLink;
+  private final SimulatedCloud cloud;
+
   final String name;
+
   ControllerCore core;
+
   int processNumber;
+
   boolean running;
 
   /** The program version that it boots with next. */
@@ -75,9 +73,6 @@
 
   int machineStatusesSent;
 
-  /** Changes of single machines' records that are unanswered, and the most there were. */
-  private int machineWritesInFlight;
-
   int maxMachineWritesInFlight;
 
   /** It stands still from its next event on for so many ms, while its clocks run on. */
@@ -92,20 +87,29 @@
   long eventCostMs;
 
   private long busyUntilMs;
+
   private boolean tickQueued;
 
   /** The longest that an event has waited. */
   long maxEventWaitMs;
 
   final double clockDrift;
+
   final long clockSkewMs;
+
   final Map<String, Long> connectionIds = new HashMap<>();
+
   final Map<String, Long> lastArrivalMs = new HashMap<>();
+
   final Map<String, Boolean> partitionedPeers = new HashMap<>();
+
   long lastConnectionId;
 
   SimulatedController(Simulation sim, String name, int programVersion) {
     this.simulation = sim;
+    this.stateServiceLink = new StateServiceLink(sim, this);
+    this.workerLink = new WorkerLink(sim, this);
+    this.cloud = new SimulatedCloud(sim, this);
     this.name = name;
     this.installedVersion = programVersion;
     this.clockDrift = sim.random.nextDouble() * 0.0004;
@@ -120,7 +124,7 @@
     pausedUntilMs = 0;
     busyUntilMs = 0;
     tickQueued = false;
-    machineWritesInFlight = 0; // answers to a former process are lost
+    stateServiceLink.forgetPendingWrites();
     lastConnectionId = 0;
     List<String> peers = new ArrayList<>(Simulation.NODES);
     peers.remove(name);
@@ -138,7 +142,7 @@
                 .programVersion(runningVersion)
                 .build(),
             simulation.recorder.effects(this, this),
-            c -> new Simulation.TestPolicy(c, () -> simulation.policyEvaluations++),
+            c -> new TestPolicy(c, () -> simulation.policyEvaluations++),
             new Metrics() {
               @Override
               public void increment(String what) {}
@@ -174,31 +178,6 @@
     return runningVersion >= ProgramVersion.WITH_SERVICES;
   }
 
-  /**
-   * What its program makes of an entry; null: it can't read it. Versions without services read no
-   * entry of an open service, and take a cancelled one for that of a batch job.
-   */
-  private StoredEntry decodeForVersion(StoredEntry value) {
-    if (supportsServices() || !(value instanceof JobEntry job)) {
-      return value;
-    }
-    if (job.outcome() == JobOutcome.SERVING) {
-      return null;
-    }
-    return job.spec().isService() ? Simulation.asBatch(job) : job;
-  }
-
-  /** The items that its program sees in listings and watches. */
-  private boolean isVisible(String key, StoredEntry value) {
-    if (supportsServices()) {
-      return true;
-    }
-    if (key.startsWith(StateStore.VERSION_PREFIX)) {
-      return false;
-    }
-    return value == null || decodeForVersion(value) != null;
-  }
-
   void tick(int startedProcess) {
     if (startedProcess != processNumber) {
       return;
@@ -277,7 +256,7 @@
     }
   }
 
-  private void scheduleReply(long delay, Runnable action) {
+  void scheduleReply(long delay, Runnable action) {
     int startedProcess = processNumber;
     simulation.schedule(
         delay,
@@ -375,277 +354,39 @@
         });
   }
 
-  private <T> void callStateService(Supplier<T> exec, T refused, T unknown, Consumer<T> then) {
-    if (sendDelayMs > 0) {
-      // executed when it wakes, with the answer long given up on
-      simulation.schedule(sendDelayMs, exec::get);
-      scheduleReply(sendDelayMs, () -> then.accept(unknown));
-      return;
-    }
-    if (simulation.stateService.outage || stateServiceUnreachable) {
-      scheduleReply(5, () -> then.accept(refused));
-      return;
-    }
-    double dice = simulation.random.nextDouble();
-    if (dice < simulation.messageLossRate / 3) { // never arrives
-      scheduleReply(Constants.STATE_TIMEOUT_MS, () -> then.accept(unknown));
-    } else if (dice < simulation.messageLossRate * 2 / 3) { // executed, the answer is lost
-      simulation.schedule(simulation.randomDelayMs(), exec::get);
-      scheduleReply(Constants.STATE_TIMEOUT_MS, () -> then.accept(unknown));
-    } else if (dice < simulation.messageLossRate) { // executed late
-      simulation.schedule(500 + simulation.random.nextInt(4_000), exec::get);
-      scheduleReply(Constants.STATE_TIMEOUT_MS, () -> then.accept(unknown));
-    } else {
-      long delayMs = simulation.randomDelayMs();
-      int startedProcess = processNumber;
-      if (simulation.maxStateDelayMs > 0) {
-        callSlowly(exec, unknown, then);
-        return;
-      }
-      simulation.schedule(
-          delayMs,
-          () -> {
-            T task = exec.get();
-            int still = processNumber;
-            if (startedProcess == still) {
-              scheduleReply(1 + stateDelayMs, () -> then.accept(task));
-            }
-          });
-    }
-  }
-
-  /** Executed at some moment of the delay; what takes too long is given up on. */
-  private <T> void callSlowly(Supplier<T> exec, T unknown, Consumer<T> then) {
-    simulation.countFault("slowState");
-    int totalDelayMs = randomSlowDelayMs();
-    int startedProcess = processNumber;
-    boolean late = totalDelayMs > Constants.STATE_TIMEOUT_MS;
-    if (late) {
-      scheduleReply(Constants.STATE_TIMEOUT_MS, () -> then.accept(unknown));
-    }
-    int before = simulation.random.nextInt(totalDelayMs);
-    simulation.schedule(
-        before,
-        () -> {
-          T task = exec.get();
-          if (!late && startedProcess == processNumber) {
-            scheduleReply(totalDelayMs - before, () -> then.accept(task));
-          }
-        });
-  }
-
-  private int randomSlowDelayMs() {
-    return 300 + simulation.random.nextInt(Math.max(1, simulation.maxStateDelayMs - 300));
-  }
-
   @Override
-  public void transact(Transaction txn, Consumer<TransactionResult> reply) {
-    boolean machineWrite = txn.puts().stream().anyMatch(put -> put.value() instanceof MachineEntry);
-    Consumer<TransactionResult> counted = machineWrite ? countMachineWrite(reply) : reply;
-    if (machineWrite && machineWriteDelayMs > 0) {
-      submitTransaction(
-          txn, result -> scheduleReply(machineWriteDelayMs, () -> counted.accept(result)));
-    } else {
-      submitTransaction(txn, counted);
-    }
-  }
-
-  private Consumer<TransactionResult> countMachineWrite(Consumer<TransactionResult> reply) {
-    machineWritesInFlight++;
-    maxMachineWritesInFlight = Math.max(maxMachineWritesInFlight, machineWritesInFlight);
-    return result -> {
-      machineWritesInFlight--;
-      reply.accept(result);
-    };
-  }
-
-  private void submitTransaction(Transaction txn, Consumer<TransactionResult> then) {
-    if (onNextFailover != null && isFailover(txn)) {
-      Runnable meeting = onNextFailover;
-      onNextFailover = null;
-      simulation.countFault("claim");
-      simulation.schedule(0, meeting);
-    }
-    boolean served =
-        !simulation.stateService.outage && !stateServiceUnreachable && sendDelayMs == 0;
-    if (served
-        && simulation.delayedTransactionRate > 0
-        && simulation.random.nextDouble() < simulation.delayedTransactionRate) {
-      simulation.countFault("lateWrites");
-      simulation.schedule(
-          2_000 + simulation.random.nextInt(10_000),
-          () -> {
-            if (!simulation.stateService.outage
-                && simulation.stateService.transact(txn).code() == ResultCode.OK) {
-              simulation.countFault("lateWrites, applied");
-            }
-          });
-      scheduleReply(
-          Constants.STATE_TIMEOUT_MS,
-          () -> then.accept(new TransactionResult(ResultCode.OUTCOME_UNKNOWN, 0)));
-      return;
-    }
-    callStateService(
-        () -> simulation.stateService.transact(txn),
-        new TransactionResult(ResultCode.REJECTED, 0),
-        new TransactionResult(ResultCode.OUTCOME_UNKNOWN, 0),
-        then);
-  }
-
-  /** Whether the transaction takes over a job that another process holds. */
-  private boolean isFailover(Transaction txn) {
-    for (PutOperation put : txn.puts()) {
-      if (!(put.value() instanceof JobEntry claimed)) {
-        continue;
-      }
-      SimulatedStateService.StoredValue present = simulation.stateService.entries.get(put.key());
-      if (present == null || !(present.value() instanceof JobEntry before)) {
-        continue;
-      }
-      if (claimed.epoch() > before.epoch()) {
-        return true;
-      }
-    }
-    return false;
+  public int encodedSizeBytes(StoredEntry value) {
+    return Simulation.encodedSize(value);
   }
 
   @Override
-  public int encodedSizeBytes(StoredEntry value) {
-    return Simulation.encodedSize(value);
+  public void transact(Transaction txn, Consumer<TransactionResult> reply) {
+    stateServiceLink.transact(txn, reply);
   }
 
   @Override
   public void get(String key, Consumer<GetResult> then) {
-    callStateService(
-        () -> {
-          simulation.stateService.expireLeases();
-          SimulatedStateService.StoredValue stored = simulation.stateService.entries.get(key);
-          if (stored == null) {
-            return new GetResult(ResultCode.OK, new KeyValue(key, null, 0));
-          }
-          StoredEntry value = decodeForVersion(stored.value());
-          if (value == null) {
-            return new GetResult(ResultCode.REJECTED, null);
-          }
-          return new GetResult(ResultCode.OK, new KeyValue(key, value, stored.version()));
-        },
-        new GetResult(ResultCode.REJECTED, null),
-        new GetResult(ResultCode.OUTCOME_UNKNOWN, null),
-        then);
+    stateServiceLink.get(key, then);
   }
 
   @Override
   public void list(String after, Consumer<ListResult> then) {
-    callStateService(
-        () -> {
-          simulation.stateService.expireLeases();
-          List<KeyValue> out = new ArrayList<>();
-          boolean more = false;
-          for (Map.Entry<String, SimulatedStateService.StoredValue> entry :
-              simulation
-                  .stateService
-                  .entries
-                  .tailMap(after == null ? "" : after, false)
-                  .entrySet()) {
-            if (!isVisible(entry.getKey(), entry.getValue().value())) {
-              continue;
-            }
-            if (out.size() == 7) { // small pages, so that changes come between them
-              more = true;
-              break;
-            }
-            StoredEntry value = decodeForVersion(entry.getValue().value());
-            out.add(new KeyValue(entry.getKey(), value, entry.getValue().version()));
-          }
-          return new ListResult(ResultCode.OK, out, more, simulation.stateService.revision);
-        },
-        new ListResult(ResultCode.REJECTED, List.of(), false, 0),
-        new ListResult(ResultCode.REJECTED, List.of(), false, 0),
-        then);
+    stateServiceLink.list(after, then);
   }
 
   @Override
   public void watch(long after, long holdMs, Consumer<WatchResult> then) {
-    int startedProcess = processNumber;
-    long until = simulation.nowMs + holdMs;
-    simulation.schedule(
-        simulation.randomDelayMs(), () -> pollWatch(after, until, startedProcess, then));
-  }
-
-  private void pollWatch(long after, long until, int startedProcess, Consumer<WatchResult> then) {
-    if (startedProcess != processNumber) {
-      return;
-    }
-    if (compactNextWatch) {
-      compactNextWatch = false;
-      scheduleReply(1, () -> then.accept(new WatchResult(ResultCode.EXPIRED, List.of(), 0)));
-      return;
-    }
-    if (!simulation.stateService.outage && !stateServiceUnreachable && !watchStalled) {
-      simulation.stateService.expireLeases();
-      List<KeyValue> out = new ArrayList<>();
-      for (int i = simulation.stateService.changes.size() - 1;
-          i >= 0 && simulation.stateService.changes.get(i).modRevision() > after;
-          i--) {
-        KeyValue change = simulation.stateService.changes.get(i);
-        if (!isVisible(change.key(), change.value())) {
-          continue;
-        }
-        out.add(
-            0, new KeyValue(change.key(), decodeForVersion(change.value()), change.modRevision()));
-      }
-      if (!out.isEmpty() || simulation.nowMs >= until) {
-        long revision = simulation.stateService.revision;
-        long delayMs =
-            simulation.randomDelayMs()
-                + stateDelayMs
-                + (simulation.maxStateDelayMs > 0 ? randomSlowDelayMs() : 0);
-        if (simulation.nowMs + delayMs > until + Constants.STATE_TIMEOUT_MS
-            && simulation.maxStateDelayMs > 0) {
-          scheduleReply(
-              delayMs,
-              () -> then.accept(new WatchResult(ResultCode.OUTCOME_UNKNOWN, List.of(), 0)));
-          return;
-        }
-        scheduleReply(delayMs, () -> then.accept(new WatchResult(ResultCode.OK, out, revision)));
-        return;
-      }
-    } else if (simulation.nowMs > until + Constants.STATE_TIMEOUT_MS) {
-      scheduleReply(1, () -> then.accept(new WatchResult(ResultCode.REJECTED, List.of(), 0)));
-      return;
-    }
-    simulation.schedule(20, () -> pollWatch(after, until, startedProcess, then));
+    stateServiceLink.watch(after, holdMs, then);
   }
 
   @Override
   public void grantLease(long ttlMs, Consumer<LeaseResult> then) {
-    callStateService(
-        () -> {
-          long leaseId = ++simulation.stateService.lastLeaseId;
-          simulation.stateService.leases.put(leaseId, simulation.nowMs + ttlMs);
-          simulation.stateService.leaseTtlsMs.put(leaseId, ttlMs);
-          return new LeaseResult(ResultCode.OK, leaseId);
-        },
-        new LeaseResult(ResultCode.REJECTED, 0),
-        new LeaseResult(ResultCode.OUTCOME_UNKNOWN, 0),
-        then);
+    stateServiceLink.grantLease(ttlMs, then);
   }
 
   @Override
   public void renewLease(long lease, Consumer<LeaseResult> then) {
-    callStateService(
-        () -> {
-          simulation.stateService.expireLeases();
-          if (!simulation.stateService.leases.containsKey(lease)) {
-            return new LeaseResult(ResultCode.EXPIRED, lease);
-          }
-          simulation.stateService.leases.put(
-              lease, simulation.nowMs + simulation.stateService.leaseTtlsMs.get(lease));
-          return new LeaseResult(ResultCode.OK, lease);
-        },
-        new LeaseResult(ResultCode.REJECTED, lease),
-        new LeaseResult(ResultCode.OUTCOME_UNKNOWN, lease),
-        then);
+    stateServiceLink.renewLease(lease, then);
   }
 
   @Override
@@ -655,166 +396,26 @@
       long session,
       List<WorkerCommand> commands,
       Consumer<CommandResult> then) {
-    SimulatedWorker worker = simulation.workers.get(addr);
-    if (sendDelayMs > 0 && worker != null) {
-      simulation.schedule(
-          sendDelayMs,
-          () -> worker.runWhenResumed(() -> worker.executeCommands(token, session, commands)));
-      scheduleReply(
-          sendDelayMs, () -> then.accept(new CommandResult(ResultCode.OUTCOME_UNKNOWN, null)));
-      return;
-    }
-    if (worker == null || worker.isPartitionedFrom(this) || worker.inboundBlocked) {
-      if (worker != null && worker.isPartitionedFrom(this) && simulation.random.nextBoolean()) {
-        // held by the cut, executed late
-        simulation.schedule(
-            1_000 + simulation.random.nextInt(15_000),
-            () -> worker.runWhenResumed(() -> worker.executeCommands(token, session, commands)));
-        scheduleReply(
-            Constants.COMMAND_REQUEST_TIMEOUT_MS,
-            () -> then.accept(new CommandResult(ResultCode.OUTCOME_UNKNOWN, null)));
-      } else {
-        scheduleReply(
-            Constants.COMMAND_REQUEST_TIMEOUT_MS,
-            () ->
-                then.accept(
-                    new CommandResult(
-                        worker == null ? ResultCode.REJECTED : ResultCode.OUTCOME_UNKNOWN, null)));
-      }
-      return;
-    }
-    double dice = simulation.random.nextDouble();
-    if (simulation.delayAllCommands) {
-      simulation.delayedCommands++;
-      dice = 0;
-    }
-    if (dice < simulation.messageLossRate || simulation.delayAllCommands) {
-      simulation.schedule(
-          !simulation.delayAllCommands && dice < simulation.messageLossRate / 2
-              ? simulation.randomDelayMs()
-              : 500 + simulation.random.nextInt(20_000),
-          () -> worker.runWhenResumed(() -> worker.executeCommands(token, session, commands)));
-      scheduleReply(
-          Constants.COMMAND_REQUEST_TIMEOUT_MS,
-          () -> then.accept(new CommandResult(ResultCode.OUTCOME_UNKNOWN, null)));
-      return;
-    }
-    int startedProcess = processNumber;
-    simulation.schedule(
-        simulation.randomDelayMs(),
-        () -> {
-          if (worker.isPaused()) {
-            queueCommands(worker, token, session, commands, startedProcess, then);
-            return;
-          }
-          if (worker.outboundBlocked) {
-            simulation.countFault("mute, ordered");
-          }
-          CommandResult reply = worker.executeCommands(token, session, commands);
-          if (startedProcess == processNumber) {
-            scheduleReply(simulation.randomDelayMs(), () -> then.accept(reply));
-          }
-        });
-  }
-
-  /** Executed when the machine goes on, perhaps long after it was given up on. */
-  private void queueCommands(
-      SimulatedWorker worker,
-      long token,
-      long session,
-      List<WorkerCommand> commands,
-      int startedProcess,
-      Consumer<CommandResult> then) {
-    simulation.countFault("hang, ordered");
-    boolean[] finished = {false};
-    if (startedProcess == processNumber) {
-      scheduleReply(
-          Constants.COMMAND_REQUEST_TIMEOUT_MS,
-          () -> {
-            if (finished[0]) {
-              return;
-            }
-            finished[0] = true;
-            then.accept(new CommandResult(ResultCode.OUTCOME_UNKNOWN, null));
-          });
-    }
-    worker.runWhenResumed(
-        () -> {
-          CommandResult reply = worker.executeCommands(token, session, commands);
-          if (reply.code() == ResultCode.OK) {
-            simulation.countFault("hang, held orders executed");
-          }
-          if (startedProcess != processNumber) {
-            return;
-          }
-          scheduleReply(
-              simulation.randomDelayMs(),
-              () -> {
-                if (finished[0]) {
-                  return;
-                }
-                finished[0] = true;
-                then.accept(reply);
-              });
-        });
+    workerLink.sendCommands(addr, token, session, commands, then);
   }
 
   @Override
   public void fetchMachineTypes(Consumer<List<MachineType>> then) {
-    scheduleReply(20, () -> then.accept(List.of(simulation.machineType)));
+    cloud.fetchMachineTypes(then);
   }
 
   @Override
   public void scaleOut(ScaleOutRequest request, Consumer<ScaleOutResult> then) {
-    scheduleReply(
-        30,
-        () -> {
-          List<String> machines = simulation.scaleOutResults.get(request.name());
-          if (machines == null) {
-            machines = new ArrayList<>();
-            while (machines.size() < request.count()
-                && simulation.workers.size() < simulation.maxMachines) {
-              machines.add(
-                  simulation.addMachine(
-                      request.type(),
-                      request.zone(),
-                      request.spot(),
-                      2_000 + simulation.random.nextInt(6_000)));
-            }
-            if (!machines.isEmpty()) {
-              simulation.scaleOutResults.put(request.name(), machines);
-            }
-          }
-          then.accept(new ScaleOutResult(machines.isEmpty() ? 503 : 200, machines));
-        });
+    cloud.scaleOut(request, then);
   }
 
   @Override
   public void scaleIn(List<String> machines, Consumer<Boolean> then) {
-    if (machines.size() > Constants.SCALE_IN_MACHINES_MAX) { // as the protocol has it
-      scheduleReply(30, () -> then.accept(false));
-      return;
-    }
-    for (String machine : machines) {
-      simulation.killMachine(machine);
-    }
-    scheduleReply(30, () -> then.accept(true));
+    cloud.scaleIn(machines, then);
   }
 
   @Override
   public void listMachines(String after, Consumer<InventoryPage> then) {
-    List<ListedMachine> out = new ArrayList<>();
-    for (SimulatedWorker worker : simulation.workers.values()) {
-      out.add(
-          new ListedMachine(
-              worker.id,
-              "t8",
-              worker.zone,
-              worker.spot,
-              "running",
-              (simulation.nowMs - worker.bornAtMs) / 1000.0));
-    }
-    simulation.schedule(2_000, () -> {});
-    scheduleReply(2_000, () -> then.accept(new InventoryPage(true, out, false)));
+    cloud.listMachines(after, then);
   }
 }
--- a/src/test/java/mallowstall/core/SimulatedWorker.java
+++ b/src/test/java/mallowstall/core/SimulatedWorker.java
@@ -1,31 +1,39 @@
 package mallowstall.core;
 
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import mallowstall.core.kernel.CommandResult;
 import mallowstall.core.kernel.ResultCode;
-import mallowstall.core.model.ExitReason;
 import mallowstall.core.model.Heartbeat;
 import mallowstall.core.model.HeartbeatResponse;
 import mallowstall.core.model.TaskReport;
-import mallowstall.core.model.TaskState;
 import mallowstall.core.model.WorkerCommand;
 
 /** A stand-in for a worker and its machine. */
 final class SimulatedWorker {
   private final Simulation simulation;
+  final TaskRunner taskRunner;
+
   final String id;
+
   final String zone;
+
   final boolean spot;
+
   final long bornAtMs;
+
   long token;
+
   long epoch = 1;
+
   long heartbeatSequence;
+
   long leaseStartMs;
+
   boolean dead;
+
   boolean partitioned;
 
   /** Its reports arrive, answers and commands don't reach it. */
@@ -55,31 +63,20 @@
   private long terminatedAtMs;
 
   String controllerName;
+
   long heartbeatId;
+
   boolean heartbeatInFlight;
-  long lastHeartbeatMs = -10_000;
-  boolean heartbeatDue;
-  final Map<String, Long> imageFetchedAtMs = new HashMap<>();
-  final Map<String, SimulatedTask> tasks = new LinkedHashMap<>();
 
-  /** Tasks that completed here: their results are kept. */
-  private final java.util.Set<String> completedTasks = new java.util.HashSet<>();
+  long lastHeartbeatMs = -10_000;
 
-  /** A task on the machine. */
-  final class SimulatedTask {
-    String job;
-    int task;
-    long attempt;
-    TaskState state;
-    ExitReason exitReason;
-    int step;
+  boolean heartbeatDue;
 
-    /** When what it does now is done; later if its machine hangs. */
-    long dueMs;
-  }
+  final Map<String, SimulatedTask> tasks = new LinkedHashMap<>();
 
   SimulatedWorker(Simulation sim, String id, String zone, boolean spot) {
     this.simulation = sim;
+    this.taskRunner = new TaskRunner(sim, this);
     this.id = id;
     this.zone = zone;
     this.spot = spot;
@@ -353,7 +350,7 @@
     }
     leaseStartMs = sent;
     for (WorkerCommand command : answer.commands()) {
-      execute(command);
+      taskRunner.execute(command);
     }
   }
 
@@ -370,135 +367,8 @@
       heartbeatDue = true;
     }
     for (WorkerCommand command : commands) {
-      execute(command);
+      taskRunner.execute(command);
     }
     return new CommandResult(ResultCode.OK, snapshot());
   }
-
-  void execute(WorkerCommand command) {
-    String key = command.job() + "/" + command.task() + "#" + command.attempt();
-    SimulatedTask task = tasks.get(key);
-    switch (command.kind()) {
-      case START -> {
-        if (task != null) {
-          return;
-        }
-        task = new SimulatedTask();
-        task.job = command.job();
-        task.task = command.task();
-        task.attempt = command.attempt();
-        tasks.put(key, task);
-        heartbeatDue = true;
-        for (SimulatedTask other : tasks.values()) {
-          if (other != task
-              && other.job.equals(task.job)
-              && other.task == task.task
-              && other.state != TaskState.EXITED) {
-            task.state = TaskState.EXITED;
-            task.exitReason = ExitReason.BUSY;
-            return;
-          }
-        }
-        task.state = TaskState.FETCHING;
-        SimulatedTask newTask = task;
-        int step = ++task.step;
-        scheduleStep(
-            newTask,
-            imageFetchedAtMs.containsKey(command.job())
-                ? 1
-                : 500 + simulation.random.nextInt(2_000),
-            () -> startRunning(newTask, key, step));
-      }
-      case STOP -> {
-        if (task == null || task.state == TaskState.EXITED) {
-          return;
-        }
-        exit(task, ExitReason.STOPPED);
-      }
-      case REMOVE -> {
-        if (task != null && task.state == TaskState.EXITED) {
-          tasks.remove(key);
-        }
-      }
-    }
-  }
-
-  private void scheduleStep(SimulatedTask task, long ms, Runnable then) {
-    task.dueMs = simulation.nowMs + ms;
-    simulation.schedule(ms, () -> runWhenDue(task, then));
-  }
-
-  private void runWhenDue(SimulatedTask task, Runnable then) {
-    if (simulation.nowMs < task.dueMs) {
-      simulation.schedule(task.dueMs - simulation.nowMs, () -> runWhenDue(task, then));
-    } else {
-      then.run();
-    }
-  }
-
-  void startRunning(SimulatedTask task, String key, int step) {
-    if (dead || tasks.get(key) != task || task.step != step || task.state != TaskState.FETCHING) {
-      return;
-    }
-    imageFetchedAtMs.put(task.job, simulation.nowMs);
-    if (completedTasks.contains(task.job + "/" + task.task)) {
-      simulation.countFault("result kept");
-      exit(task, ExitReason.DONE);
-      return;
-    }
-    task.state = TaskState.RUNNING;
-    heartbeatDue = true;
-    simulation.checker.onStarted(
-        simulation.nowMs,
-        new InvariantChecker.RunningTask(id, task.job, task.task, "t8", zone, spot));
-    if (simulation.checker.isService(task.job) && !faulty) {
-      if (simulation.replicaExitRate > 0
-          && simulation.random.nextDouble() < simulation.replicaExitRate) {
-        scheduleRandomExit(task, key);
-      }
-      return;
-    }
-    scheduleStep(
-        task,
-        faulty ? 1 : runDurationMs(task),
-        () -> exitIfRunning(task, key, faulty ? ExitReason.ERROR : ExitReason.DONE));
-  }
-
-  private void scheduleRandomExit(SimulatedTask task, String key) {
-    ExitReason why = simulation.random.nextBoolean() ? ExitReason.DONE : ExitReason.ERROR;
-    simulation.countFault("replica ended: " + why);
-    scheduleStep(task, simulation.random.nextInt(20_000), () -> exitIfRunning(task, key, why));
-  }
-
-  private void exitIfRunning(SimulatedTask task, String key, ExitReason why) {
-    if (dead || tasks.get(key) != task || task.state != TaskState.RUNNING) {
-      return;
-    }
-    exit(task, why);
-  }
-
-  private long runDurationMs(SimulatedTask task) {
-    Long own = simulation.taskRunMsByTask.get(task.job + "/" + task.task);
-    return own != null
-        ? own
-        : simulation.taskRunMs > 0
-            ? simulation.taskRunMs
-            : 1_000 + simulation.random.nextInt(6_000);
-  }
-
-  void exit(SimulatedTask task, ExitReason reason) {
-    boolean wasRunning = task.state == TaskState.RUNNING;
-    task.state = TaskState.EXITED;
-    task.exitReason = reason;
-    heartbeatDue = true;
-    if (wasRunning) {
-      simulation.checker.onStopped(id, task.job, task.task, reason == ExitReason.DONE);
-    }
-    if (reason == ExitReason.DONE) {
-      completedTasks.add(task.job + "/" + task.task);
-    }
-    if (wasRunning && reason == ExitReason.DONE) {
-      simulation.maybeCancelAtEnd(task.job);
-    }
-  }
 }
--- a/src/test/java/mallowstall/core/Simulation.java
+++ b/src/test/java/mallowstall/core/Simulation.java
@@ -1,9 +1,5 @@
 package mallowstall.core;
 
-import static mallowstall.core.model.JobSpecBuilder.batchJob;
-import static mallowstall.core.model.JobSpecBuilder.service;
-
-import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -12,28 +8,17 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import java.util.function.Consumer;
-import mallowstall.core.cluster.MachineView;
 import mallowstall.core.kv.JobBitmaps;
 import mallowstall.core.kv.StateStore;
-import mallowstall.core.model.ApiResponse;
 import mallowstall.core.model.ExitReason;
 import mallowstall.core.model.JobEntry;
-import mallowstall.core.model.JobKind;
-import mallowstall.core.model.JobSpec;
-import mallowstall.core.model.JobSpecBuilder;
 import mallowstall.core.model.MachineEntry;
 import mallowstall.core.model.MachineGroupEntry;
 import mallowstall.core.model.MachineType;
 import mallowstall.core.model.ProgramVersion;
 import mallowstall.core.model.StoredEntry;
 import mallowstall.core.model.TaskState;
-import mallowstall.core.model.TaskStatus;
 import mallowstall.core.model.Team;
-import mallowstall.core.placement.Policy;
-import mallowstall.core.placement.Policy.Block;
-import mallowstall.core.placement.Policy.Facts;
-import mallowstall.core.placement.Policy.Strategy;
 import mallowstall.state.StoredEntries;
 
 /**
@@ -42,10 +27,13 @@
  */
 final class Simulation {
   static final List<String> NODES = List.of("n0", "n1", "n2");
+
   static final Map<String, String> ZONE_BY_NODE = Map.of("n0", "a", "n1", "b", "n2", "a");
 
   static final long HEARTBEAT_MS = 1_000;
+
   static final long LEASE_MS = 10_000;
+
   static final long CANCEL_MS = 35_000;
 
   /** Something that happens at a time; of like times the first one planned comes first. */
@@ -55,17 +43,30 @@
       new PriorityQueue<>(
           (a, b) ->
               a.atMs != b.atMs ? Long.compare(a.atMs, b.atMs) : Long.compare(a.order, b.order));
+
   private long nextEventOrder;
+
   long nowMs = 1;
+
   final SplittableRandom random;
+
   final Map<String, Team> teams =
       Map.of("free", new Team("free", 0, 0, 0, 0), "tight", new Team("tight", 8, 24, 0, 0));
+
   final InvariantChecker checker = new InvariantChecker(teams, CANCEL_MS);
+
   final SimulatedStateService stateService = new SimulatedStateService(this);
+
+  final SimulatedUsers users = new SimulatedUsers(this);
+
   final Map<String, SimulatedController> controllers = new LinkedHashMap<>();
+
   final Map<String, SimulatedWorker> workers = new LinkedHashMap<>();
+
   final Map<String, List<String>> scaleOutResults = new HashMap<>();
+
   private int nextMachineNumber;
+
   int maxMachines = 12;
 
   /** Share of messages to the state service and to workers that go astray. */
@@ -104,8 +105,6 @@
   /** How often each trouble has struck, by its name. */
   final Map<String, Integer> faultCounts = new TreeMap<>();
 
-  private int nextUnplaceableNumber;
-
   /** Share of replicas that end by themselves within 20 s, as done or with an error. */
   double replicaExitRate;
 
@@ -116,6 +115,7 @@
   final Map<String, Long> taskRunMsByTask = new HashMap<>();
 
   long policyEvaluations;
+
   long ticks;
 
   final MachineType machineType =
@@ -190,68 +190,21 @@
     checker.check(nowMs);
     for (SimulatedController node : controllers.values()) {
       if (node.running) {
-        checkDerivedCounts(node.core);
+        DerivedCountsCheck.check(this, node.core);
       }
     }
     schedule(500, this::checkInvariants);
   }
 
-  /**
-   * What the core keeps up to date with each change, against counting all of it anew: a machine
-   * that is not told although it changed would let a start pass for one that never arrived.
-   */
-  private void checkDerivedCounts(ControllerCore core) {
-    for (String id : core.unpublishedChanges()) {
-      checker.violations.add(nowMs + " untold: " + id);
-    }
-    Map<String, Integer> placed = new HashMap<>();
-    Map<String, Integer> running = new HashMap<>();
-    for (MachineView machine : core.view().machines.values()) {
-      if (machine.status == null) {
-        continue;
-      }
-      for (TaskStatus task : machine.status.tasks()) {
-        if (task.state() != TaskState.EXITED) {
-          placed.merge(task.job(), 1, Integer::sum);
-        }
-        if (task.state() == TaskState.RUNNING) {
-          running.merge(task.job(), 1, Integer::sum);
-        }
-      }
-    }
-    for (String id : jobs) {
-      if (core.view().placedTasks(id) != placed.getOrDefault(id, 0)
-          || core.view().runningTasks(id) != running.getOrDefault(id, 0)) {
-        checker.violations.add(nowMs + " miscounted: " + id);
-      }
-    }
-  }
-
   long randomDelayMs() {
     return random.nextInt(100) < 3 ? 100 + random.nextInt(300) : 1 + random.nextInt(8);
   }
 
-  // ---- state service ------------------------------------------------------------------------
   /** Bytes of the value as the real state service gets it. */
   static int encodedSize(StoredEntry value) {
     return StoredEntries.encode(value).length;
   }
 
-  // ---- nodes --------------------------------------------------------------------------------
-
-  static JobEntry asBatch(JobEntry job) {
-    return new JobEntry(
-        JobSpecBuilder.copyOf(job.spec(), JobKind.BATCH).build(),
-        job.submittedMs(),
-        job.leader(),
-        job.incarnation(),
-        job.epoch(),
-        job.completionBits(),
-        job.completedTaskCount(),
-        job.quotaReservedTasks(),
-        job.outcome());
-  }
-
   /** Its turn in the upgrade has come: it is killed, and every later process is of the present. */
   void upgrade(SimulatedController node, long downMs) {
     node.installedVersion = ProgramVersion.CURRENT;
@@ -267,7 +220,6 @@
         .allMatch(node -> node.running && node.runningVersion == ProgramVersion.CURRENT);
   }
 
-  // ---- workers ------------------------------------------------------------------------------
   String addMachine(String typeName, String zone, boolean spot, long bootMs) {
     String id = String.format("m-%06d", nextMachineNumber++);
     SimulatedWorker worker = new SimulatedWorker(this, id, zone, spot);
@@ -382,11 +334,11 @@
   /** Ends a running replica as if by itself; false: it runs nowhere. */
   boolean exitReplica(String job, int number, ExitReason why) {
     for (SimulatedWorker worker : workers.values()) {
-      for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
+      for (SimulatedTask task : worker.tasks.values()) {
         if (!task.job.equals(job) || task.task != number || task.state != TaskState.RUNNING) {
           continue;
         }
-        worker.exit(task, why);
+        worker.taskRunner.exit(task, why);
         return true;
       }
     }
@@ -402,239 +354,6 @@
     checker.onMachineTerminated(id);
   }
 
-  // ---- users --------------------------------------------------------------------------------
-  final List<String> jobs = new ArrayList<>();
-
-  /** Asks this controller, whose adapter refuses the kinds of jobs that its version lacks. */
-  void submitAt(SimulatedController node, JobSpec spec, Consumer<ApiResponse> reply) {
-    if (spec.isService() && !node.supportsServices()) {
-      node.enqueueEvent(
-          () ->
-              node.core.rejectSubmission(
-                  spec.id(), "oficio must be batch", recorder.toUser(node, spec.id(), reply)));
-    } else {
-      node.enqueueEvent(() -> node.core.submit(spec, recorder.toUser(node, spec.id(), reply)));
-    }
-  }
-
-  void submit(JobSpec spec) {
-    checker.onSubmitted(spec);
-    jobs.add(spec.id());
-    submitWithRetry(spec, nowMs + 60_000);
-  }
-
-  private void submitWithRetry(JobSpec spec, long until) {
-    if (nowMs > until) {
-      return;
-    }
-    SimulatedController node = controllers.get(NODES.get(random.nextInt(3)));
-    long asked = nowMs;
-    boolean[] answered = {false};
-    if (node.running) {
-      submitAt(
-          node,
-          spec,
-          answer -> {
-            answered[0] = true;
-            if (random.nextDouble() < messageLossRate) {
-              answered[0] = false;
-            } // the user doesn't get it
-            else {
-              checker.onAnswer(nowMs, asked, spec.id(), answer.status(), answer.state());
-            }
-            if (answered[0] && answer.state() != null) {
-              poll(spec.id());
-            } else {
-              schedule(1_000, () -> submitWithRetry(spec, until));
-            }
-          });
-    }
-    schedule(
-        5_000,
-        () -> {
-          if (!answered[0] && nowMs - asked >= 5_000 && checker.lastState(spec.id()) == null) {
-            submitWithRetry(spec, until);
-          }
-        });
-  }
-
-  private void poll(String id) {
-    String last = checker.lastState(id);
-    if ("done".equals(last) || "cancelled".equals(last)) {
-      if (random.nextInt(4) > 0) {
-        return;
-      }
-    }
-    SimulatedController node = controllers.get(NODES.get(random.nextInt(3)));
-    long asked = nowMs;
-    if (node.running) {
-      node.enqueueEvent(
-          () ->
-              node.core.query(
-                  id,
-                  recorder.toUser(
-                      node,
-                      id,
-                      answer ->
-                          checker.onAnswer(nowMs, asked, id, answer.status(), answer.state()))));
-    }
-    schedule(2_000 + random.nextInt(3_000), () -> poll(id));
-  }
-
-  void cancel(String id) {
-    checker.onCancelRequested(id);
-    SimulatedController node = controllers.get(NODES.get(random.nextInt(3)));
-    if (!node.running) {
-      schedule(1_000, () -> cancel(id));
-      return;
-    }
-    long asked = nowMs;
-    node.enqueueEvent(
-        () ->
-            node.core.cancel(
-                id,
-                recorder.toUser(
-                    node,
-                    id,
-                    answer -> {
-                      checker.onAnswer(nowMs, asked, id, answer.status(), answer.state());
-                      if (answer.state() == null && answer.status() != 404) {
-                        schedule(1_000, () -> cancel(id));
-                      }
-                    })));
-  }
-
-  void maybeCancelAtEnd(String job) {
-    if (cancelAtEndRate <= 0) {
-      return;
-    }
-    if (checker.isService(job)) {
-      maybeCancelService(job);
-      return;
-    }
-    if (checker.remainingTasks(job) > 1) {
-      return;
-    }
-    if (random.nextDouble() >= cancelAtEndRate) {
-      return;
-    }
-    countFault(checker.remainingTasks(job) == 0 ? "cancelAtEnd" : "cancelAtEnd, one task short");
-    schedule(0, () -> cancel(job));
-  }
-
-  private void maybeCancelService(String service) {
-    if (random.nextDouble() >= cancelAtEndRate / 4) {
-      return;
-    }
-    countFault("cancelAtEnd, replica");
-    schedule(0, () -> cancel(service));
-  }
-
-  /** Calls off up that many jobs that run, within 200 ms; up to eight of their machines hang. */
-  void cancelRunningJobs(int count, long hangMs) {
-    List<String> ids = new ArrayList<>(checker.runningJobs());
-    java.util.Set<String> machines = new java.util.TreeSet<>();
-    for (int i = 0; i < count && !ids.isEmpty(); i++) {
-      String id = ids.remove(random.nextInt(ids.size()));
-      countFault("cancelNow");
-      machines.addAll(checker.machinesOf(id));
-      schedule(random.nextInt(200), () -> cancel(id));
-    }
-    if (hangMs <= 0) {
-      return;
-    }
-    int hung = 0;
-    for (String machineId : machines) {
-      SimulatedWorker worker = workers.get(machineId);
-      if (worker == null || hung++ >= 8) {
-        continue;
-      }
-      countFault("cancelNow, hang");
-      worker.pause(hangMs);
-    }
-  }
-
-  /**
-   * Within 20 s so many requests that users shouldn't send: submissions of accepted jobs again,
-   * over or not, cancellations of done jobs, questions about no job, jobs that can never run.
-   */
-  void scheduleInvalidRequests(int count) {
-    for (int i = 0; i < count; i++) {
-      schedule(random.nextInt(20_000), this::sendInvalidRequest);
-    }
-  }
-
-  private void sendInvalidRequest() {
-    List<String> answeredJobs = new ArrayList<>();
-    List<String> done = new ArrayList<>();
-    for (String id : jobs) {
-      if (checker.lastState(id) != null) {
-        answeredJobs.add(id);
-      }
-      if ("done".equals(checker.lastState(id))) {
-        done.add(id);
-      }
-    }
-    SimulatedController node = controllers.get(NODES.get(random.nextInt(3)));
-    switch (random.nextInt(4)) {
-      case 0 -> {
-        if (!answeredJobs.isEmpty() && node.running) {
-          resubmit(node, answeredJobs.get(random.nextInt(answeredJobs.size())));
-        }
-      }
-      case 1 -> {
-        if (!done.isEmpty()) {
-          countFault("oddRequests, cancel done");
-          cancel(done.get(random.nextInt(done.size())));
-        }
-      }
-      case 2 -> {
-        countFault("oddRequests, nobody's");
-        queryUnknownJob();
-      }
-      default -> {
-        if (node.running) {
-          submitUnplaceable(node);
-        }
-      }
-    }
-  }
-
-  private void resubmit(SimulatedController node, String id) {
-    String last = checker.lastState(id);
-    boolean over = "done".equals(last) || "cancelled".equals(last);
-    countFault(over ? "oddRequests, over again" : "oddRequests, again");
-    long asked = nowMs;
-    submitAt(
-        node,
-        checker.spec(id),
-        answer -> checker.onAnswer(nowMs, asked, id, answer.status(), answer.state()));
-  }
-
-  /** A job of an unknown team, or whose tasks no machine holds. */
-  private void submitUnplaceable(SimulatedController node) {
-    countFault("oddRequests, impossible");
-    boolean team = random.nextBoolean();
-    String id = String.format("wk-9%05d", nextUnplaceableNumber++);
-    JobSpec spec =
-        batchJob(id)
-            .tasks(1 + random.nextInt(4))
-            .cpus(team ? 1 : 9)
-            .team(team ? "nobody" : "free")
-            .build();
-    node.enqueueEvent(
-        () ->
-            node.core.submit(
-                spec,
-                recorder.toUser(
-                    node,
-                    id,
-                    answer -> {
-                      checker.onUnplaceableAnswer(nowMs, id, answer.status());
-                      schedule(500, () -> queryJob(id));
-                    })));
-  }
-
   /** Ends whoever owns most machines and whoever holds most jobs, for 100 to 900 ms. */
   void crashBusiestLeaders() {
     Map<String, Integer> machinesByLeader = new TreeMap<>();
@@ -680,64 +399,4 @@
           schedule(outageMs, stateService::endOutage);
         });
   }
-
-  /** A service of more replicas than its team may run at once is asked for. */
-  void submitUnplaceableService() {
-    SimulatedController node = controllers.get(NODES.get(random.nextInt(3)));
-    if (!node.running) {
-      return;
-    }
-    countFault("impossible service");
-    String id = String.format("wk-8%05d", nextUnplaceableNumber++);
-    JobSpec tooMany = service(id).tasks(7).cpus(4).team("tight").build();
-    submitAt(node, tooMany, answer -> checker.onUnplaceableAnswer(nowMs, id, answer.status()));
-  }
-
-  void queryUnknownJob() {
-    queryJob("wk-999999");
-  }
-
-  private void queryJob(String id) {
-    SimulatedController node = controllers.get(NODES.get(random.nextInt(3)));
-    if (node.running) {
-      node.enqueueEvent(
-          () ->
-              node.core.query(
-                  id,
-                  recorder.toUser(
-                      node,
-                      id,
-                      answer -> checker.onAnswer(nowMs, id, answer.status(), answer.state()))));
-    }
-  }
-
-  /** A small policy: any machine, the emptiest last. */
-  record TestPolicy(String name, Runnable onEvaluate) implements Policy {
-    @Override
-    public List<Block> blocks() {
-      return List.of(
-          new Block() {
-            @Override
-            public boolean workers(Facts facts) {
-              onEvaluate.run();
-              return true;
-            }
-
-            @Override
-            public boolean invalidate(Facts facts) {
-              return false;
-            }
-
-            @Override
-            public Strategy strategy() {
-              return Strategy.LOWEST;
-            }
-
-            @Override
-            public double score(Facts facts) {
-              return 1 - facts.cpuUtilization;
-            }
-          });
-    }
-  }
 }
--- a/src/test/java/mallowstall/core/SlowControllersTest.java
+++ b/src/test/java/mallowstall/core/SlowControllersTest.java
@@ -25,8 +25,8 @@
     Simulation sim = new Simulation(seed);
     sim.taskRunMs = 30_000;
     sim.runUntil(8_000);
-    sim.submit(batchJob(LONG_JOB).tasks(10).build());
-    sim.submit(batchJob(CANCELLED_JOB).tasks(8).build());
+    sim.users.submit(batchJob(LONG_JOB).tasks(10).build());
+    sim.users.submit(batchJob(CANCELLED_JOB).tasks(8).build());
     sim.runUntil(14_000);
     return sim;
   }
@@ -35,8 +35,8 @@
   private static void slowDown(Simulation sim, List<SimulatedController> slow) {
     slow.forEach(node -> node.eventCostMs = EVENT_COST_MS);
     sim.runUntil(sim.nowMs + 5_000);
-    sim.cancel(CANCELLED_JOB);
-    sim.submit(batchJob(LATER_JOB).tasks(6).build());
+    sim.users.cancel(CANCELLED_JOB);
+    sim.users.submit(batchJob(LATER_JOB).tasks(6).build());
     sim.runUntil(sim.nowMs + 8_000);
     sim.stateService.outage = true;
     sim.runUntil(sim.nowMs + 6_000);
--- a/src/test/java/mallowstall/core/StateLimitsTest.java
+++ b/src/test/java/mallowstall/core/StateLimitsTest.java
@@ -79,7 +79,7 @@
     }
     sim.stateService.applyChange(JobBitmaps.jobKey(spec.id()), job, revision, 0);
     sim.checker.onSubmitted(spec);
-    sim.jobs.add(spec.id());
+    sim.users.jobs.add(spec.id());
   }
 
   /** From now on compares what can be read of these jobs after each change with before. */
@@ -133,8 +133,8 @@
     sim.stateService.setLimits(LIMITS_BEFORE);
     sim.addMachines(300);
     sim.runUntil(20_000);
-    sim.submit(manyTaskSpec(sim, "wk-000001", "free"));
-    sim.submit(manyTaskSpec(sim, "wk-000002", "tight"));
+    sim.users.submit(manyTaskSpec(sim, "wk-000001", "free"));
+    sim.users.submit(manyTaskSpec(sim, "wk-000002", "tight"));
     sim.runUntil(35_000);
     SimulatedController first = sim.controllers.get(sim.jobEntry("wk-000001").leader());
     BitSet done = firstTasks(30_000);
@@ -184,7 +184,7 @@
     storeInFirstLayout(sim, spec, sim.controllers.get("n1"), firstTasks(30_000));
     assertBitsOnlyGrow(sim, "wk-000001");
     sim.stateService.setLimits(LIMITS_AFTER);
-    sim.cancel("wk-000001");
+    sim.users.cancel("wk-000001");
     sim.runUntil(20_000);
     assertEquals("cancelled", sim.checker.lastState("wk-000001"));
     JobEntry job = sim.jobEntry("wk-000001");
@@ -213,7 +213,7 @@
     long incarnation = leader.core.incarnation();
     JobEntry job = JobEntry.newlyAccepted(spec, 1_700_000_000_000L, leader.name, incarnation);
     sim.checker.onSubmitted(spec);
-    sim.jobs.add(spec.id());
+    sim.users.jobs.add(spec.id());
     for (int task = 0; task < 20_000; task++) {
       sim.checker.onStopped("", spec.id(), task, true);
     }
@@ -257,7 +257,8 @@
     long revision = sim.stateService.revision;
     sim.runUntil(15_000);
     for (int i = 3; i < 6; i++) {
-      sim.submit(batchJob("wk-00000" + i).tasks(6).priority(Priority.HIGH).team("tight").build());
+      sim.users.submit(
+          batchJob("wk-00000" + i).tasks(6).priority(Priority.HIGH).team("tight").build());
     }
     sim.runUntil(70_000);
     for (int i = 3; i < 6; i++) {
@@ -291,7 +292,7 @@
     sim.runUntil(10_000);
     List<String> ids = List.of("wk-000001", "wk-000002", "wk-000003", "wk-000004");
     for (String id : ids) {
-      sim.submit(batchJob(id).tasks(4).build());
+      sim.users.submit(batchJob(id).tasks(4).build());
     }
     sim.runUntil(11_500);
     sim.stateService.setLimits(new Simulation.StateLimits(8_192, 24, 0));
--- a/src/test/java/mallowstall/core/StatusUpdateSafetyTest.java
+++ b/src/test/java/mallowstall/core/StatusUpdateSafetyTest.java
@@ -84,12 +84,12 @@
       Simulation sim = new Simulation(92);
       sim.taskRunMs = 60_000;
       sim.runUntil(8_000);
-      sim.submit(batchJob("wk-000001").tasks(1).team("tight").build());
+      sim.users.submit(batchJob("wk-000001").tasks(1).team("tight").build());
       sim.runUntil(13_000);
       SimulatedController node = leaderOf(sim, "wk-000001");
       long attempt = 0;
       for (SimulatedWorker worker : sim.workers.values()) {
-        for (SimulatedWorker.SimulatedTask task : worker.tasks.values()) {
+        for (SimulatedTask task : worker.tasks.values()) {
           attempt = task.attempt;
         }
       }
--- /dev/null
+++ b/src/test/java/mallowstall/core/TaskRunner.java
@@ -0,0 +1,156 @@
+package mallowstall.core;
+
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.Map;
+import java.util.Set;
+import mallowstall.core.model.ExitReason;
+import mallowstall.core.model.TaskState;
+import mallowstall.core.model.WorkerCommand;
+
+/** Runs the tasks of one worker: fetches their images, starts them, and ends them. */
+final class TaskRunner {
+  private final Simulation simulation;
+  private final SimulatedWorker worker;
+
+  private final Map<String, Long> imageFetchedAtMs = new HashMap<>();
+
+  /** Tasks that completed here: their results are kept. */
+  private final Set<String> completedTasks = new HashSet<>();
+
+  TaskRunner(Simulation simulation, SimulatedWorker worker) {
+    this.simulation = simulation;
+    this.worker = worker;
+  }
+
+  void execute(WorkerCommand command) {
+    String key = command.job() + "/" + command.task() + "#" + command.attempt();
+    SimulatedTask task = worker.tasks.get(key);
+    switch (command.kind()) {
+      case START -> {
+        if (task != null) {
+          return;
+        }
+        task = new SimulatedTask();
+        task.job = command.job();
+        task.task = command.task();
+        task.attempt = command.attempt();
+        worker.tasks.put(key, task);
+        worker.heartbeatDue = true;
+        for (SimulatedTask other : worker.tasks.values()) {
+          if (other != task
+              && other.job.equals(task.job)
+              && other.task == task.task
+              && other.state != TaskState.EXITED) {
+            task.state = TaskState.EXITED;
+            task.exitReason = ExitReason.BUSY;
+            return;
+          }
+        }
+        task.state = TaskState.FETCHING;
+        SimulatedTask newTask = task;
+        int step = ++task.step;
+        scheduleStep(
+            newTask,
+            imageFetchedAtMs.containsKey(command.job())
+                ? 1
+                : 500 + simulation.random.nextInt(2_000),
+            () -> startRunning(newTask, key, step));
+      }
+      case STOP -> {
+        if (task == null || task.state == TaskState.EXITED) {
+          return;
+        }
+        exit(task, ExitReason.STOPPED);
+      }
+      case REMOVE -> {
+        if (task != null && task.state == TaskState.EXITED) {
+          worker.tasks.remove(key);
+        }
+      }
+    }
+  }
+
+  private void scheduleStep(SimulatedTask task, long ms, Runnable then) {
+    task.dueMs = simulation.nowMs + ms;
+    simulation.schedule(ms, () -> runWhenDue(task, then));
+  }
+
+  private void runWhenDue(SimulatedTask task, Runnable then) {
+    if (simulation.nowMs < task.dueMs) {
+      simulation.schedule(task.dueMs - simulation.nowMs, () -> runWhenDue(task, then));
+    } else {
+      then.run();
+    }
+  }
+
+  private void startRunning(SimulatedTask task, String key, int step) {
+    if (worker.dead
+        || worker.tasks.get(key) != task
+        || task.step != step
+        || task.state != TaskState.FETCHING) {
+      return;
+    }
+    imageFetchedAtMs.put(task.job, simulation.nowMs);
+    if (completedTasks.contains(task.job + "/" + task.task)) {
+      simulation.countFault("result kept");
+      exit(task, ExitReason.DONE);
+      return;
+    }
+    task.state = TaskState.RUNNING;
+    worker.heartbeatDue = true;
+    simulation.checker.onStarted(
+        simulation.nowMs,
+        new InvariantChecker.RunningTask(
+            worker.id, task.job, task.task, "t8", worker.zone, worker.spot));
+    if (simulation.checker.isService(task.job) && !worker.faulty) {
+      if (simulation.replicaExitRate > 0
+          && simulation.random.nextDouble() < simulation.replicaExitRate) {
+        scheduleRandomExit(task, key);
+      }
+      return;
+    }
+    scheduleStep(
+        task,
+        worker.faulty ? 1 : runDurationMs(task),
+        () -> exitIfRunning(task, key, worker.faulty ? ExitReason.ERROR : ExitReason.DONE));
+  }
+
+  private void scheduleRandomExit(SimulatedTask task, String key) {
+    ExitReason why = simulation.random.nextBoolean() ? ExitReason.DONE : ExitReason.ERROR;
+    simulation.countFault("replica ended: " + why);
+    scheduleStep(task, simulation.random.nextInt(20_000), () -> exitIfRunning(task, key, why));
+  }
+
+  private void exitIfRunning(SimulatedTask task, String key, ExitReason why) {
+    if (worker.dead || worker.tasks.get(key) != task || task.state != TaskState.RUNNING) {
+      return;
+    }
+    exit(task, why);
+  }
+
+  private long runDurationMs(SimulatedTask task) {
+    Long own = simulation.taskRunMsByTask.get(task.job + "/" + task.task);
+    return own != null
+        ? own
+        : simulation.taskRunMs > 0
+            ? simulation.taskRunMs
+            : 1_000 + simulation.random.nextInt(6_000);
+  }
+
+  void exit(SimulatedTask task, ExitReason reason) {
+    boolean wasRunning = task.state == TaskState.RUNNING;
+    task.state = TaskState.EXITED;
+    task.exitReason = reason;
+    worker.heartbeatDue = true;
+    if (wasRunning) {
+      simulation.checker.onStopped(worker.id, task.job, task.task, reason == ExitReason.DONE);
+    }
+    if (reason == ExitReason.DONE) {
+      completedTasks.add(task.job + "/" + task.task);
+    }
+    if (wasRunning && reason == ExitReason.DONE) {
+      simulation.users.maybeCancelAtEnd(task.job);
+    }
+  }
+}
--- a/src/test/java/mallowstall/core/UpgradeTest.java
+++ b/src/test/java/mallowstall/core/UpgradeTest.java
@@ -51,7 +51,7 @@
 
   private static ApiResponse submitAt(Simulation sim, SimulatedController node, JobSpec job) {
     sim.checker.onSubmitted(job);
-    return awaitResponse(sim, job.id(), reply -> sim.submitAt(node, job, reply));
+    return awaitResponse(sim, job.id(), reply -> sim.users.submitAt(node, job, reply));
   }
 
   private static ApiResponse queryAt(Simulation sim, SimulatedController node, String job) {
@@ -129,7 +129,7 @@
   void restartedOldControllerLeavesServicesToOthers() {
     for (String name : Simulation.NODES) {
       Simulation sim = startWithService(304);
-      sim.submit(batchSpec(sim, 6));
+      sim.users.submit(batchSpec(sim, 6));
       SimulatedController old = sim.controllers.get(name);
       old.installedVersion = ProgramVersion.UNKNOWN;
       old.crash(500);
@@ -196,7 +196,7 @@
   @Test
   void controllerCrashBeforeUpgradeRestartsOldVersion() {
     Simulation sim = startMixedVersions(307, "n0");
-    sim.submit(batchSpec(sim, 12));
+    sim.users.submit(batchSpec(sim, 12));
     sim.runUntil(sim.nowMs + 3_000);
     SimulatedController early = sim.controllers.get("n2");
     early.crash(1_000);
