--- a/src/test/java/mallowstall/ControllerTest.java
+++ b/src/test/java/mallowstall/ControllerTest.java
@@ -112,7 +112,7 @@
     }
   }
 
-  /** Nothing is held back to keep a user from asking again. */
+  /** No answer is delayed to keep a user from asking again. */
   @Test
   void whatCannotBeDecidedIsAnsweredAtOnceWithARetryAfter() throws Exception {
     for (String[] c :
--- a/src/test/java/mallowstall/LoopbackServer.java
+++ b/src/test/java/mallowstall/LoopbackServer.java
@@ -15,9 +15,7 @@
 import java.util.function.Consumer;
 import mallowstall.net.HttpClient;
 
-/**
- * A server on loopback that notes the exact bytes of each request and answers what it was told to.
- */
+/** A server on loopback that notes the exact bytes of each request and answers as set. */
 public final class LoopbackServer implements AutoCloseable {
   private final NioEventLoopGroup group = new NioEventLoopGroup(1);
   private final ServerSocket listening;
@@ -48,7 +46,7 @@
     return group;
   }
 
-  /** Makes the request, lets this server answer so, and gives what the request's maker hears. */
+  /** Makes the request, lets this server answer so, and gives the response that the caller got. */
   public <T> T answer(int status, String body, Consumer<Consumer<T>> request) throws Exception {
     int length = body.getBytes(StandardCharsets.UTF_8).length;
     answers.add("HTTP/1.1 " + status + " Any\r\nContent-Length: " + length + "\r\n\r\n" + body);
--- a/src/test/java/mallowstall/OneController.java
+++ b/src/test/java/mallowstall/OneController.java
@@ -51,7 +51,7 @@
   private long now = 1_000;
   private boolean stateServiceAnswers = true;
 
-  /** A controller n1 that may have peers, and these machine types to rent. */
+  /** A controller n1 that may have peers, and these machine types to scale out with. */
   public OneController(List<String> peers, List<MachineType> types) {
     this.types = types;
     CoreSettings settings =
--- a/src/test/java/mallowstall/core/CancellationInOutageTest.java
+++ b/src/test/java/mallowstall/core/CancellationInOutageTest.java
@@ -19,30 +19,30 @@
 
   private static final String OTHER_JOB = "wk-000002";
 
-  /** What happens besides, in the meeting before all others. */
+  /** What else happens before the outage. */
   enum AdditionalFault {
     NOTHING,
-    /** The confirmer ends as soon as it has told, and is back at once. */
+    /** The confirmer crashes as soon as it has answered, and restarts at once. */
     CONFIRMER_BACK_AT_ONCE,
-    /** The confirmer ends as soon as it has told, for good. */
+    /** The confirmer crashes as soon as it has answered, for good. */
     CONFIRMER_GONE,
-    /** All that it says to the leader is held back for long, and then delivered. */
+    /** All its messages to the leader are delayed by 60 s. */
     WORDS_HELD_BACK,
-    /** All that it says arrives 30 s late: what was said before the cancellation passes for new. */
+    /** All its messages arrive 30 s late: those sent before the cancellation look new. */
     WORDS_LATE,
-    /** Its words are held back and it ends. */
+    /** Its messages are delayed and it crashes. */
     WORDS_HELD_BACK_AND_GONE,
     /** The recorded cancellation is confirmed only when asked for again, in the outage. */
     CONFIRMED_FROM_MEMORY,
-    /** Half of the machines hang on their commands: nothing reaches them for 8 s. */
+    /** Half of the machines are unreachable for 8 s. */
     MACHINES_UNREACHABLE
   }
 
   /**
    * The state service refuses the leader alone, another controller confirms a cancellation, then
    * the service is down for all for longer than a cancellation may take, while workers go on
-   * reporting to the leader. The tasks are gone in time all the same; others' tasks run on unless
-   * the confirmer can't be heard.
+   * sending heartbeats to the leader. The tasks are stopped in time all the same; tasks of other
+   * jobs run on unless the leader is cut off from the confirmer.
    */
   @ParameterizedTest
   @EnumSource(AdditionalFault.class)
@@ -79,7 +79,7 @@
     }
   }
 
-  /** Leading: who owns most of the machines that run the job. */
+  /** The leader of most of the machines that run the job. */
   private static String leaderOfMost(Map<String, Integer> machines) {
     String most = "n0";
     for (String node : machines.keySet()) {
@@ -135,7 +135,7 @@
       long confirmed,
       String what) {
     sim.runUntil(confirmed + 7_000);
-    // the meeting took place: the leader can't read of it, and workers report to the leader
+    // the faults did meet: the leader can't read the cancellation, and workers send it heartbeats
     assertEquals(JobOutcome.NONE, leader.core.store().job(CANCELLED_JOB).outcome());
     assertTrue(
         sim.workers.values().stream()
--- a/src/test/java/mallowstall/core/CombinedFaultsTest.java
+++ b/src/test/java/mallowstall/core/CombinedFaultsTest.java
@@ -13,7 +13,7 @@
  * its faults did meet. The arguments stand in docs/design.md, "When troubles meet".
  */
 class CombinedFaultsTest {
-  /** Six jobs run, two of them of a team at its limit, when the troubles meet. */
+  /** Six jobs run, two of them of a team at its quota, when the faults meet. */
   @ParameterizedTest
   @EnumSource(FaultCombination.class)
   void invariantsHold(FaultCombination meeting) {
--- a/src/test/java/mallowstall/core/DelayedRequestsTest.java
+++ b/src/test/java/mallowstall/core/DelayedRequestsTest.java
@@ -27,8 +27,8 @@
 
   /**
    * A controller's former process asked for its session, without an answer; it is carried out after
-   * the new process has its own, and ends with the former one's lease. The new one used to go on
-   * renewing a lease that held nothing, while everybody took it for dead.
+   * the new process has its own, and ends with the former one's lease. The new one must not go on
+   * renewing a lease without a session, as all others would take it for dead.
    */
   @Test
   void delayedSessionWriteReplacesNoNewerSession() {
@@ -90,7 +90,7 @@
 
   /**
    * A submission whose answer comes after the controller stood still must not call pending what
-   * others have called cancelled meanwhile; a repeated submission is never told that it is wrong.
+   * others have called cancelled meanwhile; a repeated submission is never rejected.
    */
   @Test
   void delayedSubmitResponseReportsCurrentState() {
@@ -117,7 +117,7 @@
     assertEquals(200, responses.get(1).status());
   }
 
-  /** Wrong by itself, but accepted all the same, as by another version: its state is told. */
+  /** Invalid, but accepted all the same, as by another version: its state is reported. */
   @Test
   void resubmittingAcceptedJobIsNeverRejected() {
     Simulation sim = new Simulation(123);
@@ -188,7 +188,7 @@
 
   /**
    * A job is cancelled while its tasks wait for their image: hardly one of them begins after the
-   * confirmation. Stopped by the next report's answer only, many did.
+   * confirmation, as the stop does not wait for the next heartbeat.
    */
   @Test
   void fetchingTasksDoNotStartAfterCancellation() {
--- a/src/test/java/mallowstall/core/DerivedCountsCheck.java
+++ b/src/test/java/mallowstall/core/DerivedCountsCheck.java
@@ -12,7 +12,7 @@
 
   /**
    * What the core keeps up to date with each change, against counting all of it anew: a machine
-   * that is not told although it changed would let a start pass for one that never arrived.
+   * whose change is not published would make a start look as if it had never arrived.
    */
   static void check(Simulation simulation, ControllerCore core) {
     for (String id : core.unpublishedChanges()) {
--- a/src/test/java/mallowstall/core/FailoverSafetyTest.java
+++ b/src/test/java/mallowstall/core/FailoverSafetyTest.java
@@ -24,9 +24,9 @@
 /** Faults that strike while another controller takes the leadership of jobs. */
 class FailoverSafetyTest {
   /**
-   * The other owners may follow the state service past a claim before the claimant has its own
-   * answer: what their rosters told in between must not count as looked at. This once started a
-   * task twice.
+   * The other machine leaders may read a failover from the state service before the new job leader
+   * has its own answer: their status updates from in between must not count as acknowledged, or a
+   * task starts twice.
    */
   @Test
   void newLeaderWithDelayedWatchMissesNoTask() {
@@ -41,7 +41,7 @@
         continue;
       }
       claimant.stateDelayMs = 900;
-      // its claim is executed, the answer is lost, and its watch tells it late
+      // its failover is executed, the answer is lost, and its watch is late
       String key = StateStore.JOB_PREFIX + "wk-000001";
       JobEntry mine = sim.jobEntry("wk-000001").withLeader(name, claimant.core.incarnation());
       long version = sim.stateService.entries.get(key).version();
@@ -62,7 +62,7 @@
     }
   }
 
-  /** Runs until the job has another holder than this one; its epoch has been raised then. */
+  /** Runs until the job has another leader than this one; its leader epoch has been raised then. */
   private static SimulatedController awaitFailover(
       Simulation sim, String id, SimulatedController before) {
     while (leaderOf(sim, id) == before) {
@@ -112,8 +112,8 @@
   }
 
   /**
-   * A process is back after 150 ms, ended just when it has claimed the duty, a job or machines,
-   * with late copies of reports and of what its former process asked for following.
+   * A controller that has just taken the autoscaler's leadership, a job or machines is restarted
+   * within 150 ms; late copies of heartbeats and of its former incarnation's requests follow.
    */
   @Test
   void quickRestartDuringFailoverKeepsInvariants() {
--- a/src/test/java/mallowstall/core/FaultCombination.java
+++ b/src/test/java/mallowstall/core/FaultCombination.java
@@ -43,7 +43,9 @@
           && sim.faultCounts.containsKey("oddRequests, over again");
     }
   },
-  /** A report is held back until another owns the machine, then arrives there and elsewhere. */
+  /**
+   * A heartbeat is delayed until the machine has another leader, then arrives there and elsewhere.
+   */
   DELAYED_HEARTBEAT_AND_NEW_LEADER {
     @Override
     boolean inject(Simulation sim) {
@@ -67,7 +69,7 @@
         sim.runUntil(sim.nowMs + 200);
         refused &= got.get(0).status() != 200;
       }
-      assertTrue(refused, "a report that old renews nothing");
+      assertTrue(refused, "a heartbeat that old renews nothing");
       return !since.node().equals(before.node());
     }
   },
@@ -190,7 +192,7 @@
       return sim.faultCounts.containsKey("mute");
     }
   },
-  /** Commands and their answers are held up by machines that hang and go on. */
+  /** Commands and their answers are delayed by machines that pause and resume. */
   DELAYED_COMMANDS {
     @Override
     boolean inject(Simulation sim) {
@@ -334,7 +336,9 @@
       return inside;
     }
   },
-  /** A leader ends; machines with long tasks can't be reached, or don't hear the next one. */
+  /**
+   * A leader crashes; machines with long tasks are unreachable for commands, or for all messages.
+   */
   LEADER_CRASH_MACHINES_UNREACHABLE {
     @Override
     boolean inject(Simulation sim) {
--- a/src/test/java/mallowstall/core/FaultSafetyTest.java
+++ b/src/test/java/mallowstall/core/FaultSafetyTest.java
@@ -101,7 +101,7 @@
     sim.runUntil(48_000);
     long kept = sim.workers.values().stream().filter(worker -> worker.epoch == 1).count();
     assertEquals(
-        sim.workers.size(), kept, "no worker's lease may run out: no cancellation was told");
+        sim.workers.size(), kept, "no worker's lease may expire: no cancellation was confirmed");
     sim.stateService.endOutage();
     sim.runUntil(120_000);
     assertFinished(sim, "wk-000001");
@@ -132,7 +132,8 @@
       sim.runUntil(90_000);
       assertEquals(List.of(), sim.checker.violations);
       assertEquals("cancelled", sim.checker.lastState("wk-000001"));
-      assertEquals(0, sim.jobEntry("wk-000001").quotaReservedTasks(), "the grant is given back");
+      assertEquals(
+          0, sim.jobEntry("wk-000001").quotaReservedTasks(), "the quota reservation is released");
       SimulatedStateService.StoredValue sum =
           sim.stateService.entries.get(StateStore.TEAM_PREFIX + "tight");
       assertEquals(0, sum == null ? 0 : ((TeamUsageEntry) sum.value()).reservedCpus(), 1e-9);
@@ -157,7 +158,7 @@
         1e-9);
   }
 
-  /** All controllers end while the state service is down: jobs stay known and run on. */
+  /** All controllers crash while the state service is down: jobs stay known and run on. */
   @Test
   void allControllersCrashInOutage() {
     Simulation sim = new Simulation(66);
--- a/src/test/java/mallowstall/core/HeartbeatSafetyTest.java
+++ b/src/test/java/mallowstall/core/HeartbeatSafetyTest.java
@@ -40,7 +40,9 @@
         List.of(new TaskReport("wk-000001", 0, 1, TaskState.RUNNING, null, false)));
   }
 
-  /** A report from before the write-off, delivered after it, must not bring its tasks back. */
+  /**
+   * A heartbeat from before the lease expired, delivered after it, must not bring its tasks back.
+   */
   @Test
   void delayedHeartbeatDoesNotReviveExpiredSession() {
     Simulation sim = new Simulation(42);
@@ -70,8 +72,8 @@
   }
 
   /**
-   * Late copies at the owner and at any other controller, of a live machine and of one that was
-   * returned: the record stays as it is, no task comes to life, and none is answered 200.
+   * Late copies at the machine leader and at any other controller, of a live machine and of one
+   * that was scaled in: the entry stays as it is, no task is revived, and none is answered 200.
    */
   @Test
   void duplicateHeartbeatsChangeNothing() {
@@ -86,7 +88,7 @@
       sim.runUntil(sim.nowMs + 100);
       assertEquals(503, responses.get(0).status(), node.name);
     }
-    // so new that its owner hasn't told of a newer one: sent to the owner, who is alive
+    // newer than any that the leader has published: redirected to the leader, which is alive
     for (SimulatedController controller : sim.controllers.values()) {
       if (controller.name.equals(before.node())) {
         continue;
@@ -106,7 +108,7 @@
     for (SimulatedController peer : sim.controllers.values()) {
       assertEquals(List.of(), peer.core.view().machines.get(worker.id).status.tasks());
     }
-    // returned: by the cloud and in the records
+    // scaled in: at the cloud and in the state service
     sim.killMachine(worker.id);
     sim.stateService.transact(
         new Transaction(
@@ -132,9 +134,9 @@
   }
 
   /**
-   * A machine kept from the former process is dead, and a late copy of one of its reports comes to
-   * the new process: it is written off all the same. It once stood unconfirmed for good then, and
-   * every job taken over waited for it.
+   * A machine recovered from the former incarnation is dead, and a late copy of one of its
+   * heartbeats comes to the new one: its lease expires all the same, or every job that fails over
+   * waits for it.
    */
   @Test
   void duplicateHeartbeatDoesNotDelayLeaseExpiry() {
@@ -158,8 +160,8 @@
 
   /**
    * A machine reaches no controller, direct commands reach it. Its next session is known from a
-   * command's answer alone, and its lease counts from then: seeds 3745 and 3818 of the histories
-   * started tasks twice, since it was written off as of the former session's last report.
+   * command's answer alone, and its lease counts from then, not from the former session's last
+   * heartbeat (seeds 3745 and 3818: tasks started twice).
    */
   @Test
   void sessionKnownOnlyFromCommandHasFullLease() {
@@ -184,7 +186,7 @@
     worker.outboundBlocked = true;
     long from = worker.leaseStartMs;
     for (int i = 0; i < 4; i++) {
-      // the last one comes in the next session, which the answer tells
+      // the last one comes in the next session, which the answer names
       sim.runUntil(i < 3 ? from + 3_000 * (i + 1) : from + Simulation.LEASE_MS + 150);
       StopRequest stop = stops.get(i);
       node.enqueueEvent(() -> node.core.sendStop(node.name, stop));
@@ -212,9 +214,9 @@
   }
 
   /**
-   * Reports arrive, answers and commands don't: the tasks are accounted for by the machine's next
-   * session and run elsewhere, nothing is started there, and it is used again once it hears. It
-   * drew one start after the other, each of them lost.
+   * Heartbeats arrive, answers and commands don't: the tasks are accounted for by the machine's
+   * next session and run elsewhere, nothing is started there, and it is used again once it is
+   * reachable.
    */
   @Test
   void unreachableMachineGetsNoTasksAndItsTasksAreRescheduled() {
@@ -232,23 +234,23 @@
     assertNotNull(worker);
     worker.inboundBlocked = true;
     sim.runUntil(11_000 + Simulation.LEASE_MS + 4_000);
-    assertTrue(worker.epoch > 1, "its lease ran out although its reports were answered");
+    assertTrue(worker.epoch > 1, "its lease expired although its heartbeats were answered");
     for (SimulatedController node : sim.controllers.values()) {
       MachineView machineView = node.core.view().machines.get(worker.id);
       assertFalse(
           machineView != null && machineView.isSchedulable(),
-          "no start goes to a machine that doesn't hear");
+          "no start goes to an unreachable machine");
     }
     sim.runUntil(75_000);
     assertFinished(sim, "wk-000001");
-    // whether it was replaced meanwhile or not, a machine that hears again serves again
+    // whether it was replaced meanwhile or not, a machine that is reachable again runs tasks again
     worker.inboundBlocked = false;
     sim.users.submit(batchJob("wk-000002").tasks(30).build());
     sim.runUntil(200_000);
     assertFinished(sim, "wk-000002");
   }
 
-  /** The same with a cancellation: it holds on a machine that never hears of it. */
+  /** The same with a cancellation: it holds on a machine that never receives it. */
   @Test
   void cancellationHoldsOnUnreachableMachine() {
     Simulation sim = new Simulation(62);
--- a/src/test/java/mallowstall/core/HistoryDigest.java
+++ b/src/test/java/mallowstall/core/HistoryDigest.java
@@ -37,7 +37,7 @@
 /**
  * The SHA-256 digest of everything that leaves the cores in a simulated history, in order of
  * simulated time: all that they ask of the state service, workers, the cloud and each other, and
- * all answers to users and to workers' reports. Two programs with the same digests have done
+ * all answers to users and to workers' heartbeats. Two programs with the same digests have done
  * exactly the same in these histories.
  *
  * <p>Each call or answer is one line: the simulated time in ms, the controller, a fixed label, and
--- a/src/test/java/mallowstall/core/IdleWorkloadTest.java
+++ b/src/test/java/mallowstall/core/IdleWorkloadTest.java
@@ -33,17 +33,17 @@
     return sum(sim, count) - before;
   }
 
-  /** Reports without news once made five statements a second to every peer. */
+  /** Heartbeats without news cause few status updates (once five a second to every peer). */
   @Test
   void unchangedHeartbeatsSendNoStatusUpdates() {
     int few = countWhileIdle(startIdle(701, 0), node -> node.statusUpdatesSent);
     int many = countWhileIdle(startIdle(701, MACHINES), node -> node.statusUpdatesSent);
     int links = Simulation.NODES.size() * (Simulation.NODES.size() - 1);
-    assertTrue(many <= links * IDLE_PERIOD_S * 2, "statements: " + many);
-    assertTrue(many <= few * 5 / 4, "statements: " + many + " instead of " + few);
+    assertTrue(many <= links * IDLE_PERIOD_S * 2, "status updates: " + many);
+    assertTrue(many <= few * 5 / 4, "status updates: " + many + " instead of " + few);
   }
 
-  /** An unchanged machine is told again every few seconds, to each peer, and no more often. */
+  /** An unchanged machine is published again every few seconds, to each peer, and no more often. */
   @Test
   void unchangedMachineStatusesAreSentRarely() {
     Simulation sim = startIdle(702, MACHINES);
@@ -51,14 +51,14 @@
     int statusesSent = countWhileIdle(sim, node -> node.machineStatusesSent);
     int peers = Simulation.NODES.size() - 1;
     long restatements = 1 + IDLE_PERIOD_S * 1_000 / Constants.MACHINE_STATUS_REFRESH_MS;
-    // each is told in two statements at most before the peer has acknowledged it
+    // each is in two status updates at most before the peer has acknowledged it
     assertTrue(
         statusesSent <= 2 * peers * machines * restatements, statusesSent + " of " + machines);
   }
 
   /**
-   * A restarted controller claims what its former process owned a few at a time: all at once they
-   * used up the state service's rate, and no machine that came back could be taken over.
+   * A restarted controller recovers the machines of its former incarnation a few at a time: all at
+   * once they used up the state service's rate, and no machine that came back could be taken over.
    */
   @Test
   void recoveredMachinesAreRegisteredInBatches() {
--- a/src/test/java/mallowstall/core/InvariantChecker.java
+++ b/src/test/java/mallowstall/core/InvariantChecker.java
@@ -12,7 +12,8 @@
 import mallowstall.core.model.Team;
 
 /**
- * The slow plain model: what is on which machine and what users were told, checked at each step.
+ * The slow plain model: what is on which machine and what users were answered, checked at each
+ * step.
  */
 final class InvariantChecker {
   /** A task that is on a machine. */
@@ -25,18 +26,18 @@
   /** A machine that is up, with all its processors. */
   record Machine(String id, String type, String zone, boolean spot, double cpus) {}
 
-  /** How long a job may wait beside room for it once no trouble is left. */
+  /** How long a job may wait beside room for it once no fault is left. */
   static final long MAX_PENDING_MS = 90_000;
 
-  /** How long a replica may be on no machine beside room for it once no trouble is left. */
+  /** How long a replica may be on no machine beside room for it once no fault is left. */
   static final long MAX_REPLICA_MISSING_MS = 30_000;
 
   /** How long a user waits for the answer to a question. */
   static final long QUERY_TIMEOUT_MS = 2_000;
 
   /**
-   * Answers that were overtaken by a final state or an acceptance told elsewhere: both questions
-   * were under way at once, and the older answer's read was made before.
+   * Answers that were overtaken by a final state or an acceptance reported elsewhere: both
+   * questions were under way at once, and the older answer's read was made before.
    */
   final List<String> reorderedAnswers = new ArrayList<>();
 
@@ -64,10 +65,10 @@
 
   int startCount;
 
-  /** Starts after a cancellation was told, soon enough to have been under way then. */
+  /** Starts after a cancellation was confirmed, soon enough to have been under way then. */
   int startsAfterCancelCount;
 
-  /** From here on no trouble is left: every accepted job's questions must be answered. */
+  /** From here on no fault is left: every accepted job's questions must be answered. */
   long faultsEndedMs = Long.MAX_VALUE;
 
   InvariantChecker(Map<String, Team> teams, long cancelMs) {
@@ -332,7 +333,7 @@
     return jobs.get(job);
   }
 
-  /** Jobs of which something is on a machine and that nobody has called off. */
+  /** Jobs of which something is on a machine and that nobody has cancelled. */
   Set<String> runningJobs() {
     Set<String> out = new TreeSet<>();
     for (RunningTask task : runningTasks) {
--- a/src/test/java/mallowstall/core/MachineLeadershipTest.java
+++ b/src/test/java/mallowstall/core/MachineLeadershipTest.java
@@ -24,7 +24,7 @@
 
 /** Machines that change leader, or outlive the controller that leads them. */
 class MachineLeadershipTest {
-  /** Changes of machines' owners since that revision. */
+  /** Changes of machine leaders since that revision. */
   private static long registrationsSince(Simulation sim, long since) {
     return sim.stateService.changes.stream()
         .filter(item -> item.modRevision() > since)
@@ -36,8 +36,8 @@
   }
 
   /**
-   * A machine that dies with its owner: the jobs taken over wait for it only until its return
-   * proves it gone, not until the owner's next process may write it off. It once took 25 s.
+   * A machine that dies with its leader: jobs that fail over wait for it only until scale-in proves
+   * it terminated, not until the leader's next incarnation may expire its lease (25 s).
    */
   @Test
   void machineThatDiesWithItsLeaderDelaysFailoverBriefly() {
@@ -66,8 +66,8 @@
   }
 
   /**
-   * A controller without state service and peers still answers its workers, who turn to nobody
-   * else: the others take them over directly, tasks and all. Its jobs waited 20 s and more.
+   * A controller without state service and peers still answers its workers, which turn to nobody
+   * else: the others take them over directly, tasks and all, so that its jobs go on.
    */
   @Test
   void machinesOfIsolatedControllerFailOver() {
@@ -83,7 +83,8 @@
     assertFalse(next == node);
     assertTrue(next.core.mayPlace("wk-000001"), "the job goes on while the cut lasts");
     for (SimulatedWorker worker : sim.workers.values()) {
-      assertFalse(worker.controllerName.equals(node.name), "its workers have turned to the others");
+      assertFalse(
+          worker.controllerName.equals(node.name), "its workers have turned to other controllers");
       assertEquals(1, worker.epoch, "and kept their tasks");
     }
     sim.runUntil(45_000);
@@ -94,8 +95,8 @@
   }
 
   /**
-   * Many machines that turn to the controllers at once are taken over in a few changes: one change
-   * each took longer than the leases, and hundreds of tasks were lost with them.
+   * Many machines that turn to the controllers at once are registered in a few transactions: one
+   * each takes longer than the leases, and hundreds of tasks are lost with them.
    */
   @Test
   void hundredsOfMachinesChangeLeaderWithinLease() {
@@ -148,9 +149,9 @@
   }
 
   /**
-   * A restarted controller takes over the machines of its former process, counting their leases
-   * from its own start. If another has owned one of them in between, which its mirror may tell
-   * late, that one may have answered since: writing the machine off would start its tasks twice.
+   * A restarted controller recovers the machines of its former incarnation, counting their leases
+   * from its own start. If another has led one of them in between, which its replica may show late,
+   * that one may have answered since: expiring the lease would start the machine's tasks twice.
    */
   @Test
   void machineLedByAnotherInBetweenIsNotExpired() {
@@ -189,9 +190,9 @@
   }
 
   /**
-   * The same with a mirror that lags: the other owner's record, in a group that the change isn't
-   * compared with, is known only after the machine was asked for, or after that has succeeded. Seed
-   * 1753 of the histories started a task twice so.
+   * The same with a replica that lags: the other leader's entry, in a group that is no condition of
+   * the write, is known only after the machine was registered or while that is under way (seed
+   * 1753: a task started twice).
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
@@ -203,7 +204,7 @@
     SimulatedController node = sim.controllers.get(name);
     SimulatedController other = sim.controllers.get(name.equals("n1") ? "n2" : "n1");
     sim.workers.remove(worker.id).dead = true;
-    // it is back in an outage and has its mirror only when that lease is over
+    // it restarts in an outage and has its replica only when that lease is over
     sim.stateService.outage = true;
     node.crash(200);
     while (!node.running || node.core.startedAtMs() == 0) {
@@ -231,7 +232,8 @@
       sim.runUntil(sim.nowMs + 1);
     }
     MachineEntry mine = (MachineEntry) sim.stateService.entries.get(key).value();
-    assertEquals(node.core.incarnation(), mine.incarnation(), "kept from the former process");
+    assertEquals(
+        node.core.incarnation(), mine.incarnation(), "recovered from the former incarnation");
     assertTrue(sim.stateService.entries.get(key).version() > revision);
     if (inFlight) {
       node.watchStalled = false;
@@ -245,12 +247,12 @@
     MachineView machineView = node.core.view().machines.get(worker.id);
     assertTrue(
         machineView == null || !machineView.status.leaseExpired(),
-        "it must be confirmed, or returned, first");
+        "its worker must acknowledge the fencing token, or it be scaled in, first");
   }
 
   /**
-   * Reports don't name images. Whoever owned a machine next took each for missing there, so tasks
-   * went to machines that had to fetch theirs whenever a controller had ended.
+   * Heartbeats don't name images: a machine's next leader must take them over from its replica, or
+   * tasks go to machines that have to fetch theirs whenever a controller has crashed.
    */
   @Test
   void imagesStayKnownAfterLeaderChange() {
@@ -267,7 +269,7 @@
         machines.add(machineView.id);
       }
     }
-    assertFalse(machines.isEmpty(), "n0 owns machines that have the image");
+    assertFalse(machines.isEmpty(), "n0 leads machines that have the image");
     ends.crash(30_000);
     sim.runUntil(sim.nowMs + 15_000);
     for (String id : machines) {
--- a/src/test/java/mallowstall/core/PartitionSafetyTest.java
+++ b/src/test/java/mallowstall/core/PartitionSafetyTest.java
@@ -30,7 +30,9 @@
     assertFalse(node.name.equals(sim.jobEntry("wk-000001").leader()));
     assertFalse(node.core.isReady());
     for (SimulatedWorker worker : sim.workers.values()) {
-      assertFalse(worker.controllerName.equals(node.name), "its machines move to served peers");
+      assertFalse(
+          worker.controllerName.equals(node.name),
+          "its machines move to peers with a state service");
     }
     sim.runUntil(60_000);
     node.stateServiceUnreachable = false;
@@ -58,7 +60,7 @@
     assertFinished(sim, "wk-000001");
   }
 
-  /** All connections between controllers are refused: work goes on and recovers at once. */
+  /** All connections between controllers are refused: scheduling goes on and recovers at once. */
   @Test
   void controllersWithoutPeerConnectionsKeepScheduling() {
     Simulation sim = new Simulation(65);
@@ -77,7 +79,7 @@
     for (int i = 0; i < 6; i++) {
       after += sim.jobEntry("wk-00000" + i).completedTaskCount();
     }
-    assertTrue(after > before + 10, "holders' own machines serve them: " + (after - before));
+    assertTrue(after > before + 10, "job leaders' own machines run them: " + (after - before));
     sim.healPartitions();
     sim.runUntil(150_000);
     for (int i = 0; i < 6; i++) {
@@ -86,9 +88,9 @@
   }
 
   /**
-   * A controller stands still for longer than its session, between deciding and sending: its
-   * starts, answers and changes leave when it wakes. The others serve its jobs and machines
-   * meanwhile, and nothing that comes late starts a task or undoes a change.
+   * A controller pauses for longer than its session, between deciding and sending: its starts,
+   * answers and writes leave when it resumes. The others lead its jobs and machines meanwhile, and
+   * nothing that comes late starts a task or undoes a write.
    */
   @ParameterizedTest
   @ValueSource(longs = {4_000, 12_000, 28_000})
@@ -104,7 +106,7 @@
     node.pauseMs = ms;
     sim.runUntil(9_500 + ms);
     for (int i = 0; i < 9 && ms > 20_000; i++) {
-      assertTrue(leaderOf(sim, "wk-00000" + i) != node, "others hold wk-00000" + i);
+      assertTrue(leaderOf(sim, "wk-00000" + i) != node, "others lead wk-00000" + i);
     }
     sim.runUntil(200_000);
     for (int i = 0; i < 9; i++) {
@@ -113,8 +115,8 @@
   }
 
   /**
-   * What a controller read before it stood still, or waited for long, is not told: another may have
-   * called the job done or cancelled since. Seed 21124 of the histories once broke went_back so.
+   * What a controller read before it paused, or waited for long, is not reported: another may have
+   * reported the job done or cancelled since (seed 21124: went_back).
    */
   @Test
   void staleReadsAreNotReported() {
@@ -134,8 +136,8 @@
 
   /**
    * A zone is cut off with all in it while a controller outside ends. Its workers go on as long as
-   * its controller answers them, jobs submitted meanwhile are done outside, and what was held back
-   * by the cut breaks no rule when it comes.
+   * its controller answers them, jobs submitted meanwhile are done outside, and messages delayed by
+   * the partition break no invariant when they come.
    */
   @Test
   void zonePartitionDuringControllerCrash() {
--- a/src/test/java/mallowstall/core/RandomFaults.java
+++ b/src/test/java/mallowstall/core/RandomFaults.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import mallowstall.core.model.Priority;
 
-/** Random work and random troubles for seeded histories. */
+/** Random work and random faults for seeded histories. */
 final class RandomFaults {
   private RandomFaults() {}
 
@@ -47,7 +47,7 @@
     }
   }
 
-  /** One of the older troubles at random. */
+  /** One of the basic faults at random. */
   static void injectBasicFault(Simulation sim) {
     SimulatedController node = sim.controllers.get(Simulation.NODES.get(sim.random.nextInt(3)));
     switch (sim.random.nextInt(13)) {
@@ -121,7 +121,7 @@
     }
   }
 
-  /** One of the newer troubles at random; none of them begins anything new later than then. */
+  /** One of the combined faults at random; none of them begins anything new later than then. */
   static void injectCombinedFault(Simulation sim, long until) {
     SimulatedController node = sim.controllers.get(Simulation.NODES.get(sim.random.nextInt(3)));
     List<SimulatedWorker> workers = List.copyOf(sim.workers.values());
--- a/src/test/java/mallowstall/core/RandomizedSimulationTest.java
+++ b/src/test/java/mallowstall/core/RandomizedSimulationTest.java
@@ -41,7 +41,7 @@
 
   /**
    * Seed 1303 once broke wrong_place: urgent tasks of one job took the place of others in two
-   * zones. Seed 21124 broke went_back: a controller that had stood still told what it had read
+   * zones. Seed 21124 broke went_back: a controller that had paused reported what it had read
    * before.
    */
   @ParameterizedTest
@@ -93,9 +93,9 @@
   private static final Map<String, Integer> faultCounts = new TreeMap<>();
 
   /**
-   * The newer troubles meet the older ones, and each other. Seed 1753 once broke ran_twice: a
-   * machine kept from a former process was written off while another's record of it was unknown.
-   * Seed 1188 told a machine as free whose tasks were of a job not known yet.
+   * Combined faults meet the basic ones, and each other. Seed 1753 broke ran_twice: the lease of a
+   * machine recovered from a former incarnation expired while another's entry of it was unknown.
+   * Seed 1188 published a machine as free whose tasks were of a job not known yet.
    */
   @ParameterizedTest
   @ValueSource(longs = {101, 102, 103, 104, 105, 106, 107, 108, 1188, 1753})
@@ -141,7 +141,7 @@
             },
             () ->
                 String.format(
-                    "%d starts, %d of them after a told cancellation; %d answers crossed",
+                    "%d starts, %d of them after a confirmed cancellation; %d answers crossed",
                     starts.get(), startsAfterCancel.get(), crossed.get()));
   }
 
@@ -175,7 +175,9 @@
     return sim;
   }
 
-  /** A user may have given up before any controller could take the job: then it was never told. */
+  /**
+   * A user may have given up before any controller could accept the job: then there is no answer.
+   */
   private static void assertFinishedForUsers(Simulation sim) {
     for (String id : sim.users.jobs) {
       String last = sim.checker.lastState(id);
@@ -303,7 +305,7 @@
     }
   }
 
-  /** A hung machine goes on with its tasks within its lease, and with none beyond it. */
+  /** A paused machine goes on with its tasks within its lease, and with none beyond it. */
   @Test
   void pausedMachineResumesOnlyWithinLease() {
     Simulation sim = new Simulation(8);
--- a/src/test/java/mallowstall/core/RandomizedUpgradeTest.java
+++ b/src/test/java/mallowstall/core/RandomizedUpgradeTest.java
@@ -21,7 +21,7 @@
 
 /**
  * Seeded random histories of an upgrade: they begin with controllers of the version without
- * services, which change to the present one amid all troubles; then services are asked for.
+ * services, which change to the present one amid all faults; then services are submitted.
  */
 class RandomizedUpgradeTest {
   private static final long FIRST_FAULT_MS = 10_000;
@@ -30,7 +30,7 @@
   /** Whatever goes on by then by chance alone ends. */
   private static final long RANDOM_FAULTS_END_MS = 200_000;
 
-  /** The last trouble has begun by 180 s and lasts up to a minute. */
+  /** The last fault has begun by 180 s and lasts up to a minute. */
   private static final long FAULTS_END_MS = 245_000;
 
   private static final long END_MS = 440_000;
@@ -38,7 +38,7 @@
   /** All services of the team with a limit together; a batch task needs up to 4 of the 24. */
   private static final int LIMITED_TEAM_CPUS = 16;
 
-  /** What the machines that can be rented have for services beside batch jobs. */
+  /** What the machines of a full cluster have for services beside batch jobs. */
   private static final int SERVICE_CPUS = 40;
 
   private static final int HISTORIES = 4;
@@ -229,7 +229,7 @@
             : 1_000 + sim.random.nextInt(8_000));
   }
 
-  /** A holder ends; whoever claims its jobs ends in the middle of that. */
+  /** A job leader crashes; whoever takes over its jobs crashes in the middle of that. */
   private static void crashRandomDuringFailover(Simulation sim) {
     for (SimulatedController node : sim.controllers.values()) {
       crashDuringFailover(sim, node, () -> crash(sim, node));
@@ -237,8 +237,6 @@
     sim.crashBusiestLeaders();
   }
 
-  // ---- services -----------------------------------------------------------------------------
-
   /** Asked for only when all controllers are of the present version. */
   private static void submitServices(Simulation sim) {
     if (!sim.allUpgraded()) {
@@ -328,8 +326,6 @@
         : sim.workers.get(machines.get(sim.random.nextInt(machines.size())));
   }
 
-  // ---- what must hold -----------------------------------------------------------------------
-
   private static void assertInvariants(Simulation sim) {
     assertEquals(List.of(), sim.checker.violations);
     assertTrue(sim.checker.startCount > 40, "starts " + sim.checker.startCount);
@@ -343,7 +339,9 @@
     }
   }
 
-  /** A user may have given up before any controller could take the job: then it was never told. */
+  /**
+   * A user may have given up before any controller could accept the job: then there is no answer.
+   */
   private static void assertFinished(Simulation sim, String batch) {
     String last = sim.checker.lastState(batch);
     boolean over = last == null || last.equals("done") || last.equals("cancelled");
--- a/src/test/java/mallowstall/core/Recorder.java
+++ b/src/test/java/mallowstall/core/Recorder.java
@@ -35,7 +35,7 @@
   /** Whom the core answers instead of this user, who asked about the job. */
   Consumer<ApiResponse> toUser(SimulatedController node, String job, Consumer<ApiResponse> user);
 
-  /** Whom the core answers instead of this worker, which has sent the report. */
+  /** Whom the core answers instead of this worker, which has sent the heartbeat. */
   Consumer<HeartbeatResponse> toWorker(
       SimulatedController node, Heartbeat heartbeat, Consumer<HeartbeatResponse> worker);
 }
--- a/src/test/java/mallowstall/core/ReplicasTest.java
+++ b/src/test/java/mallowstall/core/ReplicasTest.java
@@ -19,8 +19,8 @@
   private static final String OTHER_JOB = "wk-000002";
 
   /**
-   * The change of the grant gets no answer and may or may not be carried out: which it was is
-   * learned, or the service never starts.
+   * The write of the quota reservation has an unknown outcome: it must be resolved, or the service
+   * never starts.
    */
   @Test
   void quotaReservationOfUnknownOutcomeIsResolved() {
@@ -135,7 +135,10 @@
     assertEquals(List.of(), sim.checker.violations);
   }
 
-  /** A silent machine is returned as proof: its lease alone would keep the replica away longer. */
+  /**
+   * An unresponsive machine is scaled in as proof: its lease alone would keep the replica away
+   * longer.
+   */
   @Test
   void replicaOfUnresponsiveMachineRestartsBeforeLeaseExpiry() {
     Simulation sim = runService(433, 2);
@@ -153,7 +156,10 @@
     assertEquals(List.of(), sim.checker.violations);
   }
 
-  /** Many silent machines are cut off rather than dead: none is returned within its lease. */
+  /**
+   * Many unresponsive machines are partitioned rather than dead: none is scaled in within its
+   * lease.
+   */
   @Test
   void manyUnresponsiveMachinesAreNotScaledIn() {
     Simulation sim = runService(434, 4);
@@ -194,7 +200,7 @@
     return sim.checker.startCount + sim.faultCounts.getOrDefault("result kept", 0);
   }
 
-  /** A service that needs ordinary machines once made all that was rented ordinary. */
+  /** A service that needs on-demand machines must not make all scale-out on-demand. */
   @Test
   void spotCapableDemandScalesOutSpotBesideServices() {
     Simulation sim = new Simulation(436);
--- a/src/test/java/mallowstall/core/SafetyTestSupport.java
+++ b/src/test/java/mallowstall/core/SafetyTestSupport.java
@@ -27,7 +27,8 @@
       sim.runUntil(sim.nowMs + 50);
       entry = node.core.store().machine(id);
     }
-    assertEquals(node.core.incarnation(), entry.incarnation(), "kept from the former process");
+    assertEquals(
+        node.core.incarnation(), entry.incarnation(), "recovered from the former incarnation");
     return entry;
   }
 
@@ -38,7 +39,7 @@
     assertEquals(job.spec().tasks(), job.completedTaskCount());
   }
 
-  /** Tasks of the job that run, by the controller that their machines report to. */
+  /** Tasks of the job that run, by the leader of their machines. */
   static Map<String, Integer> runningTasksByLeader(Simulation sim, String job) {
     Map<String, Integer> out = new TreeMap<>();
     for (SimulatedWorker worker : sim.workers.values()) {
--- a/src/test/java/mallowstall/core/SchedulingProgressTest.java
+++ b/src/test/java/mallowstall/core/SchedulingProgressTest.java
@@ -81,7 +81,10 @@
     assertEquals(List.of(), sim.checker.violations);
   }
 
-  /** The same within one team's limit: a job that uses its grant again and again gives some up. */
+  /**
+   * The same within one team's limit: a job that uses its quota reservation again and again
+   * releases some.
+   */
   @Test
   void largestJobOfTeamReleasesQuotaReservations() {
     Simulation sim = new Simulation(71);
@@ -100,7 +103,7 @@
 
   /**
    * Machines are planned for whole waves of tasks: where one and three quarters would be on time,
-   * one is, and all its machines are needed. Fewer were rented once.
+   * one is, and all its machines are needed.
    */
   @Test
   void scaleOutPlansForWholeWaves() {
--- a/src/test/java/mallowstall/core/SimulatedController.java
+++ b/src/test/java/mallowstall/core/SimulatedController.java
@@ -48,34 +48,34 @@
   /** The program version of its present process. */
   int runningVersion;
 
-  /** What happens once, when it next asks the state service for a job of another's. */
+  /** Run once, when it next requests a failover of a job. */
   Runnable onNextFailover;
 
   boolean stateServiceUnreachable;
 
-  /** Its next watch is told that what it asks for is too old. */
+  /** Its next watch is answered that the revision is compacted. */
   boolean compactNextWatch;
 
-  /** Its watches are told nothing. */
+  /** Its watches get no events. */
   boolean watchStalled;
 
-  /** ms by which the answers to its changes of machines' records are late. */
+  /** ms by which the answers to its writes of machine entries are late. */
   long machineWriteDelayMs;
 
   /** ms added to what the state service answers this node. */
   long stateDelayMs;
 
-  /** Orders to stop tasks, to whomever. */
+  /** Stop batches sent to peers. */
   int stopBatchesSent;
 
-  /** Statements sent to peers, and the machines told in them. */
+  /** Status updates sent to peers, and the machine statuses in them. */
   int statusUpdatesSent;
 
   int machineStatusesSent;
 
   int maxMachineWritesInFlight;
 
-  /** It stands still from its next event on for so many ms, while its clocks run on. */
+  /** It pauses from its next event on for so many ms, while its clocks run on. */
   long pauseMs;
 
   private long pausedUntilMs;
@@ -328,7 +328,7 @@
         return;
       }
     }
-    // in order; behind a cut it is held and delivered late
+    // in order; across a partition it is delivered late
     long when =
         Math.max(
             simulation.nowMs + sendDelayMs + simulation.randomDelayMs() / 2,
--- a/src/test/java/mallowstall/core/SimulatedTask.java
+++ b/src/test/java/mallowstall/core/SimulatedTask.java
@@ -12,6 +12,6 @@
   ExitReason exitReason;
   int step;
 
-  /** When what it does now is done; later if its machine hangs. */
+  /** When what it does now is done; later if its machine pauses. */
   long dueMs;
 }
--- a/src/test/java/mallowstall/core/SimulatedUsers.java
+++ b/src/test/java/mallowstall/core/SimulatedUsers.java
@@ -162,7 +162,7 @@
     simulation.schedule(0, () -> cancel(service));
   }
 
-  /** Calls off up that many jobs that run, within 200 ms; up to eight of their machines hang. */
+  /** Cancels up to that many running jobs within 200 ms; up to eight of their machines pause. */
   void cancelRunningJobs(int count, long hangMs) {
     List<String> ids = new ArrayList<>(simulation.checker.runningJobs());
     Set<String> machines = new TreeSet<>();
@@ -246,7 +246,7 @@
                 simulation.nowMs, asked, id, answer.status(), answer.state()));
   }
 
-  /** A job of an unknown team, or whose tasks no machine holds. */
+  /** A job of an unknown team, or whose tasks fit on no machine. */
   private void submitUnplaceable(SimulatedController node) {
     simulation.countFault("oddRequests, impossible");
     boolean team = simulation.random.nextBoolean();
--- a/src/test/java/mallowstall/core/SimulatedWorker.java
+++ b/src/test/java/mallowstall/core/SimulatedWorker.java
@@ -36,10 +36,10 @@
 
   boolean partitioned;
 
-  /** Its reports arrive, answers and commands don't reach it. */
+  /** Its heartbeats arrive, answers and commands don't reach it. */
   boolean inboundBlocked;
 
-  /** Its reports reach no controller; commands reach it and are answered. */
+  /** Its heartbeats reach no controller; commands reach it and are answered. */
   boolean outboundBlocked;
 
   /** Answers and commands reach it again. */
@@ -51,10 +51,10 @@
   /** It executes and sends nothing until then. */
   private long pausedUntilMs;
 
-  /** What has come since it hangs, in order. */
+  /** What has come since it paused, in order. */
   private final List<Runnable> queuedWhilePaused = new ArrayList<>();
 
-  /** Its lease ran out while it hung: the next session begins when it goes on. */
+  /** Its lease expired while it was paused: the next session begins when it resumes. */
   private boolean newEpochOnResume;
 
   boolean faulty;
@@ -84,7 +84,7 @@
     this.controllerName = Simulation.NODES.get(sim.random.nextInt(3));
   }
 
-  /** The cloud tells it that it will be gone after so long. */
+  /** The cloud gives it notice that it is terminated after so long. */
   void giveTerminationNotice(long ms) {
     if (dead || terminatedAtMs != 0) {
       return;
@@ -146,8 +146,8 @@
   }
 
   /**
-   * While it hangs nothing of this shows; its tasks count as gone from the lease's end on, since it
-   * can't go on with them any more.
+   * While it is paused nothing of this shows; its tasks count as stopped from the lease's end on,
+   * since it can't go on with them any more.
    */
   private void checkLease() {
     if (simulation.nowMs - leaseStartMs <= Simulation.LEASE_MS || newEpochOnResume) {
@@ -250,7 +250,7 @@
     sendDelayed(any, heartbeat, 200 + simulation.random.nextInt(3 * (int) Simulation.LEASE_MS));
   }
 
-  /** The report arrives so much later; nobody waits for the answer. */
+  /** The heartbeat arrives so much later; nobody waits for the answer. */
   private void sendDelayed(SimulatedController controller, Heartbeat heartbeat, long ms) {
     simulation.schedule(
         ms,
@@ -299,7 +299,7 @@
       HeartbeatResponse answer,
       long sent,
       long mine) {
-    // given up on, though it hung then
+    // timed out, though it was paused then
     if (simulation.nowMs - sent > 4_000) {
       timeOut(mine);
     }
--- a/src/test/java/mallowstall/core/Simulation.java
+++ b/src/test/java/mallowstall/core/Simulation.java
@@ -72,10 +72,10 @@
   /** Share of messages to the state service and to workers that go astray. */
   double messageLossRate;
 
-  /** Share of rosters that are lost, and of those that come once more, late. */
+  /** Share of status updates that are lost, and of those that come once more, late. */
   double statusUpdateFaultRate;
 
-  /** Share of reports of which a copy comes late, to any controller. */
+  /** Share of heartbeats of which a copy comes late, to any controller. */
   double duplicateHeartbeatRate;
 
   int duplicatedHeartbeats;
@@ -85,12 +85,10 @@
 
   int delayedCommands;
 
-  /**
-   * This zone is cut off from everything outside it; what goes in or out is held and comes late.
-   */
+  /** This zone is cut off from everything outside it; what goes in or out is delayed. */
   String partitionedZone;
 
-  /** By how much a cut between controllers delays what it holds, in ms; 0: 2 to 10 s. */
+  /** By how much a partition between controllers delays messages, in ms; 0: 2 to 10 s. */
   long partitionDelayMs;
 
   /** Share of transactions that get no answer and are carried out 2 to 12 s later. */
@@ -99,10 +97,10 @@
   /** Longest delay of the state service's answers to all, in ms, from 300 on; 0: it isn't slow. */
   int maxStateDelayMs;
 
-  /** Share of jobs called off as their last task ends, and as the last but one does. */
+  /** Share of jobs cancelled as their last task ends, and as the last but one does. */
   double cancelAtEndRate;
 
-  /** How often each trouble has struck, by its name. */
+  /** How often each fault was injected, by its name. */
   final Map<String, Integer> faultCounts = new TreeMap<>();
 
   /** Share of replicas that end by themselves within 20 s, as done or with an error. */
@@ -354,7 +352,7 @@
     checker.onMachineTerminated(id);
   }
 
-  /** Ends whoever owns most machines and whoever holds most jobs, for 100 to 900 ms. */
+  /** Crashes whoever leads most machines and whoever leads most jobs, for 100 to 900 ms. */
   void crashBusiestLeaders() {
     Map<String, Integer> machinesByLeader = new TreeMap<>();
     Map<String, Integer> jobsByLeader = new TreeMap<>();
--- a/src/test/java/mallowstall/core/StateLimitsTest.java
+++ b/src/test/java/mallowstall/core/StateLimitsTest.java
@@ -55,7 +55,7 @@
     return out;
   }
 
-  /** Stores the job as the version in production has it, held by this controller. */
+  /** Stores the job as the version in production has it, led by this controller. */
   private static void storeInFirstLayout(
       Simulation sim, JobSpec spec, SimulatedController holder, BitSet done) {
     int chunk = Constants.BITS_PER_CHUNK;
@@ -241,7 +241,7 @@
 
   /**
    * Nobody knew that the limits fall: entries that have become too large are tried ever more
-   * seldom, and hold up neither sessions nor other jobs of the same team.
+   * seldom, and delay neither sessions nor other jobs of the same team.
    */
   @Test
   void tooLargeWritesBackOffAndBlockNothing() {
@@ -268,7 +268,7 @@
       long tries = countRequests(sim, from, JobBitmaps.jobKey(id));
       assertTrue(tries >= 2 && tries <= 12, id + " was tried " + tries + " times");
     }
-    // and once more when its holder ends and the others try to claim them
+    // and once more when its leader crashes and the others try to take them over
     leader.crash(100_000);
     from = sim.stateService.receivedTransactions.size();
     sim.runUntil(140_000);
@@ -348,7 +348,7 @@
   /**
    * All controllers end with hundreds of machines, and few changes are allowed. One change for
    * every 40 ms of arrivals outgrew what workers wait for: each turned to the next controller and
-   * was adopted there as late, for a minute; and the cloud duty waited behind it.
+   * was registered there as late, for a minute; and the autoscaler's leader lease waited behind it.
    */
   @Test
   void machinesChangeLeaderOnceUnderLowRateLimit() {
@@ -369,7 +369,7 @@
     assertTrue(retained.size() > sim.workers.size() * 9 / 10, "kept: " + retained.size());
     assertTrue(
         sim.stateService.entries.containsKey(StateStore.AUTOSCALER_LEADER_KEY),
-        "somebody rents and returns machines again");
+        "some controller leads the autoscaling again");
     int registered = 0;
     for (KeyValue item : sim.stateService.changes) {
       if (item.modRevision() <= before) {
@@ -381,6 +381,6 @@
         registered++;
       }
     }
-    assertTrue(registered < sim.workers.size() * 5 / 4, "adopted: " + registered);
+    assertTrue(registered < sim.workers.size() * 5 / 4, "registered: " + registered);
   }
 }
--- a/src/test/java/mallowstall/core/StateServiceLink.java
+++ b/src/test/java/mallowstall/core/StateServiceLink.java
@@ -28,7 +28,7 @@
   private final Simulation simulation;
   private final SimulatedController node;
 
-  /** Changes of single machines' records that are unanswered, and the most there were. */
+  /** Writes of single machine entries that are unanswered, and the most there were. */
   private int machineWritesInFlight;
 
   StateServiceLink(Simulation simulation, SimulatedController node) {
@@ -153,7 +153,7 @@
         then);
   }
 
-  /** Whether the transaction takes over a job that another process holds. */
+  /** Whether the transaction takes over a job that another incarnation leads. */
   private boolean isFailover(Transaction txn) {
     for (PutOperation put : txn.puts()) {
       if (!(put.value() instanceof JobEntry claimed)) {
--- a/src/test/java/mallowstall/core/StatusUpdateSafetyTest.java
+++ b/src/test/java/mallowstall/core/StatusUpdateSafetyTest.java
@@ -17,8 +17,8 @@
 /** Status updates that are late, repeated, out of order, or of a former incarnation. */
 class StatusUpdateSafetyTest {
   /**
-   * A roster that still acknowledges the former process's connections must not settle a start of
-   * the new one: this once placed a task twice on a rough day.
+   * A status update that still acknowledges the former incarnation's connections must not settle a
+   * start of the new one, or a task is placed twice.
    */
   @Test
   void acknowledgementsOfFormerIncarnationAreIgnored() {
@@ -43,8 +43,8 @@
   }
 
   /**
-   * Statements between controllers are lost, late and repeated: one that builds on a statement that
-   * never came is not taken in, and the next says again all that isn't known to have been heard.
+   * Status updates are lost, late and repeated: one that builds on an update that never came is
+   * rejected, and the next contains all that has not been acknowledged.
    */
   @Test
   void statusUpdateWithSequenceGapIsRejected() {
@@ -58,7 +58,7 @@
     assertTrue(peer.machines.contains("m-900001"));
     node.enqueueEvent(
         () -> node.core.handleMessage(statusUpdate(4, 3, List.of(), List.of("m-900001"))));
-    assertEquals(1, peer.serial, "builds on the third, which never came");
+    assertEquals(1, peer.serial, "builds on the third, which was lost");
     assertTrue(peer.machines.contains("m-900001"));
     node.enqueueEvent(
         () ->
@@ -71,12 +71,12 @@
     node.enqueueEvent(
         () -> node.core.handleMessage(statusUpdate(6, 5, List.of(), List.of("m-900001"))));
     assertFalse(peer.machines.contains("m-900001"));
-    assertTrue(peer.machines.contains("m-900002"), "what isn't said anew still holds");
+    assertTrue(peer.machines.contains("m-900002"), "what isn't repeated still holds");
   }
 
   /**
-   * A holder whose session is gone knows old things: it once called tasks doubled, and asked for
-   * stops, on a machine that had been returned meanwhile. With its session it must do so.
+   * A job leader without a session has a stale view: it must not take tasks for duplicates, and
+   * stop them, on a machine that was scaled in meanwhile. With its session it must do so.
    */
   @Test
   void leaderWithoutSessionReportsNoDuplicateTask() {
--- a/src/test/java/mallowstall/core/UpgradeTest.java
+++ b/src/test/java/mallowstall/core/UpgradeTest.java
@@ -34,7 +34,7 @@
     return batchJob(BATCH_JOB).tasks(tasks).build();
   }
 
-  /** What the controller answers, which the rules are told too. */
+  /** What the controller answers, which the checker gets too. */
   private static ApiResponse awaitResponse(
       Simulation sim, String job, Consumer<Consumer<ApiResponse>> question) {
     List<ApiResponse> responses = new ArrayList<>();
--- a/src/test/java/mallowstall/core/WorkerLink.java
+++ b/src/test/java/mallowstall/core/WorkerLink.java
@@ -34,7 +34,7 @@
     }
     if (worker == null || worker.isPartitionedFrom(node) || worker.inboundBlocked) {
       if (worker != null && worker.isPartitionedFrom(node) && simulation.random.nextBoolean()) {
-        // held by the cut, executed late
+        // delayed by the partition, executed late
         simulation.schedule(
             1_000 + simulation.random.nextInt(15_000),
             () -> worker.runWhenResumed(() -> worker.executeCommands(token, session, commands)));
--- a/src/test/java/mallowstall/core/cluster/MachineViewTest.java
+++ b/src/test/java/mallowstall/core/cluster/MachineViewTest.java
@@ -7,7 +7,7 @@
 import mallowstall.core.model.MachineStatus;
 import org.junit.jupiter.api.Test;
 
-/** What follows from what owners tell of a machine. */
+/** What follows from the published status of a machine. */
 class MachineViewTest {
   private static MachineView machineView(double noticeS, boolean replace, List<String> images) {
     MachineView machineView = new MachineView("m-000001");
--- a/src/test/java/mallowstall/core/kv/JobBitmapsTest.java
+++ b/src/test/java/mallowstall/core/kv/JobBitmapsTest.java
@@ -274,7 +274,7 @@
         entries.fitsAtLargest(JobEntry.newlyAccepted(spec(10, "x".repeat(1_000)), 0, "n0", 3)));
   }
 
-  /** What is told of a job that is over never changes, also when its bits move. */
+  /** What is reported of a job that is over never changes, also when its bits move. */
   @Test
   void cancelledJobKeepsDoneCount() {
     BitSet done = new BitSet();
