--- a/src/test/java/mallowstall/core/FailoverSafetyTest.java
+++ b/src/test/java/mallowstall/core/FailoverSafetyTest.java
@@ -1,7 +1,9 @@
 package mallowstall.core;
 
+import static mallowstall.core.SafetyTestSupport.assertAllFinished;
 import static mallowstall.core.SafetyTestSupport.assertFinished;
 import static mallowstall.core.SafetyTestSupport.leaderOf;
+import static mallowstall.core.SafetyTestSupport.submitJobs;
 import static mallowstall.core.model.JobSpecBuilder.batchJob;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -95,9 +97,7 @@
   void replicaResetDuringFailoverLosesNoJob() {
     Simulation sim = new Simulation(73);
     sim.runUntil(8_000);
-    for (int i = 0; i < 8; i++) {
-      sim.users.submit(batchJob("wk-00000" + i).tasks(8).team("tight").build());
-    }
+    submitJobs(sim, 8, 8, "tight");
     sim.runUntil(12_000);
     SimulatedController node = leaderOf(sim, "wk-000001");
     node.crash(60_000);
@@ -106,9 +106,7 @@
       controller.compactNextWatch = true;
     }
     sim.runUntil(250_000);
-    for (int i = 0; i < 8; i++) {
-      assertFinished(sim, "wk-00000" + i);
-    }
+    assertAllFinished(sim, 8);
   }
 
   /**
@@ -127,9 +125,7 @@
       sim.duplicateHeartbeatRate = 0.2;
       sim.messageLossRate = 0.03;
       sim.runUntil(8_000);
-      for (int i = 0; i < 6; i++) {
-        sim.users.submit(batchJob("wk-00000" + i).tasks(8).team("tight").build());
-      }
+      submitJobs(sim, 6, 8, "tight");
       sim.runUntil(12_000);
       for (int i = 0; i < 5; i++) {
         sim.controllers.get(Simulation.NODES.get(i % 3)).crash(4_000);
@@ -162,9 +158,7 @@
       }
       sim.stopRandomFaults();
       sim.runUntil(300_000);
-      for (int i = 0; i < 6; i++) {
-        assertFinished(sim, "wk-00000" + i);
-      }
+      assertAllFinished(sim, 6);
     }
   }
 }
--- a/src/test/java/mallowstall/core/FaultSafetyTest.java
+++ b/src/test/java/mallowstall/core/FaultSafetyTest.java
@@ -1,7 +1,9 @@
 package mallowstall.core;
 
+import static mallowstall.core.SafetyTestSupport.assertAllFinished;
 import static mallowstall.core.SafetyTestSupport.assertFinished;
 import static mallowstall.core.SafetyTestSupport.leaderOf;
+import static mallowstall.core.SafetyTestSupport.submitJobs;
 import static mallowstall.core.SafetyTestSupport.sum;
 import static mallowstall.core.model.JobSpecBuilder.batchJob;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -86,9 +88,7 @@
       sim.controllers.get(Simulation.NODES.get(i % 3)).crash(80);
     }
     sim.runUntil(200_000);
-    for (int i = 0; i < 8; i++) {
-      assertFinished(sim, "wk-00000" + i);
-    }
+    assertAllFinished(sim, 8);
   }
 
   @Test
@@ -144,13 +144,9 @@
   void theQuotaHoldsAcrossControllers() {
     Simulation sim = new Simulation(40);
     sim.runUntil(6_000);
-    for (int i = 0; i < 9; i++) {
-      sim.users.submit(batchJob("wk-00000" + i).tasks(9).team("tight").build());
-    }
+    submitJobs(sim, 9, 9, "tight");
     sim.runUntil(250_000);
-    for (int i = 0; i < 9; i++) {
-      assertFinished(sim, "wk-00000" + i);
-    }
+    assertAllFinished(sim, 9);
     assertEquals(
         0,
         ((TeamUsageEntry) sim.stateService.entries.get(StateStore.TEAM_PREFIX + "tight").value())
@@ -163,9 +159,7 @@
   void allControllersCrashInOutage() {
     Simulation sim = new Simulation(66);
     sim.runUntil(8_000);
-    for (int i = 0; i < 6; i++) {
-      sim.users.submit(batchJob("wk-00000" + i).tasks(6).team("tight").build());
-    }
+    submitJobs(sim, 6, 6, "tight");
     sim.runUntil(12_000);
     sim.stateService.outage = true;
     sim.runUntil(15_000);
@@ -182,8 +176,6 @@
       assertEquals(200, responses.get(0).status(), "known at " + controller.name);
     }
     sim.runUntil(200_000);
-    for (int i = 0; i < 6; i++) {
-      assertFinished(sim, "wk-00000" + i);
-    }
+    assertAllFinished(sim, 6);
   }
 }
--- a/src/test/java/mallowstall/core/InvariantChecker.java
+++ b/src/test/java/mallowstall/core/InvariantChecker.java
@@ -180,9 +180,7 @@
 
   void check(long now) {
     for (Map.Entry<String, Long> entry : lastAnswerMs.entrySet()) {
-      String last = lastReportedState.get(entry.getKey());
-      boolean over = "done".equals(last) || "cancelled".equals(last);
-      if (!over && now - 75_000 > Math.max(faultsEndedMs, entry.getValue())) {
+      if (!isOver(entry.getKey()) && now - 75_000 > Math.max(faultsEndedMs, entry.getValue())) {
         violations.add(now + " forgotten: no question about " + entry.getKey() + " is answered");
         entry.setValue(now);
       }
@@ -267,11 +265,8 @@
 
   /** Accepted, not over, and nobody has asked to cancel it. */
   private boolean shouldRun(String job) {
-    String last = lastReportedState.get(job);
-    if (last == null || last.equals("done") || last.equals("cancelled")) {
-      return false;
-    }
-    return !cancelRequested.contains(job);
+    boolean accepted = lastReportedState.containsKey(job);
+    return accepted && !isOver(job) && !cancelRequested.contains(job);
   }
 
   /** Whether the team is under its limit and some other machine may take one more of the tasks. */
@@ -382,8 +377,7 @@
       return;
     }
     lastAnswerMs.put(job, now);
-    boolean terminal = "done".equals(before) || "cancelled".equals(before);
-    if (terminal && !before.equals(state)) {
+    if (isOver(job) && !before.equals(state)) {
       String what = now + " went_back: " + job + " " + before + " " + state;
       what += " since " + terminalStateMs.get(job) + ", asked at " + asked;
       boolean crossing = asked < terminalStateMs.get(job) && now - asked <= QUERY_TIMEOUT_MS;
@@ -416,6 +410,12 @@
     lastReportedState.put(job, state);
   }
 
+  /** Whether a user was answered that the job is done or cancelled. */
+  boolean isOver(String job) {
+    String last = lastReportedState.get(job);
+    return "done".equals(last) || "cancelled".equals(last);
+  }
+
   String lastState(String job) {
     return lastReportedState.get(job);
   }
--- a/src/test/java/mallowstall/core/MachineLeadershipTest.java
+++ b/src/test/java/mallowstall/core/MachineLeadershipTest.java
@@ -1,8 +1,10 @@
 package mallowstall.core;
 
+import static mallowstall.core.SafetyTestSupport.assertAllFinished;
 import static mallowstall.core.SafetyTestSupport.assertFinished;
 import static mallowstall.core.SafetyTestSupport.awaitRecovery;
 import static mallowstall.core.SafetyTestSupport.leaderOf;
+import static mallowstall.core.SafetyTestSupport.submitJobs;
 import static mallowstall.core.model.JobSpecBuilder.batchJob;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -126,9 +128,7 @@
     Simulation sim = new Simulation(91);
     sim.addMachines(1_462);
     sim.runUntil(20_000);
-    for (int i = 0; i < 6; i++) {
-      sim.users.submit(batchJob("wk-00000" + i).tasks(700).build());
-    }
+    submitJobs(sim, 6, 700, "free");
     sim.runUntil(24_000);
     long before = sim.stateService.revision;
     sim.crashAll(2_000);
@@ -143,9 +143,7 @@
     sim.stateService.endOutage();
     sim.crashAll(2_000);
     sim.runUntil(110_000);
-    for (int i = 0; i < 6; i++) {
-      assertFinished(sim, "wk-00000" + i);
-    }
+    assertAllFinished(sim, 6);
   }
 
   /**
--- a/src/test/java/mallowstall/core/PartitionSafetyTest.java
+++ b/src/test/java/mallowstall/core/PartitionSafetyTest.java
@@ -1,7 +1,9 @@
 package mallowstall.core;
 
+import static mallowstall.core.SafetyTestSupport.assertAllFinished;
 import static mallowstall.core.SafetyTestSupport.assertFinished;
 import static mallowstall.core.SafetyTestSupport.leaderOf;
+import static mallowstall.core.SafetyTestSupport.submitJobs;
 import static mallowstall.core.model.JobSpecBuilder.batchJob;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -65,9 +67,7 @@
   void controllersWithoutPeerConnectionsKeepScheduling() {
     Simulation sim = new Simulation(65);
     sim.runUntil(8_000);
-    for (int i = 0; i < 6; i++) {
-      sim.users.submit(batchJob("wk-00000" + i).tasks(30).build());
-    }
+    submitJobs(sim, 6, 30, "free");
     sim.runUntil(14_000);
     sim.partitionPeers();
     int before = 0;
@@ -82,9 +82,7 @@
     assertTrue(after > before + 10, "job leaders' own machines run them: " + (after - before));
     sim.healPartitions();
     sim.runUntil(150_000);
-    for (int i = 0; i < 6; i++) {
-      assertFinished(sim, "wk-00000" + i);
-    }
+    assertAllFinished(sim, 6);
   }
 
   /**
@@ -98,9 +96,7 @@
     Simulation sim = new Simulation(80 + ms);
     sim.taskRunMs = 3_000;
     sim.runUntil(8_000);
-    for (int i = 0; i < 9; i++) {
-      sim.users.submit(batchJob("wk-00000" + i).tasks(8).team("tight").build());
-    }
+    submitJobs(sim, 9, 8, "tight");
     sim.runUntil(9_500);
     SimulatedController node = leaderOf(sim, "wk-000004");
     node.pauseMs = ms;
@@ -109,9 +105,7 @@
       assertTrue(leaderOf(sim, "wk-00000" + i) != node, "others lead wk-00000" + i);
     }
     sim.runUntil(200_000);
-    for (int i = 0; i < 9; i++) {
-      assertFinished(sim, "wk-00000" + i);
-    }
+    assertAllFinished(sim, 9);
   }
 
   /**
@@ -143,9 +137,7 @@
   void zonePartitionDuringControllerCrash() {
     Simulation sim = new Simulation(90);
     sim.runUntil(8_000);
-    for (int i = 0; i < 4; i++) {
-      sim.users.submit(batchJob("wk-00000" + i).tasks(8).team("tight").build());
-    }
+    submitJobs(sim, 4, 8, "tight");
     sim.runUntil(10_000);
     sim.partitionZone("b");
     sim.runUntil(20_000);
@@ -162,8 +154,6 @@
     }
     sim.healPartitions();
     sim.runUntil(200_000);
-    for (int i = 0; i < 8; i++) {
-      assertFinished(sim, "wk-00000" + i);
-    }
+    assertAllFinished(sim, 8);
   }
 }
--- a/src/test/java/mallowstall/core/RandomFaults.java
+++ b/src/test/java/mallowstall/core/RandomFaults.java
@@ -9,6 +9,14 @@
 final class RandomFaults {
   private RandomFaults() {}
 
+  /** How many messages are lost, late or repeated, by the remainders of the history's seed. */
+  static void setMessageFaultRates(Simulation sim, long seed) {
+    sim.messageLossRate = seed % 4 == 0 ? 0.02 : 0;
+    sim.statusUpdateFaultRate = seed % 2 == 0 ? 0.2 : 0;
+    sim.duplicateHeartbeatRate = seed % 3 == 0 ? 0.2 : 0;
+    sim.delayedTransactionRate = seed % 5 == 0 ? 0.1 : 0.01;
+  }
+
   /** So many random batch jobs within 70 s, some of them cancelled. */
   static void scheduleRandomJobs(Simulation sim, int jobs) {
     scheduleRandomJobs(sim, jobs, 70_000);
--- a/src/test/java/mallowstall/core/RandomizedSimulationTest.java
+++ b/src/test/java/mallowstall/core/RandomizedSimulationTest.java
@@ -56,8 +56,8 @@
       sim.schedule(10_000 + sim.random.nextInt(110_000), () -> RandomFaults.injectBasicFault(sim));
     }
     sim.schedule(140_000, sim::stopRandomFaults);
-    sim.checker.faultsEndedMs =
-        185_000; // the last trouble has begun by 120 s and lasts up to a minute
+    // the last fault has begun by 120 s and lasts up to a minute
+    sim.checker.faultsEndedMs = 185_000;
     sim.runUntil(330_000);
     assertAllFinished(sim);
     assertTrue(sim.checker.startCount > 40, "starts " + sim.checker.startCount);
@@ -115,7 +115,7 @@
     }
     Set<String> missing = new TreeSet<>(FAULTS);
     missing.removeAll(faultCounts.keySet());
-    assertEquals(Set.of(), missing, "never struck in any of the histories");
+    assertEquals(Set.of(), missing, "injected in none of the histories");
   }
 
   /**
@@ -152,10 +152,7 @@
   /** Plays the history of the seed; what leaves the cores goes to the recorder. */
   static Simulation runCombinedFaults(long seed, Recorder recorder) {
     Simulation sim = new Simulation(seed, ProgramVersion.CURRENT, recorder);
-    sim.messageLossRate = seed % 4 == 0 ? 0.02 : 0;
-    sim.statusUpdateFaultRate = seed % 2 == 0 ? 0.2 : 0;
-    sim.duplicateHeartbeatRate = seed % 3 == 0 ? 0.2 : 0;
-    sim.delayedTransactionRate = seed % 5 == 0 ? 0.1 : 0.01;
+    RandomFaults.setMessageFaultRates(sim, seed);
     sim.cancelAtEndRate = 0.2;
     // with a state service this slow a poll is overtaken by the cancellation at another controller
     sim.checker.reorderedAnswersViolate = false;
@@ -169,8 +166,8 @@
           () -> RandomFaults.injectCombinedFault(sim, 140_000));
     }
     sim.schedule(140_000, sim::stopRandomFaults);
-    sim.checker.faultsEndedMs =
-        185_000; // the last trouble has begun by 120 s and lasts up to a minute
+    // the last fault has begun by 120 s and lasts up to a minute
+    sim.checker.faultsEndedMs = 185_000;
     sim.runUntil(400_000);
     return sim;
   }
--- a/src/test/java/mallowstall/core/RandomizedUpgradeTest.java
+++ b/src/test/java/mallowstall/core/RandomizedUpgradeTest.java
@@ -107,10 +107,7 @@
   /** Plays the history of the seed; what leaves the cores goes to the recorder. */
   static Simulation runHistory(long seed, Recorder recorder) {
     Simulation sim = new Simulation(seed, ProgramVersion.UNKNOWN, recorder);
-    sim.messageLossRate = seed % 4 == 0 ? 0.02 : 0;
-    sim.statusUpdateFaultRate = seed % 2 == 0 ? 0.2 : 0;
-    sim.duplicateHeartbeatRate = seed % 3 == 0 ? 0.2 : 0;
-    sim.delayedTransactionRate = seed % 5 == 0 ? 0.1 : 0.01;
+    RandomFaults.setMessageFaultRates(sim, seed);
     sim.cancelAtEndRate = 0.1;
     sim.replicaExitRate = 0.2;
     sim.checker.reorderedAnswersViolate =
--- a/src/test/java/mallowstall/core/SafetyTestSupport.java
+++ b/src/test/java/mallowstall/core/SafetyTestSupport.java
@@ -1,5 +1,6 @@
 package mallowstall.core;
 
+import static mallowstall.core.model.JobSpecBuilder.batchJob;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.ArrayList;
@@ -19,7 +20,7 @@
     return sim.controllers.get(sim.jobEntry(id).leader());
   }
 
-  /** Runs until the controller has the machine from its former process; its record of it. */
+  /** Runs until the controller has recovered the machine from its former incarnation; its entry. */
   static MachineEntry awaitRecovery(Simulation sim, SimulatedController node, String id) {
     MachineEntry entry = node.core.store().machine(id);
     while (sim.nowMs < 25_000
@@ -32,6 +33,21 @@
     return entry;
   }
 
+  /** Submits so many jobs of so many tasks each, wk-000000 and on. */
+  static void submitJobs(Simulation sim, int jobs, int tasks, String team) {
+    for (int i = 0; i < jobs; i++) {
+      sim.users.submit(batchJob("wk-00000" + i).tasks(tasks).team(team).build());
+    }
+  }
+
+  /** The first so many jobs, from wk-000000 on, have finished. */
+  static void assertAllFinished(Simulation sim, int jobs) {
+    for (int i = 0; i < jobs; i++) {
+      assertFinished(sim, "wk-00000" + i);
+    }
+  }
+
+  /** The job is done, to users and in the state service, and no invariant was broken. */
   static void assertFinished(Simulation sim, String id) {
     assertEquals(List.of(), sim.checker.violations);
     assertEquals("done", sim.checker.lastState(id));
--- a/src/test/java/mallowstall/core/SimulatedUsers.java
+++ b/src/test/java/mallowstall/core/SimulatedUsers.java
@@ -48,8 +48,7 @@
     if (simulation.nowMs > until) {
       return;
     }
-    SimulatedController node =
-        simulation.controllers.get(Simulation.NODES.get(simulation.random.nextInt(3)));
+    SimulatedController node = randomController();
     long asked = simulation.nowMs;
     boolean[] answered = {false};
     if (node.running) {
@@ -83,35 +82,34 @@
         });
   }
 
+  private SimulatedController randomController() {
+    return simulation.controllers.get(Simulation.NODES.get(simulation.random.nextInt(3)));
+  }
+
+  private void query(SimulatedController node, String id, Consumer<ApiResponse> user) {
+    node.enqueueEvent(() -> node.core.query(id, simulation.recorder.toUser(node, id, user)));
+  }
+
+  /** The user has the answer to a request made at {@code asked}. */
+  private void recordAnswer(long asked, String id, ApiResponse answer) {
+    simulation.checker.onAnswer(simulation.nowMs, asked, id, answer.status(), answer.state());
+  }
+
   private void poll(String id) {
-    String last = simulation.checker.lastState(id);
-    if ("done".equals(last) || "cancelled".equals(last)) {
-      if (simulation.random.nextInt(4) > 0) {
-        return;
-      }
+    if (simulation.checker.isOver(id) && simulation.random.nextInt(4) > 0) {
+      return;
     }
-    SimulatedController node =
-        simulation.controllers.get(Simulation.NODES.get(simulation.random.nextInt(3)));
+    SimulatedController node = randomController();
     long asked = simulation.nowMs;
     if (node.running) {
-      node.enqueueEvent(
-          () ->
-              node.core.query(
-                  id,
-                  simulation.recorder.toUser(
-                      node,
-                      id,
-                      answer ->
-                          simulation.checker.onAnswer(
-                              simulation.nowMs, asked, id, answer.status(), answer.state()))));
+      query(node, id, answer -> recordAnswer(asked, id, answer));
     }
     simulation.schedule(2_000 + simulation.random.nextInt(3_000), () -> poll(id));
   }
 
   void cancel(String id) {
     simulation.checker.onCancelRequested(id);
-    SimulatedController node =
-        simulation.controllers.get(Simulation.NODES.get(simulation.random.nextInt(3)));
+    SimulatedController node = randomController();
     if (!node.running) {
       simulation.schedule(1_000, () -> cancel(id));
       return;
@@ -125,8 +123,7 @@
                     node,
                     id,
                     answer -> {
-                      simulation.checker.onAnswer(
-                          simulation.nowMs, asked, id, answer.status(), answer.state());
+                      recordAnswer(asked, id, answer);
                       if (answer.state() == null && answer.status() != 404) {
                         simulation.schedule(1_000, () -> cancel(id));
                       }
@@ -207,8 +204,7 @@
         done.add(id);
       }
     }
-    SimulatedController node =
-        simulation.controllers.get(Simulation.NODES.get(simulation.random.nextInt(3)));
+    SimulatedController node = randomController();
     switch (simulation.random.nextInt(4)) {
       case 0 -> {
         if (!answeredJobs.isEmpty() && node.running) {
@@ -234,16 +230,10 @@
   }
 
   private void resubmit(SimulatedController node, String id) {
-    String last = simulation.checker.lastState(id);
-    boolean over = "done".equals(last) || "cancelled".equals(last);
-    simulation.countFault(over ? "oddRequests, over again" : "oddRequests, again");
+    simulation.countFault(
+        simulation.checker.isOver(id) ? "oddRequests, over again" : "oddRequests, again");
     long asked = simulation.nowMs;
-    submitAt(
-        node,
-        simulation.checker.spec(id),
-        answer ->
-            simulation.checker.onAnswer(
-                simulation.nowMs, asked, id, answer.status(), answer.state()));
+    submitAt(node, simulation.checker.spec(id), answer -> recordAnswer(asked, id, answer));
   }
 
   /** A job of an unknown team, or whose tasks fit on no machine. */
@@ -272,8 +262,7 @@
 
   /** A service of more replicas than its team may run at once is asked for. */
   void submitUnplaceableService() {
-    SimulatedController node =
-        simulation.controllers.get(Simulation.NODES.get(simulation.random.nextInt(3)));
+    SimulatedController node = randomController();
     if (!node.running) {
       return;
     }
@@ -291,19 +280,9 @@
   }
 
   private void queryJob(String id) {
-    SimulatedController node =
-        simulation.controllers.get(Simulation.NODES.get(simulation.random.nextInt(3)));
+    SimulatedController node = randomController();
     if (node.running) {
-      node.enqueueEvent(
-          () ->
-              node.core.query(
-                  id,
-                  simulation.recorder.toUser(
-                      node,
-                      id,
-                      answer ->
-                          simulation.checker.onAnswer(
-                              simulation.nowMs, id, answer.status(), answer.state()))));
+      query(node, id, answer -> recordAnswer(simulation.nowMs, id, answer));
     }
   }
 }
--- a/src/test/java/mallowstall/core/StateLimitsTest.java
+++ b/src/test/java/mallowstall/core/StateLimitsTest.java
@@ -45,7 +45,7 @@
 
   static final String TOO_MANY = "limits, too many";
 
-  private static JobSpec manyTaskSpec(Simulation sim, String id, String team) {
+  private static JobSpec manyTaskSpec(String id, String team) {
     return batchJob(id).tasks(MANY_TASKS).cpus(4).team(team).build();
   }
 
@@ -57,14 +57,14 @@
 
   /** Stores the job as the version in production has it, led by this controller. */
   private static void storeInFirstLayout(
-      Simulation sim, JobSpec spec, SimulatedController holder, BitSet done) {
+      Simulation sim, JobSpec spec, SimulatedController leader, BitSet done) {
     int chunk = Constants.BITS_PER_CHUNK;
     JobEntry job =
         new JobEntry(
             spec,
             1_700_000_000_000L,
-            holder.name,
-            holder.core.incarnation(),
+            leader.name,
+            leader.core.incarnation(),
             1,
             done.get(0, chunk).toByteArray(),
             done.cardinality(),
@@ -133,14 +133,14 @@
     sim.stateService.setLimits(LIMITS_BEFORE);
     sim.addMachines(300);
     sim.runUntil(20_000);
-    sim.users.submit(manyTaskSpec(sim, "wk-000001", "free"));
-    sim.users.submit(manyTaskSpec(sim, "wk-000002", "tight"));
+    sim.users.submit(manyTaskSpec("wk-000001", "free"));
+    sim.users.submit(manyTaskSpec("wk-000002", "tight"));
     sim.runUntil(35_000);
     SimulatedController first = sim.controllers.get(sim.jobEntry("wk-000001").leader());
     BitSet done = firstTasks(30_000);
     done.clear(5_000);
     done.clear(20_000);
-    storeInFirstLayout(sim, manyTaskSpec(sim, "wk-000003", "free"), first, done);
+    storeInFirstLayout(sim, manyTaskSpec("wk-000003", "free"), first, done);
     assertBitsOnlyGrow(sim, "wk-000001", "wk-000002", "wk-000003");
     long revision = sim.stateService.revision;
     first.crash(40_000);
@@ -180,7 +180,7 @@
   void cancellingOversizedEntryKeepsCompletionBits() {
     Simulation sim = new Simulation(310, LIMITS_AFTER);
     sim.runUntil(10_000);
-    JobSpec spec = manyTaskSpec(sim, "wk-000001", "free");
+    JobSpec spec = manyTaskSpec("wk-000001", "free");
     storeInFirstLayout(sim, spec, sim.controllers.get("n1"), firstTasks(30_000));
     assertBitsOnlyGrow(sim, "wk-000001");
     sim.stateService.setLimits(LIMITS_AFTER);
@@ -249,7 +249,7 @@
     sim.runUntil(10_000);
     SimulatedController leader = sim.controllers.get("n1");
     for (String id : List.of("wk-000001", "wk-000002")) {
-      JobSpec spec = manyTaskSpec(sim, id, id.equals("wk-000001") ? "free" : "tight");
+      JobSpec spec = manyTaskSpec(id, id.equals("wk-000001") ? "free" : "tight");
       storeInFirstLayout(sim, spec, leader, firstTasks(30_000));
     }
     sim.stateService.setLimits(LIMITS_AFTER);
--- a/src/test/java/mallowstall/core/UpgradeTest.java
+++ b/src/test/java/mallowstall/core/UpgradeTest.java
@@ -26,11 +26,11 @@
   /** For what was taken over to be placed and run again. */
   private static final long RESTART_TIMEOUT_MS = 40_000;
 
-  private static JobSpec serviceSpec(Simulation sim) {
+  private static JobSpec serviceSpec() {
     return service(SERVICE_JOB).tasks(REPLICAS).build();
   }
 
-  private static JobSpec batchSpec(Simulation sim, int tasks) {
+  private static JobSpec batchSpec(int tasks) {
     return batchJob(BATCH_JOB).tasks(tasks).build();
   }
 
@@ -75,7 +75,7 @@
 
   private static Simulation startWithService(long seed) {
     Simulation sim = startMixedVersions(seed, "n0", "n1", "n2");
-    assertEquals(201, submitAt(sim, sim.controllers.get("n0"), serviceSpec(sim)).status());
+    assertEquals(201, submitAt(sim, sim.controllers.get("n0"), serviceSpec()).status());
     sim.runUntil(sim.nowMs + 10_000);
     assertEquals(REPLICAS, sim.checker.runningReplicas(SERVICE_JOB));
     return sim;
@@ -85,14 +85,14 @@
   void serviceIsAcceptedOnceAllControllersAreUpgraded() {
     Simulation sim = startMixedVersions(301, "n0", "n1");
     SimulatedController asked = sim.controllers.get("n0");
-    ApiResponse early = submitAt(sim, asked, serviceSpec(sim));
+    ApiResponse early = submitAt(sim, asked, serviceSpec());
     assertEquals(503, early.status());
     assertTrue(early.retryAfterS() >= 1, "Retry-After: " + early.retryAfterS());
     sim.upgrade(sim.controllers.get("n2"), 500);
     sim.runUntil(sim.nowMs + 300);
-    assertEquals(503, submitAt(sim, asked, serviceSpec(sim)).status(), "it is down and was old");
+    assertEquals(503, submitAt(sim, asked, serviceSpec()).status(), "it is down and was old");
     sim.runUntil(sim.nowMs + 8_000);
-    assertEquals(201, submitAt(sim, asked, serviceSpec(sim)).status());
+    assertEquals(201, submitAt(sim, asked, serviceSpec()).status());
     sim.runUntil(sim.nowMs + 10_000);
     assertEquals("running", queryAt(sim, asked, SERVICE_JOB).state());
     assertEquals(REPLICAS, sim.checker.runningReplicas(SERVICE_JOB));
@@ -105,7 +105,7 @@
     Simulation sim = startMixedVersions(302, "n0", "n1", "n2");
     sim.controllers.get("n2").crash(30_000);
     sim.runUntil(sim.nowMs + 10_000);
-    assertEquals(201, submitAt(sim, sim.controllers.get("n0"), serviceSpec(sim)).status());
+    assertEquals(201, submitAt(sim, sim.controllers.get("n0"), serviceSpec()).status());
     assertEquals(List.of(), sim.checker.violations);
   }
 
@@ -115,7 +115,7 @@
     SimulatedController old = sim.controllers.get("n2");
     restartOldVersion(sim, old);
     for (String name : List.of("n0", "n1")) {
-      ApiResponse again = submitAt(sim, sim.controllers.get(name), serviceSpec(sim));
+      ApiResponse again = submitAt(sim, sim.controllers.get(name), serviceSpec());
       assertEquals(200, again.status());
       assertEquals("running", again.state());
       JobSpec other = service("wk-000003").tasks(1).build();
@@ -129,7 +129,7 @@
   void restartedOldControllerLeavesServicesToOthers() {
     for (String name : Simulation.NODES) {
       Simulation sim = startWithService(304);
-      sim.users.submit(batchSpec(sim, 6));
+      sim.users.submit(batchSpec(6));
       SimulatedController old = sim.controllers.get(name);
       old.installedVersion = ProgramVersion.UNKNOWN;
       old.crash(500);
@@ -196,17 +196,17 @@
   @Test
   void controllerCrashBeforeUpgradeRestartsOldVersion() {
     Simulation sim = startMixedVersions(307, "n0");
-    sim.users.submit(batchSpec(sim, 12));
+    sim.users.submit(batchSpec(12));
     sim.runUntil(sim.nowMs + 3_000);
     SimulatedController early = sim.controllers.get("n2");
     early.crash(1_000);
     sim.runUntil(sim.nowMs + 10_000);
     assertTrue(early.running && !early.supportsServices(), "it is back, and old");
-    assertEquals(503, submitAt(sim, sim.controllers.get("n0"), serviceSpec(sim)).status());
+    assertEquals(503, submitAt(sim, sim.controllers.get("n0"), serviceSpec()).status());
     sim.runUntil(sim.nowMs + RESTART_TIMEOUT_MS);
     assertEquals("done", sim.checker.lastState(BATCH_JOB));
     upgrade(sim, "n2", "n1");
-    assertEquals(201, submitAt(sim, sim.controllers.get("n2"), serviceSpec(sim)).status());
+    assertEquals(201, submitAt(sim, sim.controllers.get("n2"), serviceSpec()).status());
     sim.runUntil(sim.nowMs + 10_000);
     assertEquals(REPLICAS, sim.checker.runningReplicas(SERVICE_JOB));
     assertEquals(List.of(), sim.checker.violations);
