--- a/src/test/java/mallowstall/core/CombinedFaultsTest.java
+++ b/src/test/java/mallowstall/core/CombinedFaultsTest.java
@@ -16,7 +16,7 @@
   /** Six jobs run, two of them of a team at its quota, when the faults meet. */
   @ParameterizedTest
   @EnumSource(FaultCombination.class)
-  void invariantsHold(FaultCombination meeting) {
+  void invariantsHold(FaultCombination combination) {
     for (long seed = 1; seed <= 3; seed++) {
       Simulation sim = new Simulation(200 + seed);
       sim.taskRunMs = 25_000;
@@ -27,11 +27,11 @@
       }
       sim.runUntil(18_000);
       assertTrue(sim.checker.startCount > 8, "work is under way");
-      assertTrue(meeting.inject(sim), meeting + " took place, seed " + seed);
+      assertTrue(combination.inject(sim), combination + " took place, seed " + seed);
       sim.taskRunMs = 3_000;
       sim.checker.faultsEndedMs = sim.nowMs;
       sim.runUntil(sim.nowMs + 260_000);
-      assertEquals(List.of(), sim.checker.violations, meeting + ", seed " + seed);
+      assertEquals(List.of(), sim.checker.violations, combination + ", seed " + seed);
       for (String id : sim.users.jobs) {
         String last = sim.checker.lastState(id);
         assertTrue("done".equals(last) || "cancelled".equals(last), id + " is " + last);
--- a/src/test/java/mallowstall/core/DelayedRequestsTest.java
+++ b/src/test/java/mallowstall/core/DelayedRequestsTest.java
@@ -26,9 +26,9 @@
   private static final String CANCELLED_JOB = "wk-000001";
 
   /**
-   * A controller's former process asked for its session, without an answer; it is carried out after
-   * the new process has its own, and ends with the former one's lease. The new one must not go on
-   * renewing a lease without a session, as all others would take it for dead.
+   * A controller's former incarnation asked for its session, without an answer; it is carried out
+   * after the new process has its own, and ends with the former one's lease. The new one must not
+   * go on renewing a lease without a session, as all others would take it for dead.
    */
   @Test
   void delayedSessionWriteReplacesNoNewerSession() {
--- a/src/test/java/mallowstall/core/FailoverSafetyTest.java
+++ b/src/test/java/mallowstall/core/FailoverSafetyTest.java
@@ -138,8 +138,8 @@
             if (!change.key().startsWith(prefix)) {
               continue;
             }
-            if (change.value() instanceof AutoscalerLeaderEntry duty) {
-              claimant = duty.node();
+            if (change.value() instanceof AutoscalerLeaderEntry entry) {
+              claimant = entry.node();
             } else if (change.value() instanceof JobEntry job && job.epoch() > 1) {
               claimant = job.leader();
             } else if (change.value() instanceof MachineGroupEntry group) {
--- a/src/test/java/mallowstall/core/FaultSafetyTest.java
+++ b/src/test/java/mallowstall/core/FaultSafetyTest.java
@@ -141,7 +141,7 @@
   }
 
   @Test
-  void theQuotaHoldsAcrossControllers() {
+  void quotaHoldsAcrossControllers() {
     Simulation sim = new Simulation(40);
     sim.runUntil(6_000);
     submitJobs(sim, 9, 9, "tight");
--- a/src/test/java/mallowstall/core/HeartbeatSafetyTest.java
+++ b/src/test/java/mallowstall/core/HeartbeatSafetyTest.java
@@ -26,7 +26,13 @@
 /** Heartbeats that are late, repeated or lost, and machines that commands do not reach. */
 class HeartbeatSafetyTest {
   private static Heartbeat heartbeatCopy(
-      SimulatedWorker worker, long session, long seq, long token) {
+      SimulatedWorker worker, long session, long sequence, long token) {
+    return heartbeatCopy(worker, session, sequence, token, "wk-000001");
+  }
+
+  /** A heartbeat of this worker that names a running task of the job. */
+  private static Heartbeat heartbeatCopy(
+      SimulatedWorker worker, long session, long sequence, long token, String job) {
     return new Heartbeat(
         worker.id,
         worker.id,
@@ -34,10 +40,10 @@
         worker.zone,
         worker.spot,
         session,
-        seq,
+        sequence,
         token,
         null,
-        List.of(new TaskReport("wk-000001", 0, 1, TaskState.RUNNING, null, false)));
+        List.of(new TaskReport(job, 0, 1, TaskState.RUNNING, null, false)));
   }
 
   /**
@@ -50,17 +56,8 @@
     SimulatedWorker worker = sim.workers.values().iterator().next();
     SimulatedController leader = sim.controllers.get(sim.machineEntry(worker.id).node());
     Heartbeat staleHeartbeat =
-        new Heartbeat(
-            worker.id,
-            worker.id,
-            "t8",
-            worker.zone,
-            worker.spot,
-            worker.epoch,
-            worker.heartbeatSequence + 50,
-            worker.token,
-            null,
-            List.of(new TaskReport("wk-000009", 0, 1, TaskState.RUNNING, null, false)));
+        heartbeatCopy(
+            worker, worker.epoch, worker.heartbeatSequence + 50, worker.token, "wk-000009");
     sim.killMachine(worker.id);
     sim.runUntil(sim.nowMs + 12_500 + Constants.WATCH_TIMEOUT_MS);
     List<HeartbeatResponse> responses = new ArrayList<>();
--- a/src/test/java/mallowstall/core/MachineLeadershipTest.java
+++ b/src/test/java/mallowstall/core/MachineLeadershipTest.java
@@ -160,7 +160,8 @@
       String name = sim.machineEntry(worker.id).node();
       SimulatedController node = sim.controllers.get(name);
       SimulatedController other = sim.controllers.get(name.equals("n1") ? "n2" : "n1");
-      sim.workers.remove(worker.id).dead = true; // silent; whether it is gone nobody knows
+      sim.workers.remove(worker.id).dead =
+          true; // unresponsive; nobody knows whether it is terminated
       node.crash(1_000);
       sim.runUntil(9_100);
       long first = node.core.startedAtMs();
--- /dev/null
+++ b/src/test/java/mallowstall/core/PeerLink.java
@@ -0,0 +1,120 @@
+package mallowstall.core;
+
+import java.util.HashMap;
+import java.util.Map;
+import mallowstall.core.model.PeerMessage;
+import mallowstall.core.model.StatusUpdate;
+import mallowstall.core.model.StopBatch;
+
+/** The connections of one controller to its peers: lossy, slow, or partitioned. */
+final class PeerLink {
+  private final Simulation simulation;
+  private final SimulatedController node;
+
+  private final Map<String, Long> connectionIds = new HashMap<>();
+
+  private final Map<String, Long> lastArrivalMs = new HashMap<>();
+
+  private long lastConnectionId;
+
+  PeerLink(Simulation simulation, SimulatedController node) {
+    this.simulation = simulation;
+    this.node = node;
+  }
+
+  void connect(String peer) {
+    if (!node.running || connectionIds.containsKey(peer)) {
+      return;
+    }
+    if (Boolean.TRUE.equals(node.partitionedPeers.get(peer))
+        || !simulation.controllers.containsKey(peer)
+        || !simulation.controllers.get(peer).running) {
+      int startedProcess = node.processNumber;
+      simulation.schedule(
+          700,
+          () -> {
+            if (startedProcess == node.processNumber) {
+              connect(peer);
+            }
+          });
+      return;
+    }
+    long connectionId = ++lastConnectionId;
+    connectionIds.put(peer, connectionId);
+    node.enqueueEvent(() -> node.core.peerConnected(peer, connectionId));
+  }
+
+  void disconnect(String peer) {
+    connectionIds.remove(peer);
+    int startedProcess = node.processNumber;
+    simulation.schedule(
+        700,
+        () -> {
+          if (startedProcess == node.processNumber) {
+            connect(peer);
+          }
+        });
+  }
+
+  void send(String peer, PeerMessage message) {
+    if (message instanceof StopBatch) {
+      node.stopBatchesSent++;
+    } else if (message instanceof StatusUpdate statusUpdate) {
+      node.statusUpdatesSent++;
+      node.machineStatusesSent += statusUpdate.machines().size();
+    }
+    if (!connectionIds.containsKey(peer)) {
+      return;
+    }
+    SimulatedController other = simulation.controllers.get(peer);
+    int startedProcess = other.processNumber;
+    if (message instanceof StatusUpdate
+        && simulation.random.nextDouble() < simulation.statusUpdateFaultRate) {
+      boolean lost = simulation.random.nextBoolean();
+      simulation.schedule(
+          simulation.random.nextInt(6_000),
+          () -> {
+            if (other.running && other.processNumber == startedProcess) {
+              other.enqueueEvent(() -> other.core.handleMessage(message));
+            }
+          });
+      if (lost) {
+        return;
+      }
+    }
+    // in order; across a partition it is delivered late
+    long when =
+        Math.max(
+            simulation.nowMs + node.sendDelayMs + simulation.randomDelayMs() / 2,
+            lastArrivalMs.getOrDefault(peer, 0L));
+    if (Boolean.TRUE.equals(node.partitionedPeers.get(peer))) {
+      when =
+          Math.max(
+              when,
+              simulation.nowMs
+                  + (simulation.partitionDelayMs > 0
+                      ? simulation.partitionDelayMs
+                      : 2_000 + simulation.random.nextInt(8_000)));
+    }
+    lastArrivalMs.put(peer, when);
+    simulation.schedule(
+        when - simulation.nowMs,
+        () -> {
+          if (other.running && other.processNumber == startedProcess) {
+            other.enqueueEvent(() -> other.core.handleMessage(message));
+          } else if (connectionIds.containsKey(peer)) {
+            disconnect(peer);
+          }
+        });
+  }
+
+  /** The node's process has ended: its connections have, too. */
+  void closeAll() {
+    connectionIds.clear();
+  }
+
+  /** The node has a new process, which counts its connections anew. */
+  void restart() {
+    lastConnectionId = 0;
+  }
+}
--- a/src/test/java/mallowstall/core/RandomizedSimulationTest.java
+++ b/src/test/java/mallowstall/core/RandomizedSimulationTest.java
@@ -20,13 +20,26 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Seeded random histories of three cores against the plain model of the rules. */
+/**
+ * Seeded random histories of three cores against the plain model of the rules. Seeds that once
+ * broke a rule stay among those that every build plays, or became a case of their own:
+ *
+ * <ul>
+ *   <li>1188: a machine was published as free whose tasks were of a job not known yet.
+ *   <li>1303 (wrong_place): urgent tasks of one job took the place of others in two zones.
+ *   <li>1753 (ran_twice): the lease of a machine recovered from a former incarnation expired while
+ *       another's entry of it was unknown; see also {@link MachineLeadershipTest}.
+ *   <li>3745, 3818 (ran_twice): a lease was counted from a former session's last heartbeat; see
+ *       {@link HeartbeatSafetyTest}.
+ *   <li>21124 (went_back): a controller that had paused reported what it had read before; see also
+ *       {@link PartitionSafetyTest}.
+ * </ul>
+ */
 class RandomizedSimulationTest {
   private static void assertAllFinished(Simulation sim) {
     assertEquals(List.of(), sim.checker.violations);
     for (String id : sim.users.jobs) {
-      String last = sim.checker.lastState(id);
-      assertTrue("done".equals(last) || "cancelled".equals(last), id + " is " + last);
+      assertTrue(sim.checker.isOver(id), id + " is " + sim.checker.lastState(id));
     }
   }
 
@@ -39,11 +52,6 @@
     assertTrue(sim.checker.startCount > 60, "starts " + sim.checker.startCount);
   }
 
-  /**
-   * Seed 1303 once broke wrong_place: urgent tasks of one job took the place of others in two
-   * zones. Seed 21124 broke went_back: a controller that had paused reported what it had read
-   * before.
-   */
   @ParameterizedTest
   @ValueSource(longs = {11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 1303, 1694, 21124})
   void invariantsHoldUnderRandomFaults(long seed) {
@@ -92,11 +100,7 @@
   private static int historiesRun;
   private static final Map<String, Integer> faultCounts = new TreeMap<>();
 
-  /**
-   * Combined faults meet the basic ones, and each other. Seed 1753 broke ran_twice: the lease of a
-   * machine recovered from a former incarnation expired while another's entry of it was unknown.
-   * Seed 1188 published a machine as free whose tasks were of a job not known yet.
-   */
+  /** Combined faults meet the basic ones, and each other. */
   @ParameterizedTest
   @ValueSource(longs = {101, 102, 103, 104, 105, 106, 107, 108, 1188, 1753})
   void invariantsHoldUnderCombinedFaults(long seed) {
--- a/src/test/java/mallowstall/core/RandomizedUpgradeTest.java
+++ b/src/test/java/mallowstall/core/RandomizedUpgradeTest.java
@@ -63,7 +63,7 @@
   @ValueSource(longs = {1, 2, 3, 4})
   void upgradeUnderFaultsKeepsInvariants(long seed) {
     Simulation sim = runHistory(seed);
-    sim.faultCounts.forEach((trouble, times) -> faultCounts.merge(trouble, times, Integer::sum));
+    sim.faultCounts.forEach((fault, times) -> faultCounts.merge(fault, times, Integer::sum));
     historiesRun++;
     assertInvariants(sim);
   }
--- a/src/test/java/mallowstall/core/SimulatedController.java
+++ b/src/test/java/mallowstall/core/SimulatedController.java
@@ -22,16 +22,18 @@
 import mallowstall.core.model.PeerMessage;
 import mallowstall.core.model.ProgramVersion;
 import mallowstall.core.model.ScaleOutRequest;
-import mallowstall.core.model.StatusUpdate;
-import mallowstall.core.model.StopBatch;
 import mallowstall.core.model.StoredEntry;
 import mallowstall.core.model.WorkerCommand;
 
 /** A controller, and the world as it sees it. */
 final class SimulatedController implements Effects {
   private final Simulation simulation;
+
   private final StateServiceLink stateServiceLink;
+
   private final WorkerLink workerLink;
+  private final PeerLink peerLink;
+
   private final SimulatedCloud cloud;
 
   final String name;
@@ -97,18 +99,13 @@
 
   final long clockSkewMs;
 
-  final Map<String, Long> connectionIds = new HashMap<>();
-
-  final Map<String, Long> lastArrivalMs = new HashMap<>();
-
   final Map<String, Boolean> partitionedPeers = new HashMap<>();
 
-  long lastConnectionId;
-
   SimulatedController(Simulation sim, String name, int programVersion) {
     this.simulation = sim;
     this.stateServiceLink = new StateServiceLink(sim, this);
     this.workerLink = new WorkerLink(sim, this);
+    this.peerLink = new PeerLink(sim, this);
     this.cloud = new SimulatedCloud(sim, this);
     this.name = name;
     this.installedVersion = programVersion;
@@ -125,7 +122,7 @@
     busyUntilMs = 0;
     tickQueued = false;
     stateServiceLink.forgetPendingWrites();
-    lastConnectionId = 0;
+    peerLink.restart();
     List<String> peers = new ArrayList<>(Simulation.NODES);
     peers.remove(name);
     core =
@@ -152,7 +149,7 @@
             },
             simulation.random.nextLong());
     for (String peer : peers) {
-      simulation.schedule(20, () -> connect(peer));
+      simulation.schedule(20, () -> peerLink.connect(peer));
     }
     int startedProcess = processNumber;
     simulation.schedule(5, () -> tick(startedProcess));
@@ -170,7 +167,7 @@
   void crash(long downMs) {
     running = false;
     processNumber++;
-    connectionIds.clear();
+    peerLink.closeAll();
     simulation.schedule(downMs, this::boot);
   }
 
@@ -267,93 +264,6 @@
         });
   }
 
-  void connect(String peer) {
-    if (!running || connectionIds.containsKey(peer)) {
-      return;
-    }
-    if (Boolean.TRUE.equals(partitionedPeers.get(peer))
-        || !simulation.controllers.containsKey(peer)
-        || !simulation.controllers.get(peer).running) {
-      int startedProcess = processNumber;
-      simulation.schedule(
-          700,
-          () -> {
-            if (startedProcess == processNumber) {
-              connect(peer);
-            }
-          });
-      return;
-    }
-    long connectionId = ++lastConnectionId;
-    connectionIds.put(peer, connectionId);
-    enqueueEvent(() -> core.peerConnected(peer, connectionId));
-  }
-
-  void disconnect(String peer) {
-    connectionIds.remove(peer);
-    int startedProcess = processNumber;
-    simulation.schedule(
-        700,
-        () -> {
-          if (startedProcess == processNumber) {
-            connect(peer);
-          }
-        });
-  }
-
-  @Override
-  public void send(String node, PeerMessage message) {
-    if (message instanceof StopBatch) {
-      stopBatchesSent++;
-    } else if (message instanceof StatusUpdate statusUpdate) {
-      statusUpdatesSent++;
-      machineStatusesSent += statusUpdate.machines().size();
-    }
-    if (!connectionIds.containsKey(node)) {
-      return;
-    }
-    SimulatedController other = simulation.controllers.get(node);
-    int startedProcess = other.processNumber;
-    if (message instanceof StatusUpdate
-        && simulation.random.nextDouble() < simulation.statusUpdateFaultRate) {
-      boolean lost = simulation.random.nextBoolean();
-      simulation.schedule(
-          simulation.random.nextInt(6_000),
-          () -> {
-            if (other.running && other.processNumber == startedProcess) {
-              other.enqueueEvent(() -> other.core.handleMessage(message));
-            }
-          });
-      if (lost) {
-        return;
-      }
-    }
-    // in order; across a partition it is delivered late
-    long when =
-        Math.max(
-            simulation.nowMs + sendDelayMs + simulation.randomDelayMs() / 2,
-            lastArrivalMs.getOrDefault(node, 0L));
-    if (Boolean.TRUE.equals(partitionedPeers.get(node))) {
-      when =
-          Math.max(
-              when,
-              simulation.nowMs
-                  + (simulation.partitionDelayMs > 0
-                      ? simulation.partitionDelayMs
-                      : 2_000 + simulation.random.nextInt(8_000)));
-    }
-    lastArrivalMs.put(node, when);
-    simulation.schedule(
-        when - simulation.nowMs,
-        () -> {
-          if (other.running && other.processNumber == startedProcess) {
-            other.enqueueEvent(() -> other.core.handleMessage(message));
-          } else if (connectionIds.containsKey(node)) {
-            disconnect(node);
-          }
-        });
-  }
-
   @Override
   public int encodedSizeBytes(StoredEntry value) {
     return Simulation.encodedSize(value);
@@ -418,4 +328,14 @@
   public void listMachines(String after, Consumer<InventoryPage> then) {
     cloud.listMachines(after, then);
   }
+
+  @Override
+  public void send(String peer, PeerMessage message) {
+    peerLink.send(peer, message);
+  }
+
+  /** The connection to the peer fails, and is tried again. */
+  void disconnect(String peer) {
+    peerLink.disconnect(peer);
+  }
 }
--- a/src/test/java/mallowstall/core/Simulation.java
+++ b/src/test/java/mallowstall/core/Simulation.java
@@ -180,8 +180,8 @@
     replicaExitRate = 0;
   }
 
-  void countFault(String trouble) {
-    faultCounts.merge(trouble, 1, Integer::sum);
+  void countFault(String fault) {
+    faultCounts.merge(fault, 1, Integer::sum);
   }
 
   private void checkInvariants() {
--- a/src/test/java/mallowstall/core/StateServiceLink.java
+++ b/src/test/java/mallowstall/core/StateServiceLink.java
@@ -122,10 +122,10 @@
 
   private void submitTransaction(Transaction txn, Consumer<TransactionResult> then) {
     if (node.onNextFailover != null && isFailover(txn)) {
-      Runnable meeting = node.onNextFailover;
+      Runnable action = node.onNextFailover;
       node.onNextFailover = null;
       simulation.countFault("claim");
-      simulation.schedule(0, meeting);
+      simulation.schedule(0, action);
     }
     boolean served =
         !simulation.stateService.outage && !node.stateServiceUnreachable && node.sendDelayMs == 0;
--- a/src/test/java/mallowstall/core/StatusUpdateSafetyTest.java
+++ b/src/test/java/mallowstall/core/StatusUpdateSafetyTest.java
@@ -2,6 +2,7 @@
 
 import static mallowstall.core.SafetyTestSupport.leaderOf;
 import static mallowstall.core.model.JobSpecBuilder.batchJob;
+import static mallowstall.core.model.MachineStatusBuilder.statusOf;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -26,19 +27,9 @@
     sim.runUntil(6_000);
     SimulatedController node = sim.controllers.get("n0");
     long mine = node.core.incarnation();
-    node.enqueueEvent(
-        () ->
-            node.core.handleMessage(
-                new StatusUpdate(
-                    "n1", 1_000, 1, 0, 0, 0, 1, mine - 1, 99, 99, 0, List.of(), List.of(),
-                    List.of(), List.of())));
+    node.enqueueEvent(() -> node.core.handleMessage(acknowledgement(1, mine - 1)));
     assertEquals(0, node.core.view().peer("n1").acknowledgedConnection);
-    node.enqueueEvent(
-        () ->
-            node.core.handleMessage(
-                new StatusUpdate(
-                    "n1", 1_000, 2, 0, 0, 0, 1, mine, 99, 99, 0, List.of(), List.of(), List.of(),
-                    List.of())));
+    node.enqueueEvent(() -> node.core.handleMessage(acknowledgement(2, mine)));
     assertEquals(99, node.core.view().peer("n1").acknowledgedConnection);
   }
 
@@ -52,7 +43,7 @@
     sim.runUntil(6_000);
     SimulatedController node = sim.controllers.get("n0");
     PeerState peer = node.core.view().peer("n9");
-    MachineStatus state = machineStatus("m-900001", 1);
+    MachineStatus state = statusOf("m-900001").build();
     node.enqueueEvent(() -> node.core.handleMessage(statusUpdate(1, 0, List.of(state), List.of())));
     assertEquals(1, peer.serial);
     assertTrue(peer.machines.contains("m-900001"));
@@ -63,7 +54,7 @@
     node.enqueueEvent(
         () ->
             node.core.handleMessage(
-                statusUpdate(5, 1, List.of(machineStatus("m-900002", 1)), List.of())));
+                statusUpdate(5, 1, List.of(statusOf("m-900002").build()), List.of())));
     assertEquals(5, peer.serial);
     node.enqueueEvent(
         () -> node.core.handleMessage(statusUpdate(4, 1, List.of(), List.of("m-900002"))));
@@ -96,7 +87,7 @@
       node.stateServiceUnreachable = !session;
       sim.runUntil(20_000);
       TaskStatus older = new TaskStatus("wk-000001", 0, attempt - 1, TaskState.RUNNING, null);
-      MachineStatus state = machineStatus("m-900001", 1, List.of(older));
+      MachineStatus state = statusOf("m-900001").tasks(List.of(older)).build();
       node.stopBatchesSent = 0;
       node.enqueueEvent(
           () -> node.core.handleMessage(statusUpdate(1, 0, List.of(state), List.of())));
@@ -104,14 +95,24 @@
     }
   }
 
-  private static MachineStatus machineStatus(String id, long token) {
-    return machineStatus(id, token, List.of());
-  }
-
-  private static MachineStatus machineStatus(String id, long token, List<TaskStatus> tasks) {
-    return new MachineStatus(
-        id, id, token, 1L << 40, 1, 1, true, true, false, false, false, false, "t8", "a", false, -1,
-        8, 0, 32, 1, List.of(), tasks);
+  /** Of the starts sent on the connection 99 of this incarnation of the receiver. */
+  private static StatusUpdate acknowledgement(long serial, long incarnation) {
+    return new StatusUpdate(
+        "n1",
+        1_000,
+        serial,
+        0,
+        0,
+        0,
+        1,
+        incarnation,
+        99,
+        99,
+        0,
+        List.of(),
+        List.of(),
+        List.of(),
+        List.of());
   }
 
   private static StatusUpdate statusUpdate(
--- a/src/test/java/mallowstall/core/cluster/MachineViewTest.java
+++ b/src/test/java/mallowstall/core/cluster/MachineViewTest.java
@@ -3,50 +3,30 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.List;
-import mallowstall.core.model.MachineStatus;
+import mallowstall.core.model.MachineStatusBuilder;
 import org.junit.jupiter.api.Test;
 
 /** What follows from the published status of a machine. */
 class MachineViewTest {
-  private static MachineView machineView(double noticeS, boolean replace, List<String> images) {
+  private static MachineView machineView(double noticeS, boolean replace) {
     MachineView machineView = new MachineView("m-000001");
     machineView.leader = "n0";
     machineView.status =
-        new MachineStatus(
-            "m-000001",
-            "a:1",
-            1,
-            1,
-            1,
-            1,
-            true,
-            true,
-            false,
-            replace,
-            false,
-            false,
-            "t8",
-            "a",
-            false,
-            noticeS,
-            8,
-            0,
-            32,
-            0,
-            images,
-            List.of());
+        MachineStatusBuilder.statusOf("m-000001")
+            .interruptionNoticeS(noticeS)
+            .needsReplacement(replace)
+            .build();
     return machineView;
   }
 
   @Test
   void machineLeavesOnNoticeOrReplacement() {
-    assertFalse(machineView(-1, false, List.of()).isDeparting());
-    assertTrue(machineView(0, false, List.of()).isDeparting());
-    assertTrue(machineView(12, false, List.of()).isDeparting());
-    assertTrue(machineView(-1, true, List.of()).isDeparting());
-    MachineView nobodys = machineView(12, false, List.of());
-    nobodys.leader = null;
-    assertFalse(nobodys.isDeparting(), "nobody could be asked to stop its replicas");
+    assertFalse(machineView(-1, false).isDeparting());
+    assertTrue(machineView(0, false).isDeparting());
+    assertTrue(machineView(12, false).isDeparting());
+    assertTrue(machineView(-1, true).isDeparting());
+    MachineView withoutLeader = machineView(12, false);
+    withoutLeader.leader = null;
+    assertFalse(withoutLeader.isDeparting(), "nobody could be asked to stop its replicas");
   }
 }
--- a/src/test/java/mallowstall/core/model/CoreSettingsBuilder.java
+++ b/src/test/java/mallowstall/core/model/CoreSettingsBuilder.java
@@ -32,16 +32,19 @@
     return new CoreSettingsBuilder(node);
   }
 
+  /** The names of the other controllers. */
   public CoreSettingsBuilder peers(List<String> value) {
     peers = value;
     return this;
   }
 
+  /** The zone of each controller. */
   public CoreSettingsBuilder nodeZones(Map<String, String> value) {
     nodeZones = value;
     return this;
   }
 
+  /** The teams with their quotas, by name. */
   public CoreSettingsBuilder teams(Map<String, Team> value) {
     teams = value;
     return this;
@@ -76,6 +79,7 @@
     return this;
   }
 
+  /** The program version that the controller shows to its peers. */
   public CoreSettingsBuilder programVersion(int value) {
     programVersion = value;
     return this;
--- a/src/test/java/mallowstall/core/model/JobSpecBuilder.java
+++ b/src/test/java/mallowstall/core/model/JobSpecBuilder.java
@@ -77,16 +77,19 @@
     return copy;
   }
 
+  /** Its class; by default one for each priority. */
   public JobSpecBuilder jobClass(String value) {
     jobClass = value;
     return this;
   }
 
+  /** The team whose quota it counts against. */
   public JobSpecBuilder team(String value) {
     team = value;
     return this;
   }
 
+  /** Its priority; normal unless set. */
   public JobSpecBuilder priority(Priority value) {
     priority = value;
     return this;
@@ -98,16 +101,19 @@
     return this;
   }
 
+  /** What each of its tasks takes. */
   public JobSpecBuilder cpus(double value) {
     cpus = value;
     return this;
   }
 
+  /** The image of its tasks; by default one of its own. */
   public JobSpecBuilder image(String value) {
     image = value;
     return this;
   }
 
+  /** The only machine types that it may run on; null: any. */
   public JobSpecBuilder machineTypes(List<String> value) {
     machineTypes = value;
     return this;
@@ -119,26 +125,31 @@
     return this;
   }
 
+  /** Whether all its tasks must run in one zone. */
   public JobSpecBuilder singleZone(boolean value) {
     singleZone = value;
     return this;
   }
 
+  /** Whether at most half of its tasks may run in one zone. */
   public JobSpecBuilder spread(boolean value) {
     spread = value;
     return this;
   }
 
+  /** Whether it may run on spot machines. */
   public JobSpecBuilder spot(boolean value) {
     spot = value;
     return this;
   }
 
+  /** How long a task runs, as its user estimates, in seconds. */
   public JobSpecBuilder estimatedRunS(double value) {
     estimatedRunS = value;
     return this;
   }
 
+  /** Its deadline in seconds; null: none. */
   public JobSpecBuilder deadlineS(Double value) {
     deadlineS = value;
     return this;
