--- a/src/test/java/mallowstall/core/RandomizedSimulationTest.java
+++ b/src/test/java/mallowstall/core/RandomizedSimulationTest.java
@@ -1,5 +1,6 @@
 package mallowstall.core;
 
+import static mallowstall.core.model.JobSpecBuilder.batchJob;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,7 +13,6 @@
 import java.util.concurrent.atomic.AtomicLong;
 import mallowstall.core.model.CommandKind;
 import mallowstall.core.model.JobSpec;
-import mallowstall.core.model.Priority;
 import mallowstall.core.model.ProgramVersion;
 import mallowstall.core.model.WorkerCommand;
 import org.junit.jupiter.api.AfterAll;
@@ -20,13 +20,26 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Seeded random histories of three cores against the plain model of the rules. */
+/**
+ * Seeded random histories of three cores against the plain model of the rules. Seeds that once
+ * broke a rule stay among those that every build plays, or became a case of their own:
+ *
+ * <ul>
+ *   <li>1188: a machine was published as free whose tasks were of a job not known yet.
+ *   <li>1303 (wrong_place): urgent tasks of one job took the place of others in two zones.
+ *   <li>1753 (ran_twice): the lease of a machine recovered from a former incarnation expired while
+ *       another's entry of it was unknown; see also {@link MachineLeadershipTest}.
+ *   <li>3745, 3818 (ran_twice): a lease was counted from a former session's last heartbeat; see
+ *       {@link HeartbeatSafetyTest}.
+ *   <li>21124 (went_back): a controller that had paused reported what it had read before; see also
+ *       {@link PartitionSafetyTest}.
+ * </ul>
+ */
 class RandomizedSimulationTest {
   private static void assertAllFinished(Simulation sim) {
     assertEquals(List.of(), sim.checker.violations);
-    for (String id : sim.jobs) {
-      String last = sim.checker.lastState(id);
-      assertTrue("done".equals(last) || "cancelled".equals(last), id + " is " + last);
+    for (String id : sim.users.jobs) {
+      assertTrue(sim.checker.isOver(id), id + " is " + sim.checker.lastState(id));
     }
   }
 
@@ -39,11 +52,6 @@
     assertTrue(sim.checker.startCount > 60, "starts " + sim.checker.startCount);
   }
 
-  /**
-   * Seed 1303 once broke wrong_place: urgent tasks of one job took the place of others in two
-   * zones. Seed 21124 broke went_back: a controller that had stood still told what it had read
-   * before.
-   */
   @ParameterizedTest
   @ValueSource(longs = {11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 1303, 1694, 21124})
   void invariantsHoldUnderRandomFaults(long seed) {
@@ -56,8 +64,8 @@
       sim.schedule(10_000 + sim.random.nextInt(110_000), () -> RandomFaults.injectBasicFault(sim));
     }
     sim.schedule(140_000, sim::stopRandomFaults);
-    sim.checker.faultsEndedMs =
-        185_000; // the last trouble has begun by 120 s and lasts up to a minute
+    // the last fault has begun by 120 s and lasts up to a minute
+    sim.checker.faultsEndedMs = 185_000;
     sim.runUntil(330_000);
     assertAllFinished(sim);
     assertTrue(sim.checker.startCount > 40, "starts " + sim.checker.startCount);
@@ -92,11 +100,7 @@
   private static int historiesRun;
   private static final Map<String, Integer> faultCounts = new TreeMap<>();
 
-  /**
-   * The newer troubles meet the older ones, and each other. Seed 1753 once broke ran_twice: a
-   * machine kept from a former process was written off while another's record of it was unknown.
-   * Seed 1188 told a machine as free whose tasks were of a job not known yet.
-   */
+  /** Combined faults meet the basic ones, and each other. */
   @ParameterizedTest
   @ValueSource(longs = {101, 102, 103, 104, 105, 106, 107, 108, 1188, 1753})
   void invariantsHoldUnderCombinedFaults(long seed) {
@@ -115,7 +119,7 @@
     }
     Set<String> missing = new TreeSet<>(FAULTS);
     missing.removeAll(faultCounts.keySet());
-    assertEquals(Set.of(), missing, "never struck in any of the histories");
+    assertEquals(Set.of(), missing, "injected in none of the histories");
   }
 
   /**
@@ -141,7 +145,7 @@
             },
             () ->
                 String.format(
-                    "%d starts, %d of them after a told cancellation; %d answers crossed",
+                    "%d starts, %d of them after a confirmed cancellation; %d answers crossed",
                     starts.get(), startsAfterCancel.get(), crossed.get()));
   }
 
@@ -152,10 +156,7 @@
   /** Plays the history of the seed; what leaves the cores goes to the recorder. */
   static Simulation runCombinedFaults(long seed, Recorder recorder) {
     Simulation sim = new Simulation(seed, ProgramVersion.CURRENT, recorder);
-    sim.messageLossRate = seed % 4 == 0 ? 0.02 : 0;
-    sim.statusUpdateFaultRate = seed % 2 == 0 ? 0.2 : 0;
-    sim.duplicateHeartbeatRate = seed % 3 == 0 ? 0.2 : 0;
-    sim.delayedTransactionRate = seed % 5 == 0 ? 0.1 : 0.01;
+    RandomFaults.setMessageFaultRates(sim, seed);
     sim.cancelAtEndRate = 0.2;
     // with a state service this slow a poll is overtaken by the cancellation at another controller
     sim.checker.reorderedAnswersViolate = false;
@@ -169,15 +170,17 @@
           () -> RandomFaults.injectCombinedFault(sim, 140_000));
     }
     sim.schedule(140_000, sim::stopRandomFaults);
-    sim.checker.faultsEndedMs =
-        185_000; // the last trouble has begun by 120 s and lasts up to a minute
+    // the last fault has begun by 120 s and lasts up to a minute
+    sim.checker.faultsEndedMs = 185_000;
     sim.runUntil(400_000);
     return sim;
   }
 
-  /** A user may have given up before any controller could take the job: then it was never told. */
+  /**
+   * A user may have given up before any controller could accept the job: then there is no answer.
+   */
   private static void assertFinishedForUsers(Simulation sim) {
-    for (String id : sim.jobs) {
+    for (String id : sim.users.jobs) {
       String last = sim.checker.lastState(id);
       assertTrue(
           last == null || "done".equals(last) || "cancelled".equals(last), id + " is " + last);
@@ -189,8 +192,7 @@
   void checkerDetectsUnansweredJob() {
     Simulation sim = new Simulation(6);
     InvariantChecker rules = new InvariantChecker(sim.teams, 1_000);
-    rules.onSubmitted(
-        sim.batchSpec("wk-000003", 1, 4, Priority.NORMAL, "free", false, false, false, null));
+    rules.onSubmitted(batchJob("wk-000003").tasks(1).cpus(4).spot(false).build());
     rules.faultsEndedMs = 10_000;
     rules.onAnswer(9_000, "wk-000003", 201, "pending");
     rules.onAnswer(60_000, "wk-000003", 503, null);
@@ -206,12 +208,12 @@
     Simulation sim = new Simulation(5);
     sim.runUntil(5_000);
     JobSpec spec =
-        sim.batchSpec("wk-000001", 2, 4, Priority.NORMAL, "tight", true, false, false, null);
+        batchJob("wk-000001").tasks(2).cpus(4).team("tight").singleZone(true).spot(false).build();
     sim.checker.onSubmitted(spec);
     List<SimulatedWorker> workers = List.copyOf(sim.workers.values());
     WorkerCommand run = new WorkerCommand(CommandKind.START, "wk-000001", 0, 1, 0);
-    workers.get(0).execute(run);
-    workers.get(1).execute(run);
+    workers.get(0).taskRunner.execute(run);
+    workers.get(1).taskRunner.execute(run);
     sim.runUntil(8_000);
     assertTrue(
         sim.checker.violations.stream().anyMatch(b -> b.contains("ran_twice")),
@@ -220,8 +222,7 @@
         sim.checker.violations.stream().anyMatch(b -> b.contains("wrong_place")),
         sim.checker.violations.toString());
     InvariantChecker rules = new InvariantChecker(sim.teams, 1_000);
-    rules.onSubmitted(
-        sim.batchSpec("wk-000002", 9, 4, Priority.NORMAL, "tight", false, false, false, null));
+    rules.onSubmitted(batchJob("wk-000002").tasks(9).cpus(4).team("tight").spot(false).build());
     for (int i = 0; i < 7; i++) {
       rules.onStarted(
           1, new InvariantChecker.RunningTask("m" + i, "wk-000002", i, "t8", "a", false));
@@ -253,7 +254,7 @@
     Simulation sim = new Simulation(7);
     InvariantChecker rules = new InvariantChecker(sim.teams, 1_000);
     rules.onSubmitted(
-        sim.batchSpec("wk-000004", 2, 4, Priority.NORMAL, "tight", false, false, false, "a"));
+        batchJob("wk-000004").tasks(2).cpus(4).team("tight").spot(false).zone("a").build());
     rules.onAnswer(1, "wk-000004", 201, "pending");
     rules.faultsEndedMs = 1_000;
     rules.onMachineUp(new InvariantChecker.Machine("m1", "t8", "b", false, 8)); // not allowed
@@ -305,19 +306,18 @@
     }
   }
 
-  /** A hung machine goes on with its tasks within its lease, and with none beyond it. */
+  /** A paused machine goes on with its tasks within its lease, and with none beyond it. */
   @Test
   void pausedMachineResumesOnlyWithinLease() {
     Simulation sim = new Simulation(8);
     sim.taskRunMs = 20_000;
     sim.runUntil(5_000);
-    sim.checker.onSubmitted(
-        sim.batchSpec("wk-000005", 2, 4, Priority.NORMAL, "free", false, false, false, null));
+    sim.checker.onSubmitted(batchJob("wk-000005").tasks(2).cpus(4).spot(false).build());
     List<SimulatedWorker> workers = List.copyOf(sim.workers.values());
     SimulatedWorker brieflyPaused = workers.get(0);
     SimulatedWorker longPaused = workers.get(1);
-    brieflyPaused.execute(new WorkerCommand(CommandKind.START, "wk-000005", 0, 1, 0));
-    longPaused.execute(new WorkerCommand(CommandKind.START, "wk-000005", 1, 1, 0));
+    brieflyPaused.taskRunner.execute(new WorkerCommand(CommandKind.START, "wk-000005", 0, 1, 0));
+    longPaused.taskRunner.execute(new WorkerCommand(CommandKind.START, "wk-000005", 1, 1, 0));
     sim.runUntil(8_000);
     assertEquals(2, sim.checker.machinesOf("wk-000005").size());
     sim.checker.onCancelRequested("wk-000005");
--- a/src/test/java/mallowstall/core/StateLimitsTest.java
+++ b/src/test/java/mallowstall/core/StateLimitsTest.java
@@ -1,5 +1,6 @@
 package mallowstall.core;
 
+import static mallowstall.core.model.JobSpecBuilder.batchJob;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -13,19 +14,16 @@
 import java.util.Map;
 import java.util.Set;
 import mallowstall.Constants;
-import mallowstall.core.kernel.Condition;
 import mallowstall.core.kernel.KeyValue;
-import mallowstall.core.kernel.PutOperation;
-import mallowstall.core.kernel.ResultCode;
 import mallowstall.core.kernel.Transaction;
 import mallowstall.core.kv.JobBitmaps;
 import mallowstall.core.kv.StateStore;
 import mallowstall.core.model.ApiResponse;
 import mallowstall.core.model.CompletionBitsEntry;
-import mallowstall.core.model.IncarnationCounterEntry;
 import mallowstall.core.model.JobEntry;
 import mallowstall.core.model.JobOutcome;
 import mallowstall.core.model.JobSpec;
+import mallowstall.core.model.JobSpecBuilder;
 import mallowstall.core.model.MachineEntry;
 import mallowstall.core.model.MachineGroupEntry;
 import mallowstall.core.model.Priority;
@@ -37,15 +35,18 @@
 /** Limits of the state service that fall while everything goes on. */
 class StateLimitsTest {
   private static final int MANY_TASKS = 100_000;
+
   private static final Simulation.StateLimits LIMITS_BEFORE =
       new Simulation.StateLimits(8_192, 24, 120);
-  private static final Simulation.StateLimits LIMITS_AFTER =
-      new Simulation.StateLimits(2_048, 8, 40);
-  private static final String TOO_LARGE = "limits, too large";
-  private static final String TOO_MANY = "limits, too many";
 
-  private static JobSpec manyTaskSpec(Simulation sim, String id, String team) {
-    return sim.batchSpec(id, MANY_TASKS, 4, Priority.NORMAL, team, false, false, true, null);
+  static final Simulation.StateLimits LIMITS_AFTER = new Simulation.StateLimits(2_048, 8, 40);
+
+  static final String TOO_LARGE = "limits, too large";
+
+  static final String TOO_MANY = "limits, too many";
+
+  private static JobSpec manyTaskSpec(String id, String team) {
+    return batchJob(id).tasks(MANY_TASKS).cpus(4).team(team).build();
   }
 
   private static BitSet firstTasks(int count) {
@@ -54,16 +55,16 @@
     return out;
   }
 
-  /** Stores the job as the version in production has it, held by this controller. */
+  /** Stores the job as the version in production has it, led by this controller. */
   private static void storeInFirstLayout(
-      Simulation sim, JobSpec spec, SimulatedController holder, BitSet done) {
+      Simulation sim, JobSpec spec, SimulatedController leader, BitSet done) {
     int chunk = Constants.BITS_PER_CHUNK;
     JobEntry job =
         new JobEntry(
             spec,
             1_700_000_000_000L,
-            holder.name,
-            holder.core.incarnation(),
+            leader.name,
+            leader.core.incarnation(),
             1,
             done.get(0, chunk).toByteArray(),
             done.cardinality(),
@@ -78,7 +79,7 @@
     }
     sim.stateService.applyChange(JobBitmaps.jobKey(spec.id()), job, revision, 0);
     sim.checker.onSubmitted(spec);
-    sim.jobs.add(spec.id());
+    sim.users.jobs.add(spec.id());
   }
 
   /** From now on compares what can be read of these jobs after each change with before. */
@@ -120,65 +121,6 @@
         .count();
   }
 
-  private static Transaction counterTransaction(int count, long value) {
-    List<PutOperation> puts = new ArrayList<>();
-    for (int i = 0; i < count; i++) {
-      puts.add(new PutOperation("c/x/" + i, new IncarnationCounterEntry(value), 0));
-    }
-    return new Transaction(List.of(), puts, List.of());
-  }
-
-  private static Transaction bitmapTransaction(int bytes) {
-    PutOperation put =
-        new PutOperation("c/b/wk-000001/p0", new CompletionBitsEntry(new byte[bytes]), 0);
-    return new Transaction(List.of(), List.of(put), List.of());
-  }
-
-  @Test
-  void simulatedStateServiceEnforcesLimits() {
-    Simulation sim = new Simulation(300);
-    sim.runUntil(100);
-    assertEquals(
-        ResultCode.OK,
-        sim.stateService.transact(counterTransaction(200, 1)).code(),
-        "without limits");
-    assertEquals(
-        ResultCode.OK,
-        sim.stateService.transact(bitmapTransaction(9_000)).code(),
-        "without limits");
-    sim.stateService.setLimits(LIMITS_AFTER);
-    long revision = sim.stateService.revision;
-    // {"done":""} and four characters for each three bytes
-    assertEquals(2_047, Simulation.encodedSize(bitmapTransaction(1_527).puts().get(0).value()));
-    assertEquals(2_051, Simulation.encodedSize(bitmapTransaction(1_530).puts().get(0).value()));
-    assertEquals(ResultCode.INVALID, sim.stateService.transact(bitmapTransaction(1_530)).code());
-    assertEquals(ResultCode.INVALID, sim.stateService.transact(counterTransaction(9, 2)).code());
-    List<Condition> conditions = new ArrayList<>();
-    for (int i = 0; i < 33; i++) {
-      conditions.add(new Condition("c/y/" + i, 0));
-    }
-    Transaction manyConditions =
-        new Transaction(conditions, counterTransaction(1, 2).puts(), List.of());
-    assertEquals(ResultCode.INVALID, sim.stateService.transact(manyConditions).code());
-    assertEquals(revision, sim.stateService.revision, "nothing was changed");
-    assertEquals(3, sim.faultCounts.get(TOO_LARGE));
-    assertEquals(ResultCode.OK, sim.stateService.transact(bitmapTransaction(1_527)).code());
-    for (int i = 0; i < 4; i++) {
-      assertEquals(ResultCode.OK, sim.stateService.transact(counterTransaction(8, 3)).code());
-    }
-    assertEquals(
-        ResultCode.REJECTED,
-        sim.stateService.transact(counterTransaction(8, 4)).code(),
-        "40 in a second");
-    assertEquals(1, sim.faultCounts.get(TOO_MANY));
-    sim.nowMs += 100; // room for four more
-    assertEquals(ResultCode.OK, sim.stateService.transact(counterTransaction(4, 5)).code());
-    assertEquals(ResultCode.REJECTED, sim.stateService.transact(counterTransaction(8, 6)).code());
-    assertEquals(
-        9_000,
-        ((CompletionBitsEntry) bitmapTransaction(9_000).puts().get(0).value()).bits().length);
-  }
-
   /**
    * A controller ends with jobs of 100,000 tasks partly done, one of which the version in
    * production stored, and with a third of 304 machines; the limits fall before its session has
@@ -191,14 +133,14 @@
     sim.stateService.setLimits(LIMITS_BEFORE);
     sim.addMachines(300);
     sim.runUntil(20_000);
-    sim.submit(manyTaskSpec(sim, "wk-000001", "free"));
-    sim.submit(manyTaskSpec(sim, "wk-000002", "tight"));
+    sim.users.submit(manyTaskSpec("wk-000001", "free"));
+    sim.users.submit(manyTaskSpec("wk-000002", "tight"));
     sim.runUntil(35_000);
     SimulatedController first = sim.controllers.get(sim.jobEntry("wk-000001").leader());
     BitSet done = firstTasks(30_000);
     done.clear(5_000);
     done.clear(20_000);
-    storeInFirstLayout(sim, manyTaskSpec(sim, "wk-000003", "free"), first, done);
+    storeInFirstLayout(sim, manyTaskSpec("wk-000003", "free"), first, done);
     assertBitsOnlyGrow(sim, "wk-000001", "wk-000002", "wk-000003");
     long revision = sim.stateService.revision;
     first.crash(40_000);
@@ -238,11 +180,11 @@
   void cancellingOversizedEntryKeepsCompletionBits() {
     Simulation sim = new Simulation(310, LIMITS_AFTER);
     sim.runUntil(10_000);
-    JobSpec spec = manyTaskSpec(sim, "wk-000001", "free");
+    JobSpec spec = manyTaskSpec("wk-000001", "free");
     storeInFirstLayout(sim, spec, sim.controllers.get("n1"), firstTasks(30_000));
     assertBitsOnlyGrow(sim, "wk-000001");
     sim.stateService.setLimits(LIMITS_AFTER);
-    sim.cancel("wk-000001");
+    sim.users.cancel("wk-000001");
     sim.runUntil(20_000);
     assertEquals("cancelled", sim.checker.lastState("wk-000001"));
     JobEntry job = sim.jobEntry("wk-000001");
@@ -266,13 +208,12 @@
   void completionBitsReadAfterTheirEntryCount() {
     Simulation sim = new Simulation(314, LIMITS_AFTER);
     sim.runUntil(10_000);
-    JobSpec spec =
-        sim.batchSpec("wk-000001", 20_010, 4, Priority.NORMAL, "free", false, false, true, null);
+    JobSpec spec = batchJob("wk-000001").tasks(20_010).cpus(4).build();
     SimulatedController leader = sim.controllers.get("n1");
     long incarnation = leader.core.incarnation();
     JobEntry job = JobEntry.newlyAccepted(spec, 1_700_000_000_000L, leader.name, incarnation);
     sim.checker.onSubmitted(spec);
-    sim.jobs.add(spec.id());
+    sim.users.jobs.add(spec.id());
     for (int task = 0; task < 20_000; task++) {
       sim.checker.onStopped("", spec.id(), task, true);
     }
@@ -300,7 +241,7 @@
 
   /**
    * Nobody knew that the limits fall: entries that have become too large are tried ever more
-   * seldom, and hold up neither sessions nor other jobs of the same team.
+   * seldom, and delay neither sessions nor other jobs of the same team.
    */
   @Test
   void tooLargeWritesBackOffAndBlockNothing() {
@@ -308,7 +249,7 @@
     sim.runUntil(10_000);
     SimulatedController leader = sim.controllers.get("n1");
     for (String id : List.of("wk-000001", "wk-000002")) {
-      JobSpec spec = manyTaskSpec(sim, id, id.equals("wk-000001") ? "free" : "tight");
+      JobSpec spec = manyTaskSpec(id, id.equals("wk-000001") ? "free" : "tight");
       storeInFirstLayout(sim, spec, leader, firstTasks(30_000));
     }
     sim.stateService.setLimits(LIMITS_AFTER);
@@ -316,8 +257,8 @@
     long revision = sim.stateService.revision;
     sim.runUntil(15_000);
     for (int i = 3; i < 6; i++) {
-      sim.submit(
-          sim.batchSpec("wk-00000" + i, 6, 2, Priority.HIGH, "tight", false, false, true, null));
+      sim.users.submit(
+          batchJob("wk-00000" + i).tasks(6).priority(Priority.HIGH).team("tight").build());
     }
     sim.runUntil(70_000);
     for (int i = 3; i < 6; i++) {
@@ -327,7 +268,7 @@
       long tries = countRequests(sim, from, JobBitmaps.jobKey(id));
       assertTrue(tries >= 2 && tries <= 12, id + " was tried " + tries + " times");
     }
-    // and once more when its holder ends and the others try to claim them
+    // and once more when its leader crashes and the others try to take them over
     leader.crash(100_000);
     from = sim.stateService.receivedTransactions.size();
     sim.runUntil(140_000);
@@ -351,7 +292,7 @@
     sim.runUntil(10_000);
     List<String> ids = List.of("wk-000001", "wk-000002", "wk-000003", "wk-000004");
     for (String id : ids) {
-      sim.submit(sim.batchSpec(id, 4, 2, Priority.NORMAL, "free", false, false, true, null));
+      sim.users.submit(batchJob(id).tasks(4).build());
     }
     sim.runUntil(11_500);
     sim.stateService.setLimits(new Simulation.StateLimits(8_192, 24, 0));
@@ -381,8 +322,7 @@
     sim.runUntil(10_000);
     sim.stateService.setLimits(LIMITS_AFTER);
     JobSpec large =
-        withLongNames(
-            sim.batchSpec("wk-000001", 4, 1, Priority.LOW, "free", false, false, true, null));
+        withLongNames(batchJob("wk-000001").tasks(4).cpus(1).priority(Priority.LOW).build());
     List<ApiResponse> answers = new ArrayList<>();
     SimulatedController node = sim.controllers.get("n0");
     node.enqueueEvent(() -> node.core.submit(large, answers::add));
@@ -402,33 +342,13 @@
     for (int i = 0; i < 9; i++) {
       types.add("t".repeat(199) + i);
     }
-    return new JobSpec(
-        spec.id(),
-        spec.jobClass(),
-        spec.team(),
-        spec.priority(),
-        spec.tasks(),
-        spec.cpus(),
-        spec.gpus(),
-        spec.memoryGb(),
-        spec.image(),
-        spec.imageGb(),
-        types,
-        spec.zone(),
-        spec.singleZone(),
-        spec.spread(),
-        spec.spot(),
-        spec.estimatedRunS(),
-        spec.checkpointIntervalS(),
-        spec.checkpointSaveS(),
-        spec.deadlineS(),
-        spec.kind());
+    return JobSpecBuilder.copyOf(spec).machineTypes(types).build();
   }
 
   /**
    * All controllers end with hundreds of machines, and few changes are allowed. One change for
    * every 40 ms of arrivals outgrew what workers wait for: each turned to the next controller and
-   * was adopted there as late, for a minute; and the cloud duty waited behind it.
+   * was registered there as late, for a minute; and the autoscaler's leader lease waited behind it.
    */
   @Test
   void machinesChangeLeaderOnceUnderLowRateLimit() {
@@ -449,7 +369,7 @@
     assertTrue(retained.size() > sim.workers.size() * 9 / 10, "kept: " + retained.size());
     assertTrue(
         sim.stateService.entries.containsKey(StateStore.AUTOSCALER_LEADER_KEY),
-        "somebody rents and returns machines again");
+        "some controller leads the autoscaling again");
     int registered = 0;
     for (KeyValue item : sim.stateService.changes) {
       if (item.modRevision() <= before) {
@@ -461,6 +381,6 @@
         registered++;
       }
     }
-    assertTrue(registered < sim.workers.size() * 5 / 4, "adopted: " + registered);
+    assertTrue(registered < sim.workers.size() * 5 / 4, "registered: " + registered);
   }
 }
