--- a/src/main/java/mallowstall/core/ControllerCore.java
+++ b/src/main/java/mallowstall/core/ControllerCore.java
@@ -124,7 +124,7 @@
             cluster.cancellations::jobChanged,
             jobApi::jobChanged,
             machines.leadershipChanges::jobChanged,
-            jobLeader::applyJobEntry),
+            (before, entry) -> jobLeader.applyJobEntry(entry)),
         jobLeader::reloadCompletionBits,
         machines.leadershipChanges::machineChanged,
         List.of(cluster.view::removeMachine, jobLeader::removeMachineAttempts),
--- a/src/main/java/mallowstall/core/jobs/AttemptTracker.java
+++ b/src/main/java/mallowstall/core/jobs/AttemptTracker.java
@@ -106,7 +106,7 @@
     return new ArrayList<>(unobservedStarts);
   }
 
-  /** The machine is proven to be gone, and every attempt on it with it. */
+  /** The machine is proven to be removed, which ends every attempt on it. */
   void removeMachine(String machine) {
     Set<ActiveAttempt> attempts = attemptsByMachine.get(machine);
     if (attempts == null) {
--- a/src/main/java/mallowstall/core/jobs/JobLeader.java
+++ b/src/main/java/mallowstall/core/jobs/JobLeader.java
@@ -96,13 +96,8 @@
     return jobs.anyService();
   }
 
-  /**
-   * Begins, continues or ends leading a job.
-   *
-   * @param before the job's former entry; not used
-   * @param entry the job's entry in the state replica
-   */
-  public void applyJobEntry(JobEntry before, JobEntry entry) {
+  /** Begins, continues or ends leading a job, as its new entry in the state replica says. */
+  public void applyJobEntry(JobEntry entry) {
     leadership.applyJobEntry(entry);
   }
 
@@ -121,7 +116,7 @@
     reconciliation.applyStatusUpdate(update);
   }
 
-  /** The machine is proven to be gone, and every attempt on it with it. */
+  /** The machine is proven to be removed, which ends every attempt on it. */
   public void removeMachineAttempts(String id) {
     attempts.removeMachine(id);
   }
--- a/src/main/java/mallowstall/core/jobs/LedJob.java
+++ b/src/main/java/mallowstall/core/jobs/LedJob.java
@@ -318,7 +318,7 @@
   }
 
   /** Whether no task of the job is to be started on the machine for now. */
-  public boolean isCoolingDown(String machine, long now) {
+  public boolean isOnCooldown(String machine, long now) {
     Long untilMs = machineCooldownUntilMs.get(machine);
     return untilMs != null && untilMs > now;
   }
--- a/src/main/java/mallowstall/core/jobs/ReplicaMoves.java
+++ b/src/main/java/mallowstall/core/jobs/ReplicaMoves.java
@@ -1,59 +1,58 @@
 package mallowstall.core.jobs;
 
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap;
-import java.util.Collection;
 import java.util.HashMap;
 import java.util.Map;
 import mallowstall.Constants;
 
 /**
- * The replicas of one service that are being moved off machines that will not last: where to, for
- * as long as the room there is kept for them. Mutable.
+ * The replicas of one service that are being moved off departing machines: where to, for as long as
+ * capacity is reserved for them there. Times are in ms of the steady clock. Mutable; not
+ * thread-safe.
  */
 public final class ReplicaMoves {
-  /** Where a replica goes, and how long room is kept for it. */
+  /** Where a replica goes, and until when capacity is reserved for it. */
   private record Move(String target, long untilMs) {}
 
-  private final Int2ObjectOpenHashMap<Move> relocations = new Int2ObjectOpenHashMap<>();
+  private final Int2ObjectOpenHashMap<Move> moves = new Int2ObjectOpenHashMap<>();
 
-  /** The replica is being moved to the target machine from this time, in ms. */
+  /** The replica is being moved to the target machine from this time on. */
   public void begin(int replica, String target, long now) {
-    relocations.put(replica, new Move(target, now + Constants.RELOCATION_RESERVATION_MS));
+    moves.put(replica, new Move(target, now + Constants.RELOCATION_RESERVATION_MS));
   }
 
   /** Whether the replica is being moved. */
   public boolean inProgress(int replica) {
-    return relocations.containsKey(replica);
+    return moves.containsKey(replica);
   }
 
   /** The machine chosen for the replica; null: it isn't being moved. */
   public String target(int replica) {
-    Move move = relocations.get(replica);
+    Move move = moves.get(replica);
     return move == null ? null : move.target();
   }
 
   /** The move is over, whether the replica was started or not. */
   public void end(int replica) {
-    relocations.remove(replica);
+    moves.remove(replica);
   }
 
-  /** Gives up moves that have taken too long by this time, in ms. */
+  /** Gives up moves that have taken too long by this time. */
   public void expire(long now) {
-    if (!relocations.isEmpty()) {
-      relocations.values().removeIf(move -> move.untilMs() <= now);
+    if (!moves.isEmpty()) {
+      moves.values().removeIf(move -> move.untilMs() <= now);
     }
   }
 
-  /** The replicas that are being moved. */
+  /** A copy of the replicas that are being moved. */
   public int[] replicas() {
-    return relocations.keySet().toIntArray();
+    return moves.keySet().toIntArray();
   }
 
-  /** How many replicas each target is kept for. */
+  /** For how many replicas capacity is reserved, by target machine. */
   public Map<String, Integer> replicasByTarget() {
     Map<String, Integer> counts = new HashMap<>();
-    Collection<Move> all = relocations.values();
-    for (Move move : all) {
+    for (Move move : moves.values()) {
       counts.merge(move.target(), 1, Integer::sum);
     }
     return counts;
--- a/src/main/java/mallowstall/core/jobs/ReplicaRestarts.java
+++ b/src/main/java/mallowstall/core/jobs/ReplicaRestarts.java
@@ -7,29 +7,31 @@
 import mallowstall.core.kernel.Backoff;
 
 /**
- * When the replicas of one service that have ended by themselves may start again. The first end is
- * followed by a start at once; one that ends again and again waits longer each time, since the
- * worker keeps the result of a task that is done and ends it as soon as it is started. Mutable.
+ * When the exited replicas of one service may start again. The first exit of a replica is followed
+ * by a start at once; one that exits again and again backs off, since a worker keeps the result of
+ * a completed task and ends it as soon as it is started. Mutable; not thread-safe.
  */
 public final class ReplicaRestarts {
-  /** How long one replica waits. Mutable. */
+  /** The backoff of one replica that has exited early. Mutable. */
   private static final class Delay {
-    final Backoff backoff = new Backoff();
-    boolean waiting;
+    private final Backoff backoff = new Backoff();
+    private boolean waiting;
   }
 
   private final Int2ObjectOpenHashMap<Delay> delays = new Int2ObjectOpenHashMap<>();
   private int waitingCount;
 
-  /** Replicas that must not be started yet. */
+  /** Number of replicas that must not be started yet. */
   public int waitingCount() {
     return waitingCount;
   }
 
   /**
-   * A replica has ended after it had run for so long.
+   * A replica has exited.
    *
-   * @return whether it may be started again at once; else {@link #releaseDue} names it in time
+   * @param ranMs for how long it had run; 0 if it wasn't seen to run
+   * @param now ms of the steady clock
+   * @return whether it may be started again at once; else {@link #releaseDue} releases it later
    */
   public boolean recordExit(int replica, long ranMs, long now) {
     if (ranMs >= Constants.REPLICA_STABLE_MS) {
@@ -49,7 +51,7 @@
     return false;
   }
 
-  /** Names the replicas whose wait is over. */
+  /** Passes each replica whose wait is over by this time, in ms of the steady clock, once. */
   public void releaseDue(long now, IntConsumer startable) {
     if (waitingCount == 0) {
       return;
--- a/src/main/java/mallowstall/core/placement/PlacementScheduler.java
+++ b/src/main/java/mallowstall/core/placement/PlacementScheduler.java
@@ -296,7 +296,7 @@
         if (machine.fittingTasks(spec) <= 0) {
           continue;
         }
-        if (ledJob.isCoolingDown(machine.id(), now)) {
+        if (ledJob.isOnCooldown(machine.id(), now)) {
           continue;
         }
         Policy.Facts pairFacts = policyFacts.evaluate(machine, ledJob, now);
--- a/src/main/java/mallowstall/core/placement/Preemption.java
+++ b/src/main/java/mallowstall/core/placement/Preemption.java
@@ -86,7 +86,7 @@
         continue;
       }
       if (demand.isScarce(spec, machine.status().type())
-          || ledJob.isCoolingDown(machine.id(), now)) {
+          || ledJob.isOnCooldown(machine.id(), now)) {
         continue;
       }
       List<TaskStatus> victims = selectVictims(ledJob, machine, now);
--- a/src/main/java/mallowstall/core/placement/ReplicaRelocation.java
+++ b/src/main/java/mallowstall/core/placement/ReplicaRelocation.java
@@ -128,7 +128,7 @@
     MachineView best = null;
     double bestCost = Double.MAX_VALUE;
     for (MachineView machine : machines) {
-      if (ledJob.isCoolingDown(machine.id(), now) || !mayRunOn(ledJob, moving.task(), machine)) {
+      if (ledJob.isOnCooldown(machine.id(), now) || !mayRunOn(ledJob, moving.task(), machine)) {
         continue;
       }
       boolean accepted = policyFacts.accepts(policy, machine, ledJob, now);
