--- /dev/null
+++ b/src/test/java/mallowstall/core/jobs/JobWritesTest.java
@@ -0,0 +1,71 @@
+package mallowstall.core.jobs;
+
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import mallowstall.Constants;
+import mallowstall.core.kernel.ResultCode;
+import org.junit.jupiter.api.Test;
+
+/** When a led job's entry may be written, for completions and for quota. */
+class JobWritesTest {
+  private static final long NOW_MS = 1_000_000;
+
+  private final JobWrites writes = new JobWrites();
+
+  @Test
+  void oneWriteIsInFlightAtATime() {
+    assertTrue(writes.mayWriteCompletions(false, NOW_MS));
+    assertTrue(writes.mayWriteQuota(NOW_MS));
+    writes.beginCompletionWrite(NOW_MS);
+    assertFalse(writes.mayWriteCompletions(true, NOW_MS));
+    assertFalse(writes.mayWriteQuota(NOW_MS));
+    writes.endCompletionWrite(NOW_MS, ResultCode.OK);
+    writes.beginQuotaWrite();
+    assertTrue(writes.quotaInFlight());
+    assertFalse(writes.mayWriteCompletions(true, NOW_MS));
+    writes.withdrawQuotaWrite();
+    assertTrue(writes.mayWriteCompletions(true, NOW_MS));
+  }
+
+  @Test
+  void completionWritesKeepAGapUntilTheLast() {
+    writes.beginCompletionWrite(NOW_MS);
+    writes.endCompletionWrite(NOW_MS, ResultCode.OK);
+    long gapMs = Constants.JOB_WRITE_INTERVAL_MIN_MS;
+    assertFalse(writes.mayWriteCompletions(false, NOW_MS + gapMs - 1));
+    assertTrue(writes.mayWriteCompletions(true, NOW_MS + gapMs - 1));
+    assertTrue(writes.mayWriteCompletions(false, NOW_MS + gapMs));
+  }
+
+  @Test
+  void unknownOutcomeHoldsQuotaBackUntilANewerEntryIsRead() {
+    writes.beginCompletionWrite(NOW_MS);
+    writes.endCompletionWrite(NOW_MS, ResultCode.OUTCOME_UNKNOWN);
+    assertTrue(writes.outcomeUnknown());
+    assertFalse(writes.mayWriteQuota(NOW_MS));
+    writes.resolveOutcome();
+    assertFalse(writes.outcomeUnknown());
+    assertTrue(writes.mayWriteQuota(NOW_MS));
+  }
+
+  @Test
+  void nothingIsWrittenWhileTheEntryIsRead() {
+    writes.beginRead();
+    assertFalse(writes.mayWriteCompletions(true, NOW_MS));
+    assertFalse(writes.mayWriteQuota(NOW_MS));
+    writes.endRead(NOW_MS);
+    assertTrue(writes.mayWriteQuota(NOW_MS));
+  }
+
+  @Test
+  void rejectedQuotaWriteDelaysTheTeamAndInvalidOneTheJob() {
+    writes.beginQuotaWrite();
+    writes.endQuotaWrite(NOW_MS, ResultCode.REJECTED);
+    assertTrue(writes.mayWriteQuota(NOW_MS));
+    writes.beginQuotaWrite();
+    writes.endQuotaWrite(NOW_MS, ResultCode.INVALID);
+    assertFalse(writes.mayWriteQuota(NOW_MS));
+    assertTrue(writes.mayWriteQuota(NOW_MS + Constants.STATE_RETRY_MS));
+  }
+}
