--- a/src/main/java/mallowstall/core/ControllerCore.java
+++ b/src/main/java/mallowstall/core/ControllerCore.java
@@ -35,7 +35,9 @@
 import mallowstall.core.kv.StateStore;
 import mallowstall.core.machines.DirectCommands;
 import mallowstall.core.machines.FencingTokens;
+import mallowstall.core.machines.HeartbeatApplier;
 import mallowstall.core.machines.HeartbeatHandler;
+import mallowstall.core.machines.HeartbeatResponder;
 import mallowstall.core.machines.HeartbeatRouter;
 import mallowstall.core.machines.LeadershipChanges;
 import mallowstall.core.machines.LeaseExpiryMonitor;
@@ -105,6 +107,7 @@
   private final MachineEntryWriter entryWriter;
   private final StatusPublisher statusPublisher;
   private final FencingTokens fencingTokens;
+  private final HeartbeatApplier heartbeatApplier;
   private final HeartbeatHandler heartbeatHandler;
   private final DirectCommands commands;
   private final MachineRegistration registration;
@@ -151,6 +154,9 @@
     entryWriter = new MachineEntryWriter(settings, effects, store);
     statusPublisher = newPublisher();
     fencingTokens = new FencingTokens(machines, entryWriter, statusPublisher);
+    heartbeatApplier =
+        new HeartbeatApplier(
+            clock, settings, store, imageSizes, jobLeader::atFault, statusPublisher, fencingTokens);
     heartbeatHandler = newReports();
     commands =
         new DirectCommands(
@@ -159,7 +165,7 @@
             store,
             connectivity,
             cancellations,
-            heartbeatHandler,
+            heartbeatApplier,
             machines,
             fencingTokens);
     registration = newAdoption();
@@ -219,16 +225,8 @@
 
   private HeartbeatHandler newReports() {
     return new HeartbeatHandler(
-        clock,
-        settings,
-        store,
-        jobBitmaps,
-        imageSizes,
-        cancellations,
-        jobLeader::atFault,
-        machines,
-        statusPublisher,
-        fencingTokens);
+        heartbeatApplier,
+        new HeartbeatResponder(clock, store, jobBitmaps, cancellations, machines, statusPublisher));
   }
 
   private MachineRegistration newAdoption() {
@@ -261,7 +259,7 @@
             membership,
             machines,
             entryWriter,
-            heartbeatHandler);
+            heartbeatApplier);
     LeaseExpiryMonitor leaseExpiry =
         new LeaseExpiryMonitor(settings, store, machines, fencingTokens, statusPublisher);
     return new MachineMaintenance(
--- a/src/main/java/mallowstall/core/machines/DirectCommands.java
+++ b/src/main/java/mallowstall/core/machines/DirectCommands.java
@@ -12,13 +12,11 @@
 import mallowstall.core.kernel.EventClock;
 import mallowstall.core.kernel.ResultCode;
 import mallowstall.core.kv.StateStore;
-import mallowstall.core.machines.ManagedMachine.Reservation;
 import mallowstall.core.model.CommandKind;
 import mallowstall.core.model.Heartbeat;
 import mallowstall.core.model.JobEntry;
 import mallowstall.core.model.StartRequest;
 import mallowstall.core.model.TaskAttempt;
-import mallowstall.core.model.TaskKey;
 import mallowstall.core.model.TaskReport;
 import mallowstall.core.model.TaskState;
 import mallowstall.core.model.WorkerCommand;
@@ -38,7 +36,7 @@
   private final Connectivity connectivity;
   private final CancellationExchange cancellations;
   private final StateStore store;
-  private final HeartbeatHandler heartbeatHandler;
+  private final HeartbeatApplier heartbeatApplier;
   private final ManagedMachines machines;
   private final FencingTokens fencingTokens;
 
@@ -52,7 +50,7 @@
       StateStore store,
       Connectivity connectivity,
       CancellationExchange cancellations,
-      HeartbeatHandler heartbeatHandler,
+      HeartbeatApplier heartbeatApplier,
       ManagedMachines machines,
       FencingTokens fencingTokens) {
     this.clock = clock;
@@ -60,7 +58,7 @@
     this.connectivity = connectivity;
     this.cancellations = cancellations;
     this.store = store;
-    this.heartbeatHandler = heartbeatHandler;
+    this.heartbeatApplier = heartbeatApplier;
     this.machines = machines;
     this.fencingTokens = fencingTokens;
   }
@@ -78,11 +76,11 @@
     List<ManagedMachine> batch = new ArrayList<>(machinesWithPendingCommands);
     machinesWithPendingCommands.clear();
     for (ManagedMachine machine : batch) {
-      if (!machines.isCurrent(machine)
-          || machine.pendingStops().isEmpty() && machine.reservations().isEmpty()) {
+      if (!machines.isCurrent(machine) || !machine.tasks().hasPendingCommands()) {
         continue;
       }
-      if (clock.now() - machine.commandSentAtMs() < Constants.COMMAND_REQUEST_INTERVAL_MIN_MS) {
+      if (clock.now() - machine.commands().lastSentMs()
+          < Constants.COMMAND_REQUEST_INTERVAL_MIN_MS) {
         machinesWithPendingCommands.add(machine);
       } else {
         sendPending(machine);
@@ -98,11 +96,11 @@
     List<Reservation> starts =
         startsFor(machine, Constants.COMMANDS_PER_RESPONSE_MAX - commands.size());
     for (Reservation reservation : starts) {
-      StartRequest start = reservation.request;
+      StartRequest start = reservation.request();
       commands.add(
           new WorkerCommand(CommandKind.START, start.job(), start.task(), start.attempt(), 0));
-      reservation.sent = true;
-      machine.unacknowledgedStarts().put(new TaskKey(start.job(), start.task()), start.attempt());
+      reservation.markSent();
+      machine.commands().addUnacknowledgedStart(reservation.key());
     }
     if (!commands.isEmpty()) {
       send(machine, commands);
@@ -111,9 +109,7 @@
 
   /** Whether a command may be sent to the machine now. */
   private boolean reachable(ManagedMachine machine) {
-    return !machine.commandInFlight()
-        && !machine.commandOutcomeUnknown()
-        && !machine.tokenWriteInFlight()
+    return machine.commands().ready()
         && machine.address() != null
         && machine.workerSession() != 0
         && machine.tokenAcknowledged()
@@ -124,11 +120,11 @@
   private static List<WorkerCommand> stopsFor(ManagedMachine machine) {
     List<WorkerCommand> commands = new ArrayList<>();
     machine
-        .pendingStops()
-        .forEach(
+        .tasks()
+        .forEachPendingStop(
             (key, stop) -> {
               TaskReport task =
-                  machine.tasks().get(new TaskAttempt(key.job(), key.task(), stop.attempt()));
+                  machine.tasks().report(new TaskAttempt(key.job(), key.task(), stop.attempt()));
               boolean running =
                   task != null
                       && task.state() != TaskState.EXITED
@@ -149,12 +145,12 @@
   /** Accepted starts that haven't been sent, as many at most. */
   private List<Reservation> startsFor(ManagedMachine machine, int limit) {
     List<Reservation> starts = new ArrayList<>();
-    for (Reservation reservation : machine.reservations().values()) {
-      StartRequest start = reservation.request;
+    for (Reservation reservation : machine.tasks().reservations()) {
+      StartRequest start = reservation.request();
       JobEntry job = store.job(start.job());
       boolean due =
-          !reservation.sent
-              && !machine.pendingStops().containsKey(new TaskKey(start.job(), start.task()))
+          !reservation.sent()
+              && !machine.tasks().hasPendingStop(reservation.key())
               && job != null
               && !cancellations.isOver(start.job(), job)
               && clock.wallClockMs() <= start.expiryWallMs();
@@ -166,8 +162,7 @@
   }
 
   private void send(ManagedMachine machine, List<WorkerCommand> commands) {
-    machine.setCommandInFlight(true);
-    machine.setCommandSentAtMs(clock.now());
+    machine.commands().beginRequest(clock.now());
     long session = machine.workerSession();
     effects.sendCommands(
         machine.address(),
@@ -175,7 +170,7 @@
         session,
         commands,
         reply -> {
-          machine.setCommandInFlight(false);
+          machine.commands().endRequest();
           if (machines.isCurrent(machine) && machine.workerSession() == session) {
             handleResult(machine, reply);
           }
@@ -184,23 +179,21 @@
 
   private void handleResult(ManagedMachine machine, CommandResult reply) {
     if (reply.code() == ResultCode.OUTCOME_UNKNOWN) {
-      if (machine.unacknowledgedStarts().isEmpty()) {
+      if (!machine.commands().hasUnacknowledgedStarts()) {
         return;
       }
       LOG.info("commands to {} went astray: raising its term", machine.id());
-      machine.setCommandOutcomeUnknown(true);
+      machine.commands().markOutcomeUnknown();
       fencingTokens.raise(machine);
       return;
     }
-    machine.clearUnacknowledgedStarts();
+    machine.commands().settle();
     Heartbeat heartbeat = reply.heartbeat();
     if (heartbeat != null
         && !machine.leaseExpired()
         && heartbeat.machine().equals(machine.id())
-        && (heartbeat.session() > machine.workerSession()
-            || (heartbeat.session() == machine.workerSession()
-                && heartbeat.sequence() > machine.latestHeartbeatSequence()))) {
-      heartbeatHandler.apply(machine, heartbeat, false);
+        && machine.isNewer(heartbeat)) {
+      heartbeatApplier.apply(machine, heartbeat, false);
     }
     machinesWithPendingCommands.add(machine);
   }
--- a/src/main/java/mallowstall/core/machines/FencingTokens.java
+++ b/src/main/java/mallowstall/core/machines/FencingTokens.java
@@ -20,10 +20,9 @@
    * Once the worker has shown a larger term, commands that went astray under the old one are dead.
    */
   void raise(ManagedMachine machine) {
-    if (machine.tokenWriteInFlight() || machine.tokenRaised()) {
+    if (!machine.commands().beginTokenWrite()) {
       return;
     }
-    machine.setTokenWriteInFlight(true);
     boolean accepted =
         entryWriter.writeEntry(
             machine.id(),
@@ -31,19 +30,15 @@
             machine.zone(),
             machine.spot(),
             reply -> {
-              machine.setTokenWriteInFlight(false);
+              machine.commands().endTokenWrite();
               if (reply.code() != ResultCode.OK || !machines.isCurrent(machine)) {
                 return;
               }
-              machine.setFencingToken(reply.revision());
-              machine.setModRevision(reply.revision());
-              machine.setTokenAcknowledged(false);
-              machine.setTokenRaised(true);
-              machine.setStatusChanged(true);
+              machine.raiseFencingToken(reply.revision());
               statusPublisher.requestPublish();
             });
     if (!accepted) {
-      machine.setTokenWriteInFlight(false);
+      machine.commands().endTokenWrite();
     }
   }
 }
--- /dev/null
+++ b/src/main/java/mallowstall/core/machines/HeartbeatResponder.java
@@ -0,0 +1,143 @@
+package mallowstall.core.machines;
+
+import java.util.ArrayList;
+import java.util.Iterator;
+import java.util.List;
+import java.util.OptionalDouble;
+import mallowstall.Constants;
+import mallowstall.core.cluster.CancellationExchange;
+import mallowstall.core.kernel.EventClock;
+import mallowstall.core.kv.JobBitmaps;
+import mallowstall.core.kv.StateStore;
+import mallowstall.core.model.CommandKind;
+import mallowstall.core.model.HeartbeatResponse;
+import mallowstall.core.model.JobEntry;
+import mallowstall.core.model.JobSpec;
+import mallowstall.core.model.StartRequest;
+import mallowstall.core.model.StopRequest;
+import mallowstall.core.model.TaskAttempt;
+import mallowstall.core.model.TaskKey;
+import mallowstall.core.model.TaskReport;
+import mallowstall.core.model.TaskState;
+import mallowstall.core.model.WorkerCommand;
+
+/** Decides which tasks a worker starts, stops and removes from its list. */
+public final class HeartbeatResponder {
+  private final EventClock clock;
+  private final StateStore store;
+  private final JobBitmaps jobBitmaps;
+  private final CancellationExchange cancellations;
+  private final ManagedMachines machines;
+  private final StatusPublisher statusPublisher;
+
+  /** Answers from what the replica says of jobs and what is reserved on the machines. */
+  public HeartbeatResponder(
+      EventClock clock,
+      StateStore store,
+      JobBitmaps jobBitmaps,
+      CancellationExchange cancellations,
+      ManagedMachines machines,
+      StatusPublisher statusPublisher) {
+    this.clock = clock;
+    this.store = store;
+    this.jobBitmaps = jobBitmaps;
+    this.cancellations = cancellations;
+    this.machines = machines;
+    this.statusPublisher = statusPublisher;
+  }
+
+  /** Removals, stops and starts for the worker, in this order; the answer renews its lease. */
+  HeartbeatResponse respond(ManagedMachine machine) {
+    List<WorkerCommand> stops = new ArrayList<>();
+    List<WorkerCommand> commands = new ArrayList<>();
+    for (TaskReport task : machine.tasks().reports()) {
+      if (task.state() == TaskState.EXITED) {
+        if (canForget(machine, task)) {
+          commands.add(command(CommandKind.REMOVE, task, 0));
+        }
+        machine.tasks().clearPendingStop(TaskAttempt.of(task).key());
+      } else {
+        OptionalDouble grace = stopGraceSeconds(machine, task);
+        grace.ifPresent(seconds -> stops.add(command(CommandKind.STOP, task, seconds)));
+      }
+    }
+    machine.tasks().dropObsoleteStops();
+    commands.addAll(stops);
+    addStarts(machine, commands);
+    machine.recordResponse(clock.now());
+    return HeartbeatResponse.accepted(machine.fencingToken(), commands);
+  }
+
+  private static WorkerCommand command(CommandKind kind, TaskReport task, double graceSeconds) {
+    return new WorkerCommand(kind, task.job(), task.task(), task.attempt(), graceSeconds);
+  }
+
+  /** Whether the worker needn't list the exited task any more. */
+  private boolean canForget(ManagedMachine machine, TaskReport task) {
+    JobEntry job = store.job(task.job());
+    TaskAttempt attempt = TaskAttempt.of(task);
+    if (job == null || machine.commands().isUnacknowledged(attempt.key())) {
+      return false;
+    }
+    return cancellations.isOver(task.job(), job)
+        || jobBitmaps.isRecordedCompleted(job, task.task())
+        || machines.restartsAfterExit(task) && machine.published().isExitPublished(attempt);
+  }
+
+  /** Seconds that the task gets to checkpoint before it is stopped; empty: it goes on. */
+  private OptionalDouble stopGraceSeconds(ManagedMachine machine, TaskReport task) {
+    JobEntry job = store.job(task.job());
+    if (noLongerNeeded(task.job(), job, task.task())) {
+      return OptionalDouble.of(0);
+    }
+    StopRequest stop = machine.tasks().pendingStop(TaskAttempt.of(task).key());
+    if (stop != null && stop.attempt() == task.attempt()) {
+      return task.state() == TaskState.CHECKPOINTING
+          ? OptionalDouble.empty()
+          : OptionalDouble.of(stop.gracePeriodS());
+    }
+    return job != null && mustCheckpointNow(machine, task, job.spec())
+        ? OptionalDouble.of(job.spec().checkpointSaveS() + Constants.CHECKPOINT_SAVE_MARGIN_S)
+        : OptionalDouble.empty();
+  }
+
+  private boolean noLongerNeeded(String id, JobEntry job, int task) {
+    return cancellations.isOver(id, job)
+        || job != null && jobBitmaps.isRecordedCompleted(job, task);
+  }
+
+  /** Whether the cloud takes the machine so soon that the task has just the time to checkpoint. */
+  private boolean mustCheckpointNow(ManagedMachine machine, TaskReport task, JobSpec spec) {
+    return machine.terminationAnnounced()
+        && task.state() == TaskState.RUNNING
+        && spec.checkpointIntervalS() > 0
+        && machine.terminationDeadlineMs() - clock.now()
+            < (spec.checkpointSaveS() + Constants.INTERRUPTION_SAVE_MARGIN_S) * 1000;
+  }
+
+  /** Adds reserved starts up to the limit of one answer; rejects those that came too late. */
+  private void addStarts(ManagedMachine machine, List<WorkerCommand> commands) {
+    Iterator<Reservation> reservations = machine.tasks().reservations().iterator();
+    while (reservations.hasNext() && commands.size() < Constants.COMMANDS_PER_RESPONSE_MAX) {
+      Reservation reservation = reservations.next();
+      StartRequest start = reservation.request();
+      TaskKey key = reservation.key();
+      if (machine.commands().isUnacknowledged(key)) {
+        continue;
+      }
+      boolean noLongerNeeded = noLongerNeeded(start.job(), store.job(start.job()), start.task());
+      if (noLongerNeeded
+          || machine.tasks().hasPendingStop(key)
+          || clock.wallClockMs() > start.expiryWallMs()) {
+        // the worker ignores every earlier response once it sent this heartbeat: it never runs
+        reservations.remove();
+        machine.published().markChanged();
+        statusPublisher.rejectStart(start, noLongerNeeded ? "not wanted any more" : "too late");
+        continue;
+      }
+      reservation.markSent();
+      commands.add(
+          new WorkerCommand(CommandKind.START, start.job(), start.task(), start.attempt(), 0));
+    }
+  }
+}
--- a/src/main/java/mallowstall/core/machines/HeartbeatRouter.java
+++ b/src/main/java/mallowstall/core/machines/HeartbeatRouter.java
@@ -73,8 +73,8 @@
           && heartbeat.sequence() <= machine.latestHeartbeatSequence()) {
         // Overtaken by the answer of a direct command: it says nothing new. To refuse it would
         // send a healthy worker to another controller.
-        machine.setHandledHeartbeatSequence(heartbeat.sequence());
-        machine.setLastResponseMs(now);
+        machine.recordHandledSequence(heartbeat.sequence());
+        machine.recordResponse(now);
         reply.accept(HeartbeatResponse.accepted(machine.fencingToken(), List.of()));
         return;
       }
--- a/src/main/java/mallowstall/core/machines/LeadershipChanges.java
+++ b/src/main/java/mallowstall/core/machines/LeadershipChanges.java
@@ -51,7 +51,8 @@
     } else if (record.node().equals(settings.node())
         && record.incarnation() == store.incarnation()) {
       // this controller's own raise or adoption, seen before its answer is handled
-      if (!machine.tokenWriteInFlight() && record.fencingToken() > machine.fencingToken()) {
+      if (!machine.commands().tokenWriteInFlight()
+          && record.fencingToken() > machine.fencingToken()) {
         statusPublisher.releaseMachine(id);
       }
     } else if (record.fencingToken() > machine.fencingToken()) {
@@ -72,11 +73,11 @@
     }
     String id = after.spec().id();
     for (ManagedMachine machine : machines.all()) {
-      for (TaskReport task : machine.tasks().values()) {
+      for (TaskReport task : machine.tasks().reports()) {
         if (!task.job().equals(id)) {
           continue;
         }
-        machine.setStatusChanged(true);
+        machine.published().markChanged();
         statusPublisher.requestPublish();
         break;
       }
--- a/src/main/java/mallowstall/core/machines/LeaseExpiryMonitor.java
+++ b/src/main/java/mallowstall/core/machines/LeaseExpiryMonitor.java
@@ -33,7 +33,7 @@
   /** Expires the leases of machines that nobody can have answered for long enough. */
   void tick(long now) {
     for (ManagedMachine machine : machines.all()) {
-      if (machine.commandOutcomeUnknown() && !machine.tokenRaised()) {
+      if (machine.commands().needsTokenRaise()) {
         fencingTokens.raise(machine);
       }
       if (isLeaseExpired(machine, now)) {
@@ -54,12 +54,12 @@
     }
     // unconfirmed: a former owner may still be answering it, unless it was our own former process
     // (a late copy of a report to that one may have told a session: that changes nothing)
-    if (!machine.tokenAcknowledged() && (!machine.recovered() || machine.interveningLeader())) {
+    if (machine.formerLeaderMayAnswer()) {
       return false;
     }
     // Who owned it between the former process and this one may still be unknown here: a group's
     // record isn't compared with. Written off then, its tasks were started a second time.
-    if (machine.recovered() && machine.modRevision() > store.revision()) {
+    if (machine.recovered() && machine.fencingToken() > store.revision()) {
       return false;
     }
     // the mirror has passed the end of the lease and still names this controller
@@ -70,7 +70,7 @@
     LOG.info(
         "machine {} written off with {} tasks: silent beyond its lease",
         machine.id(),
-        machine.tasks().size());
+        machine.tasks().reportCount());
     machine.expireLease(now);
     statusPublisher.requestPublish();
   }
--- a/src/main/java/mallowstall/core/machines/MachineEntryWriter.java
+++ b/src/main/java/mallowstall/core/machines/MachineEntryWriter.java
@@ -56,6 +56,31 @@
     return inFlight.get(machine);
   }
 
+  /**
+   * Takes the leadership of a machine from its previous leader; no other change of its entry may be
+   * in flight.
+   *
+   * @param previous the entry that is replaced
+   * @return false: refused because of the backlog, {@code callback} is not called
+   */
+  boolean claim(String id, MachineEntry previous, long now, Consumer<TransactionResult> callback) {
+    markInFlight(id, now);
+    boolean accepted =
+        writeEntry(
+            id,
+            previous.type(),
+            previous.zone(),
+            previous.spot(),
+            reply -> {
+              clearInFlight(id);
+              callback.accept(reply);
+            });
+    if (!accepted) {
+      clearInFlight(id);
+    }
+    return accepted;
+  }
+
   /** Makes this controller the machine's recorded owner; false: refused for the backlog. */
   boolean writeEntry(
       String id, String type, String zone, boolean spot, Consumer<TransactionResult> callback) {
--- a/src/main/java/mallowstall/core/machines/MachineFailover.java
+++ b/src/main/java/mallowstall/core/machines/MachineFailover.java
@@ -5,7 +5,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.function.Consumer;
 import mallowstall.Constants;
 import mallowstall.core.cluster.ClusterView;
 import mallowstall.core.cluster.MachineTypeCatalog;
@@ -14,7 +13,6 @@
 import mallowstall.core.kernel.Effects;
 import mallowstall.core.kernel.EventClock;
 import mallowstall.core.kernel.ResultCode;
-import mallowstall.core.kernel.TransactionResult;
 import mallowstall.core.kv.StateStore;
 import mallowstall.core.model.CoreSettings;
 import mallowstall.core.model.Heartbeat;
@@ -42,7 +40,7 @@
   private final MachineTypeCatalog types;
   private final Membership membership;
   private final StateStore store;
-  private final HeartbeatHandler heartbeatHandler;
+  private final HeartbeatApplier heartbeatApplier;
   private final ManagedMachines machines;
   private final MachineEntryWriter entryWriter;
 
@@ -65,7 +63,7 @@
       Membership membership,
       ManagedMachines machines,
       MachineEntryWriter entryWriter,
-      HeartbeatHandler heartbeatHandler) {
+      HeartbeatApplier heartbeatApplier) {
     this.clock = clock;
     this.settings = settings;
     this.effects = effects;
@@ -73,7 +71,7 @@
     this.types = types;
     this.membership = membership;
     this.store = store;
-    this.heartbeatHandler = heartbeatHandler;
+    this.heartbeatApplier = heartbeatApplier;
     this.machines = machines;
     this.entryWriter = entryWriter;
   }
@@ -138,18 +136,15 @@
     if (entryWriter.inFlight(id) || machines.contains(id)) {
       return;
     }
-    entryWriter.markInFlight(id, clock.now());
-    Consumer<TransactionResult> callback =
+    entryWriter.claim(
+        id,
+        expectedEntry,
+        clock.now(),
         reply -> {
-          entryWriter.clearInFlight(id);
           if (reply.code() == ResultCode.OK && !machines.contains(id)) {
             completeFailover(id, type, expectedEntry, heartbeat, reply.revision());
           }
-        };
-    if (!entryWriter.writeEntry(
-        id, expectedEntry.type(), expectedEntry.zone(), expectedEntry.spot(), callback)) {
-      entryWriter.clearInFlight(id);
-    }
+        });
   }
 
   private void completeFailover(
@@ -157,8 +152,8 @@
     ManagedMachine machine =
         machines.add(id, type, previousEntry.zone(), previousEntry.spot(), revision);
     // until it shows the new term, its former owner may renew its lease
-    machine.setLastResponseMs(clock.now());
-    heartbeatHandler.apply(machine, heartbeat, false);
+    machine.recordResponse(clock.now());
+    heartbeatApplier.apply(machine, heartbeat, false);
     LOG.info(
         "machine {} taken from {}, which is gone, term {}",
         id,
@@ -179,10 +174,10 @@
           if (!machines.isCurrent(machine) || reply.code() != ResultCode.OK || heartbeat == null) {
             return;
           }
-          machine.setLastResponseMs(clock.now());
+          machine.recordResponse(clock.now());
           if (heartbeat.session() > machine.workerSession()
               || heartbeat.sequence() > machine.latestHeartbeatSequence()) {
-            heartbeatHandler.apply(machine, heartbeat, false);
+            heartbeatApplier.apply(machine, heartbeat, false);
           }
         });
   }
--- a/src/main/java/mallowstall/core/machines/MachineMaintenance.java
+++ b/src/main/java/mallowstall/core/machines/MachineMaintenance.java
@@ -41,7 +41,7 @@
     leaseExpiry.tick(now);
     entryWriter.deleteObsoleteGroups(now);
     for (ManagedMachine machine : machines.all()) {
-      if (!machine.pendingStops().isEmpty() || !machine.reservations().isEmpty()) {
+      if (machine.tasks().hasPendingCommands()) {
         directCommands.enqueue(machine);
       }
     }
--- a/src/main/java/mallowstall/core/machines/MachineRegistration.java
+++ b/src/main/java/mallowstall/core/machines/MachineRegistration.java
@@ -324,7 +324,7 @@
             heartbeat.spot(),
             reply.revision());
     if (previous != null) {
-      machine.cachedImages().addAll(previous.cachedImages());
+      machine.images().addAll(previous.images().toList());
     }
     LOG.debug(
         "machine {} ({}, {}) adopted under term {} (reported {})",
--- a/src/main/java/mallowstall/core/machines/ManagedMachine.java
+++ b/src/main/java/mallowstall/core/machines/ManagedMachine.java
@@ -1,55 +1,37 @@
 package mallowstall.core.machines;
 
-import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap;
-import it.unimi.dsi.fastutil.objects.Object2ObjectLinkedOpenHashMap;
-import java.util.ArrayList;
-import java.util.Collections;
-import java.util.HashMap;
-import java.util.HashSet;
-import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
-import java.util.List;
-import java.util.Map;
-import java.util.Set;
-import java.util.function.ToDoubleFunction;
-import mallowstall.core.model.JobSpec;
-import mallowstall.core.model.MachineStatus;
+import mallowstall.Constants;
+import mallowstall.core.model.Heartbeat;
 import mallowstall.core.model.MachineType;
-import mallowstall.core.model.StartRequest;
-import mallowstall.core.model.StopRequest;
-import mallowstall.core.model.TaskAttempt;
-import mallowstall.core.model.TaskKey;
-import mallowstall.core.model.TaskReport;
 
-/** One machine of this controller. Mutable. */
+/**
+ * One machine that this controller leads: leadership, worker session, lease and health. Mutable.
+ */
 final class ManagedMachine {
-  /** A start accepted and not yet seen in a report. */
-  static final class Reservation {
-    final StartRequest request;
-    final JobSpec spec;
-    boolean sent;
-
-    Reservation(StartRequest request, JobSpec spec) {
-      this.request = request;
-      this.spec = spec;
-    }
-  }
-
   private final String id;
   private final MachineType type;
   private final String zone;
   private final boolean spot;
+  private final MachineTasks tasks = new MachineTasks();
+  private final CommandChannel commands = new CommandChannel();
+  private final PublishedStatus published = new PublishedStatus();
+  private final ImageCache images;
+
   private long fencingToken;
-  private long modRevision;
+  private boolean tokenAcknowledged;
+
+  /** Whether it was recovered from this controller's former process, which is dead. */
+  private boolean recovered;
+
+  /** Whether another controller may have answered it after that process had ended. */
+  private boolean interveningLeader;
+
   private String address;
   private long workerSession;
   private long latestHeartbeatSequence;
-
-  /** When the last 200 left; the machine's lease can't run on longer than from here. */
-  private long lastResponseMs;
-
+  private long handledHeartbeatSequence;
   private long lastHeartbeatMs;
-  private boolean tokenAcknowledged;
+  private long lastResponseMs;
   private boolean leaseExpired;
   private long terminationDeadlineMs = Long.MAX_VALUE;
   private long drainUntilMs;
@@ -57,455 +39,261 @@
   private int consecutiveErrors;
   private boolean faulty;
   private long idleSinceMs;
-  private final Map<TaskAttempt, TaskReport> tasks = new LinkedHashMap<>();
-  private final Map<TaskKey, Reservation> reservations = new Object2ObjectLinkedOpenHashMap<>();
-  private final Map<TaskKey, StopRequest> pendingStops = new HashMap<>();
 
   /**
-   * Tasks stopped for others that were accepted in their place. Their stop goes out before or with
-   * any start that follows, so their room counts as free.
+   * A machine whose leadership was written at that revision.
+   *
+   * @param fencingToken the revision of the machine's entry
+   * @param now in ms of the steady clock
    */
-  private final Set<TaskAttempt> preempted = new HashSet<>();
-
-  /** Ends other than done that a roster has told. */
-  private final Object2LongOpenHashMap<TaskKey> publishedExits = new Object2LongOpenHashMap<>();
-
-  /**
-   * Starts sent to the worker's own address whose outcome is open. Until the answer is there, or
-   * the worker shows a larger term, they may be executed at any time: they count as possibly
-   * running, and their attempts are not forgotten, since a late copy would start them again.
-   */
-  private final Map<TaskKey, Long> unacknowledgedStarts = new HashMap<>();
-
-  private boolean commandInFlight;
-  private boolean commandOutcomeUnknown;
-  private boolean tokenWriteInFlight;
-
-  /** Somebody else may have answered it after this controller's former process had ended. */
-  private boolean interveningLeader;
-
-  /** Taken over from this controller's own former process, which is dead. */
-  private boolean recovered;
-
-  /** The term was raised after the last start went astray. */
-  private boolean tokenRaised;
-
-  private long commandSentAtMs;
-
-  private final LinkedHashSet<String> cachedImages = new LinkedHashSet<>();
-
-  /** The newest report handled; an answer of a direct command may be newer. */
-  private long handledHeartbeatSequence;
-
-  /** Something that statements tell may have changed since the last one. */
-  private boolean statusChanged;
-
-  /** What the last statement said of it, in which, and when. */
-  private MachineStatus publishedStatus;
-
-  private long publishedUpdateNumber;
-  private long publishedAtMs;
-
   ManagedMachine(
-      String id, MachineType type, String zone, boolean spot, long fencingToken, long modRevision) {
+      String id, MachineType type, String zone, boolean spot, long fencingToken, long now) {
     this.id = id;
     this.type = type;
     this.zone = zone;
     this.spot = spot;
     this.fencingToken = fencingToken;
-    this.modRevision = modRevision;
-  }
-
-  /** Whether any attempt of the task is here, or a start of it was accepted. */
-  boolean hasTask(TaskKey key) {
-    if (reservations.containsKey(key)) {
-      return true;
-    }
-    for (TaskAttempt attempt : tasks.keySet()) {
-      if (attempt.key().equals(key)) {
-        return true;
-      }
-    }
-    return false;
-  }
-
-  /** Whether nothing is here and nothing was accepted. */
-  boolean idle() {
-    return tasks.isEmpty() && reservations.isEmpty();
-  }
-
-  /** The outcome of all commands that went to the worker's own address is known. */
-  void clearUnacknowledgedStarts() {
-    unacknowledgedStarts.clear();
-    commandOutcomeUnknown = false;
-    tokenRaised = false;
-  }
-
-  /** The worker's lease is over: nothing is left on the machine. */
-  void expireLease(long now) {
-    leaseExpired = true;
-    tokenAcknowledged = true;
-    tasks.clear();
-    reservations.clear();
-    pendingStops.clear();
-    preempted.clear();
-    clearUnacknowledgedStarts();
-    idleSinceMs = now;
-    statusChanged = true;
+    this.idleSinceMs = now;
+    this.images = new ImageCache(type.cacheGb());
   }
 
-  /** The image is there: it becomes the newest, and what no longer fits the cache is forgotten. */
-  void cacheImage(String image, ToDoubleFunction<String> sizeGb) {
-    if (image == null) {
-      return;
-    }
-    cachedImages.remove(image);
-    cachedImages.add(image);
-    List<String> newestFirst = new ArrayList<>(cachedImages);
-    Collections.reverse(newestFirst);
-    double totalGb = 0;
-    for (String cached : newestFirst) {
-      totalGb += sizeGb.applyAsDouble(cached);
-      if (totalGb > type.cacheGb() && !cached.equals(image)) {
-        cachedImages.remove(cached);
-      }
-    }
-  }
-
-  /** The id. */
+  /** The machine's name. */
   String id() {
     return id;
   }
 
-  /** The type. */
+  /** The machine's type. */
   MachineType type() {
     return type;
   }
 
-  /** The zone. */
+  /** The zone that it stands in. */
   String zone() {
     return zone;
   }
 
-  /** The spot. */
+  /** Whether the cloud may interrupt it. */
   boolean spot() {
     return spot;
   }
 
-  /** The fencing token. */
-  long fencingToken() {
-    return fencingToken;
-  }
-
-  /** Sets the fencing token. */
-  void setFencingToken(long newValue) {
-    this.fencingToken = newValue;
-  }
-
-  /** The mod revision. */
-  long modRevision() {
-    return modRevision;
-  }
-
-  /** Sets the mod revision. */
-  void setModRevision(long newValue) {
-    this.modRevision = newValue;
-  }
-
-  /** The address. */
-  String address() {
-    return address;
-  }
-
-  /** Sets the address. */
-  void setAddress(String newValue) {
-    this.address = newValue;
-  }
-
-  /** The worker session. */
-  long workerSession() {
-    return workerSession;
-  }
-
-  /** Sets the worker session. */
-  void setWorkerSession(long newValue) {
-    this.workerSession = newValue;
-  }
-
-  /** The latest heartbeat sequence. */
-  long latestHeartbeatSequence() {
-    return latestHeartbeatSequence;
+  /** Tasks, accepted starts and stops. */
+  MachineTasks tasks() {
+    return tasks;
   }
 
-  /** Sets the latest heartbeat sequence. */
-  void setLatestHeartbeatSequence(long newValue) {
-    this.latestHeartbeatSequence = newValue;
+  /** Commands sent to the worker's own address. */
+  CommandChannel commands() {
+    return commands;
   }
 
-  /** When the last 200 left; the machine's lease can't run on longer than from here. */
-  long lastResponseMs() {
-    return lastResponseMs;
+  /** What status updates have said of it. */
+  PublishedStatus published() {
+    return published;
   }
 
-  /** Sets the last response, in ms of the steady clock. */
-  void setLastResponseMs(long newValue) {
-    this.lastResponseMs = newValue;
+  /** Images that it has cached. */
+  ImageCache images() {
+    return images;
   }
 
-  /** The last heartbeat, in ms of the steady clock. */
-  long lastHeartbeatMs() {
-    return lastHeartbeatMs;
+  /** The token of this leadership: the revision at which the machine's entry was written. */
+  long fencingToken() {
+    return fencingToken;
   }
 
-  /** Sets the last heartbeat, in ms of the steady clock. */
-  void setLastHeartbeatMs(long newValue) {
-    this.lastHeartbeatMs = newValue;
+  /** A larger token is stored; commands under the old one are dead once it is acknowledged. */
+  void raiseFencingToken(long newToken) {
+    fencingToken = newToken;
+    tokenAcknowledged = false;
+    commands.markTokenRaised();
+    published.markChanged();
   }
 
-  /** The token acknowledged. */
+  /** Whether the worker has acknowledged the token: it accepts no other leader's answers then. */
   boolean tokenAcknowledged() {
     return tokenAcknowledged;
   }
 
-  /** Sets the token acknowledged. */
-  void setTokenAcknowledged(boolean newValue) {
-    this.tokenAcknowledged = newValue;
-  }
-
-  /** The lease expired. */
-  boolean leaseExpired() {
-    return leaseExpired;
-  }
-
-  /** Sets the lease expired. */
-  void setLeaseExpired(boolean newValue) {
-    this.leaseExpired = newValue;
-  }
-
-  /** The termination deadline, in ms of the steady clock. */
-  long terminationDeadlineMs() {
-    return terminationDeadlineMs;
-  }
-
-  /** Sets the termination deadline, in ms of the steady clock. */
-  void setTerminationDeadlineMs(long newValue) {
-    this.terminationDeadlineMs = newValue;
-  }
-
-  /** The drain until, in ms of the steady clock. */
-  long drainUntilMs() {
-    return drainUntilMs;
-  }
-
-  /** Sets the drain until, in ms of the steady clock. */
-  void setDrainUntilMs(long newValue) {
-    this.drainUntilMs = newValue;
-  }
-
-  /** The quarantine until, in ms of the steady clock. */
-  long quarantineUntilMs() {
-    return quarantineUntilMs;
-  }
-
-  /** Sets the quarantine until, in ms of the steady clock. */
-  void setQuarantineUntilMs(long newValue) {
-    this.quarantineUntilMs = newValue;
-  }
-
-  /** Counts one more task that failed here since the last that was done. */
-  void recordError() {
-    consecutiveErrors++;
-  }
-
-  /** The consecutive errors. */
-  int consecutiveErrors() {
-    return consecutiveErrors;
-  }
-
-  /** Sets the consecutive errors. */
-  void setConsecutiveErrors(int newValue) {
-    this.consecutiveErrors = newValue;
-  }
-
-  /** The faulty. */
-  boolean faulty() {
-    return faulty;
-  }
-
-  /** Sets the faulty. */
-  void setFaulty(boolean newValue) {
-    this.faulty = newValue;
-  }
-
-  /** The idle since, in ms of the steady clock. */
-  long idleSinceMs() {
-    return idleSinceMs;
-  }
-
-  /** Sets the idle since, in ms of the steady clock. */
-  void setIdleSinceMs(long newValue) {
-    this.idleSinceMs = newValue;
-  }
-
-  /** The tasks. */
-  Map<TaskAttempt, TaskReport> tasks() {
-    return tasks;
-  }
-
-  /** The reservations. */
-  Map<TaskKey, Reservation> reservations() {
-    return reservations;
-  }
-
-  /** The pending stops. */
-  Map<TaskKey, StopRequest> pendingStops() {
-    return pendingStops;
-  }
-
   /**
-   * Tasks stopped for others that were accepted in their place. Their stop goes out before or with
-   * any start that follows, so their room counts as free.
+   * The machine was recovered from this controller's former process.
+   *
+   * @param formerEndMs when that process may have answered last, in ms of the steady clock
+   * @param heartbeatMs when a heartbeat is assumed to have come last
    */
-  Set<TaskAttempt> preempted() {
-    return preempted;
+  void markRecovered(boolean intervening, long formerEndMs, long heartbeatMs) {
+    recovered = true;
+    interveningLeader = intervening;
+    lastResponseMs = formerEndMs;
+    lastHeartbeatMs = heartbeatMs;
   }
 
-  /** Ends other than done that a roster has told. */
-  Object2LongOpenHashMap<TaskKey> publishedExits() {
-    return publishedExits;
+  /** Whether it was recovered from this controller's former process. */
+  boolean recovered() {
+    return recovered;
   }
 
-  /**
-   * Starts sent to the worker's own address whose outcome is open. Until the answer is there, or
-   * the worker shows a larger term, they may be executed at any time: they count as possibly
-   * running, and their attempts are not forgotten, since a late copy would start them again.
-   */
-  Map<TaskKey, Long> unacknowledgedStarts() {
-    return unacknowledgedStarts;
+  /** Another controller may have answered the machine after the former process had ended. */
+  void markInterveningLeader() {
+    interveningLeader = true;
   }
 
-  /** The command in flight. */
-  boolean commandInFlight() {
-    return commandInFlight;
+  /** Whether a former leader may still be renewing the worker's lease. */
+  boolean formerLeaderMayAnswer() {
+    return !tokenAcknowledged && (!recovered || interveningLeader);
   }
 
-  /** Sets the command in flight. */
-  void setCommandInFlight(boolean newValue) {
-    this.commandInFlight = newValue;
+  /** The worker's own address; null before the first heartbeat. */
+  String address() {
+    return address;
   }
 
-  /** The command outcome unknown. */
-  boolean commandOutcomeUnknown() {
-    return commandOutcomeUnknown;
+  /** The worker's session; 0 before the first heartbeat. */
+  long workerSession() {
+    return workerSession;
   }
 
-  /** Sets the command outcome unknown. */
-  void setCommandOutcomeUnknown(boolean newValue) {
-    this.commandOutcomeUnknown = newValue;
+  /** The newest heartbeat of the session, those that answered direct commands included. */
+  long latestHeartbeatSequence() {
+    return latestHeartbeatSequence;
   }
 
-  /** The token write in flight. */
-  boolean tokenWriteInFlight() {
-    return tokenWriteInFlight;
+  /** The newest heartbeat of the session that the worker sent by itself. */
+  long handledHeartbeatSequence() {
+    return handledHeartbeatSequence;
   }
 
-  /** Sets the token write in flight. */
-  void setTokenWriteInFlight(boolean newValue) {
-    this.tokenWriteInFlight = newValue;
+  /** A heartbeat that the worker sent by itself is handled. */
+  void recordHandledSequence(long sequence) {
+    handledHeartbeatSequence = sequence;
   }
 
-  /** Somebody else may have answered it after this controller's former process had ended. */
-  boolean interveningLeader() {
-    return interveningLeader;
+  /** Whether the heartbeat is newer than all that is known of the machine. */
+  boolean isNewer(Heartbeat heartbeat) {
+    return heartbeat.session() > workerSession
+        || heartbeat.session() == workerSession && heartbeat.sequence() > latestHeartbeatSequence;
   }
 
-  /** Sets the intervening leader. */
-  void setInterveningLeader(boolean newValue) {
-    this.interveningLeader = newValue;
+  /** The worker's tasks of earlier sessions are gone, and it refuses commands for those. */
+  void beginSession() {
+    published.clearExits();
+    commands.settle();
+    handledHeartbeatSequence = 0;
   }
 
-  /** Taken over from this controller's own former process, which is dead. */
-  boolean recovered() {
-    return recovered;
+  /** Takes in what a heartbeat says of the worker, apart from tasks. */
+  void recordHeartbeat(Heartbeat heartbeat, long now) {
+    workerSession = heartbeat.session();
+    latestHeartbeatSequence = heartbeat.sequence();
+    lastHeartbeatMs = now;
+    address = heartbeat.address();
+    leaseExpired = false;
+    if (heartbeat.fencingToken() >= fencingToken) {
+      tokenAcknowledged = true;
+    }
+    terminationDeadlineMs =
+        heartbeat.interruptionNoticeS() == null
+            ? Long.MAX_VALUE
+            : now + (long) (heartbeat.interruptionNoticeS() * 1000);
   }
 
-  /** Sets the recovered. */
-  void setRecovered(boolean newValue) {
-    this.recovered = newValue;
+  /** When the last heartbeat came, in ms of the steady clock. */
+  long lastHeartbeatMs() {
+    return lastHeartbeatMs;
   }
 
-  /** The term was raised after the last start went astray. */
-  boolean tokenRaised() {
-    return tokenRaised;
+  /** An answer that renews the worker's lease leaves at that time, in ms of the steady clock. */
+  void recordResponse(long atMs) {
+    lastResponseMs = atMs;
   }
 
-  /** Sets the token raised. */
-  void setTokenRaised(boolean newValue) {
-    this.tokenRaised = newValue;
+  /** When the last answer left; the worker's lease counts from then at the latest. */
+  long lastResponseMs() {
+    return lastResponseMs;
   }
 
-  /** The command sent at, in ms of the steady clock. */
-  long commandSentAtMs() {
-    return commandSentAtMs;
+  /** The worker's lease is over: nothing is left on the machine. */
+  void expireLease(long now) {
+    leaseExpired = true;
+    tokenAcknowledged = true;
+    tasks.clear();
+    commands.settle();
+    idleSinceMs = now;
+    published.markChanged();
   }
 
-  /** Sets the command sent at, in ms of the steady clock. */
-  void setCommandSentAtMs(long newValue) {
-    this.commandSentAtMs = newValue;
+  /** Whether the worker's lease is over and no heartbeat has come since. */
+  boolean leaseExpired() {
+    return leaseExpired;
   }
 
-  /** The cached images. */
-  LinkedHashSet<String> cachedImages() {
-    return cachedImages;
+  /** Whether the cloud has announced that it will take the machine. */
+  boolean terminationAnnounced() {
+    return terminationDeadlineMs != Long.MAX_VALUE;
   }
 
-  /** The newest report handled; an answer of a direct command may be newer. */
-  long handledHeartbeatSequence() {
-    return handledHeartbeatSequence;
+  /** When the cloud will take the machine; {@code Long.MAX_VALUE}: not announced. */
+  long terminationDeadlineMs() {
+    return terminationDeadlineMs;
+  }
+
+  /** The machine gets no tasks until then, since it is to be returned. */
+  void drainUntil(long untilMs) {
+    drainUntilMs = untilMs;
   }
 
-  /** Sets the handled heartbeat sequence. */
-  void setHandledHeartbeatSequence(long newValue) {
-    this.handledHeartbeatSequence = newValue;
+  /** Whether the machine is being drained. */
+  boolean draining(long now) {
+    return drainUntilMs > now;
   }
 
-  /** Something that statements tell may have changed since the last one. */
-  boolean statusChanged() {
-    return statusChanged;
+  /** A task succeeded here. */
+  void recordSuccess() {
+    consecutiveErrors = 0;
   }
 
-  /** Sets the status changed. */
-  void setStatusChanged(boolean newValue) {
-    this.statusChanged = newValue;
+  /** A task failed here by no fault of its job: after several in a row the machine is suspect. */
+  void recordError(long now) {
+    consecutiveErrors++;
+    if (consecutiveErrors >= Constants.QUARANTINE_ERRORS) {
+      quarantineUntilMs = now + Constants.QUARANTINE_MS;
+      if (consecutiveErrors >= Constants.REPLACEMENT_ERRORS) {
+        faulty = true;
+      }
+    }
   }
 
-  /** What the last statement said of it, in which, and when. */
-  MachineStatus publishedStatus() {
-    return publishedStatus;
+  /** Tasks that failed here in a row. */
+  int consecutiveErrors() {
+    return consecutiveErrors;
   }
 
-  /** Sets the published status. */
-  void setPublishedStatus(MachineStatus newValue) {
-    this.publishedStatus = newValue;
+  /** Whether the machine gets no tasks for now since several failed. */
+  boolean quarantined(long now) {
+    return quarantineUntilMs > now;
   }
 
-  /** The published update number. */
-  long publishedUpdateNumber() {
-    return publishedUpdateNumber;
+  /** Whether so many tasks failed that the machine is to be replaced. */
+  boolean faulty() {
+    return faulty;
   }
 
-  /** Sets the published update number. */
-  void setPublishedUpdateNumber(long newValue) {
-    this.publishedUpdateNumber = newValue;
+  /** The machine has work now. */
+  void markBusy() {
+    idleSinceMs = 0;
   }
 
-  /** The published at, in ms of the steady clock. */
-  long publishedAtMs() {
-    return publishedAtMs;
+  /** Notes whether the machine has work. */
+  void updateIdle(long now) {
+    if (!tasks.isEmpty()) {
+      idleSinceMs = 0;
+    } else if (idleSinceMs == 0) {
+      idleSinceMs = now;
+    }
   }
 
-  /** Sets the published at, in ms of the steady clock. */
-  void setPublishedAtMs(long newValue) {
-    this.publishedAtMs = newValue;
+  /** Since when the machine has had no work, in ms of the steady clock; 0: it has some. */
+  long idleSinceMs() {
+    return idleSinceMs;
   }
 }
--- a/src/main/java/mallowstall/core/machines/ManagedMachines.java
+++ b/src/main/java/mallowstall/core/machines/ManagedMachines.java
@@ -11,12 +11,10 @@
 import mallowstall.core.cluster.MachineView;
 import mallowstall.core.kernel.EventClock;
 import mallowstall.core.kv.StateStore;
-import mallowstall.core.machines.ManagedMachine.Reservation;
 import mallowstall.core.model.CoreSettings;
 import mallowstall.core.model.ExitReason;
 import mallowstall.core.model.FreeCapacity;
 import mallowstall.core.model.JobEntry;
-import mallowstall.core.model.JobSpec;
 import mallowstall.core.model.MachineType;
 import mallowstall.core.model.TaskAttempt;
 import mallowstall.core.model.TaskReport;
@@ -59,13 +57,12 @@
 
   /** This controller's from the change of that revision on, which is its term too. */
   ManagedMachine add(String id, MachineType type, String zone, boolean spot, long revision) {
-    ManagedMachine machine = new ManagedMachine(id, type, zone, spot, revision, revision);
-    machine.setIdleSinceMs(clock.now());
+    ManagedMachine machine = new ManagedMachine(id, type, zone, spot, revision, clock.now());
     // reports don't name images: without what its last owner told of them, tasks were sent to
     // machines that had to fetch theirs, each time that machines changed owner
     MachineView machineView = view.machines.get(id);
     if (machineView != null && machineView.status() != null) {
-      machine.cachedImages().addAll(machineView.status().images());
+      machine.images().addAll(machineView.status().images());
     }
     machines.put(id, machine);
     return machine;
@@ -90,8 +87,8 @@
     long now = clock.now();
     return !machine.leaseExpired()
         && !machine.faulty()
-        && machine.terminationDeadlineMs() == Long.MAX_VALUE
-        && machine.quarantineUntilMs() <= now
+        && !machine.terminationAnnounced()
+        && !machine.quarantined(now)
         && !unresponsive(machine)
         && now - machine.lastResponseMs() <= unresponsiveAfterMs();
   }
@@ -106,33 +103,26 @@
   }
 
   /** Processors, GPUs and memory that nothing on the machine and no accepted start takes. */
-  double[] freeResources(ManagedMachine machine) {
-    double[] free = {machine.type().cpus(), machine.type().gpus(), machine.type().memoryGb()};
-    for (TaskReport task : machine.tasks().values()) {
+  FreeResources freeResources(ManagedMachine machine) {
+    FreeResources free = new FreeResources(machine.type());
+    for (TaskReport task : machine.tasks().reports()) {
       if (task.state() == TaskState.EXITED) {
         continue;
       }
-      if (machine.preempted().contains(TaskAttempt.of(task))) {
+      if (machine.tasks().isPreempted(TaskAttempt.of(task))) {
         continue;
       }
       JobEntry job = store.job(task.job());
       if (job != null) {
-        subtract(free, job.spec(), 1);
+        free.allocate(job.spec());
       }
     }
-    for (Reservation reservation : machine.reservations().values()) {
-      subtract(free, reservation.spec, 1);
+    for (Reservation reservation : machine.tasks().reservations()) {
+      free.allocate(reservation.spec());
     }
     return free;
   }
 
-  /** Takes the room of so many tasks of the job away. */
-  static void subtract(double[] free, JobSpec spec, int times) {
-    free[0] -= times * spec.cpus();
-    free[1] -= times * spec.gpus();
-    free[2] -= times * spec.memoryGb();
-  }
-
   /** The roomiest machines, as many as fit into one value of the state service. */
   public List<FreeCapacity> freeCapacities() {
     List<FreeCapacity> capacities = new ArrayList<>();
@@ -140,8 +130,8 @@
       if (!usable(machine)) {
         continue;
       }
-      double[] free = freeResources(machine);
-      capacities.add(new FreeCapacity(machine.id(), free[0], free[1], free[2]));
+      FreeResources free = freeResources(machine);
+      capacities.add(new FreeCapacity(machine.id(), free.cpus(), free.gpus(), free.memoryGb()));
     }
     // two hundred machines once made a value that the state service refused
     int limit = Math.max(1, settings.maxValueBytes() / Constants.FREE_CAPACITY_BYTES - 2);
--- a/src/main/java/mallowstall/core/machines/RestartRecovery.java
+++ b/src/main/java/mallowstall/core/machines/RestartRecovery.java
@@ -5,12 +5,10 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.function.Consumer;
 import mallowstall.Constants;
 import mallowstall.core.cluster.MachineTypeCatalog;
 import mallowstall.core.kernel.EventClock;
 import mallowstall.core.kernel.ResultCode;
-import mallowstall.core.kernel.TransactionResult;
 import mallowstall.core.kv.StateStore;
 import mallowstall.core.model.CoreSettings;
 import mallowstall.core.model.MachineEntry;
@@ -66,7 +64,7 @@
     noteInterveningLeader(id, machineEntry);
     ManagedMachine machine = machines.get(id);
     if (machine != null && machine.recovered() && !machineEntry.node().equals(settings.node())) {
-      machine.setInterveningLeader(true);
+      machine.markInterveningLeader();
     }
   }
 
@@ -121,19 +119,19 @@
   }
 
   private void recover(String id, MachineType type, MachineEntry machineEntry) {
-    entryWriter.markInFlight(id, clock.now());
     recoveriesInFlight.put(id, false);
-    Consumer<TransactionResult> callback =
-        reply -> {
-          entryWriter.clearInFlight(id);
-          boolean interveningLeader = recoveriesInFlight.remove(id);
-          if (reply.code() == ResultCode.OK && !machines.contains(id)) {
-            completeRecovery(id, type, machineEntry, reply.revision(), interveningLeader);
-          }
-        };
-    if (!entryWriter.writeEntry(
-        id, machineEntry.type(), machineEntry.zone(), machineEntry.spot(), callback)) {
-      entryWriter.clearInFlight(id);
+    boolean accepted =
+        entryWriter.claim(
+            id,
+            machineEntry,
+            clock.now(),
+            reply -> {
+              boolean interveningLeader = recoveriesInFlight.remove(id);
+              if (reply.code() == ResultCode.OK && !machines.contains(id)) {
+                completeRecovery(id, type, machineEntry, reply.revision(), interveningLeader);
+              }
+            });
+    if (!accepted) {
       recoveriesInFlight.remove(id);
     }
   }
@@ -146,11 +144,9 @@
       boolean interveningLeader) {
     ManagedMachine machine =
         machines.add(id, type, machineEntry.zone(), machineEntry.spot(), revision);
-    machine.setRecovered(true);
-    machine.setInterveningLeader(interveningLeader);
     // the former process may have answered until just before this one began
-    machine.setLastResponseMs(clock.startedAtMs());
-    machine.setLastHeartbeatMs(clock.now() - Constants.UNRESPONSIVE_AFTER_MS);
+    machine.markRecovered(
+        interveningLeader, clock.startedAtMs(), clock.now() - Constants.UNRESPONSIVE_AFTER_MS);
     LOG.info("machine {} kept from the former process, term {}", id, machine.fencingToken());
     statusPublisher.requestPublish();
   }
--- a/src/main/java/mallowstall/core/machines/StartAdmission.java
+++ b/src/main/java/mallowstall/core/machines/StartAdmission.java
@@ -1,6 +1,5 @@
 package mallowstall.core.machines;
 
-import mallowstall.Constants;
 import mallowstall.core.cluster.CancellationExchange;
 import mallowstall.core.cluster.Connectivity;
 import mallowstall.core.kernel.EventClock;
@@ -48,7 +47,7 @@
   /** Why the start is not possible; null: it is. */
   String rejectionReason(StartBatch startBatch, StartRequest start) {
     ManagedMachine machine = machines.get(start.machine());
-    if (machine == null || machine.modRevision() > store.revision()) {
+    if (machine == null || machine.fencingToken() > store.revision()) {
       return "not the owner";
     }
     if (!connectivity.mayRenewWorkerLeases()) {
@@ -80,11 +79,11 @@
     if (!machine.tokenAcknowledged()) {
       return "machine doesn't show that it hears";
     }
-    if (!machines.usable(machine) || machine.drainUntilMs() > clock.now()) {
+    if (!machines.usable(machine) || machine.draining(clock.now())) {
       return "machine set aside";
     }
     TaskKey key = new TaskKey(start.job(), start.task());
-    if (machine.hasTask(key)) {
+    if (machine.tasks().hasTask(key)) {
       return "task is here already";
     }
     return fits(machine, start, spec) ? null : "no room";
@@ -92,19 +91,17 @@
 
   /** Whether the task has room once those that it replaces are gone. */
   private boolean fits(ManagedMachine machine, StartRequest start, JobSpec spec) {
-    double[] free = machines.freeResources(machine);
+    FreeResources free = machines.freeResources(machine);
     for (TaskRef ref : start.victims()) {
       TaskAttempt attempt = TaskAttempt.of(ref);
-      TaskReport victim = machine.tasks().get(attempt);
+      TaskReport victim = machine.tasks().report(attempt);
       JobEntry victimJob = store.job(ref.job());
       boolean freed = victim == null || victim.state() == TaskState.EXITED || victimJob == null;
       // what is replaced already counts as free room, and only once
-      if (!freed && !machine.preempted().contains(attempt)) {
-        ManagedMachines.subtract(free, victimJob.spec(), -1);
+      if (!freed && !machine.tasks().isPreempted(attempt)) {
+        free.release(victimJob.spec());
       }
     }
-    return spec.cpus() <= free[0] + Constants.AMOUNT_EPSILON
-        && spec.gpus() <= free[1] + Constants.AMOUNT_EPSILON
-        && spec.memoryGb() <= free[2] + Constants.AMOUNT_EPSILON;
+    return free.fits(spec);
   }
 }
--- a/src/main/java/mallowstall/core/machines/StartRequestHandler.java
+++ b/src/main/java/mallowstall/core/machines/StartRequestHandler.java
@@ -2,13 +2,11 @@
 
 import mallowstall.core.kernel.Metrics;
 import mallowstall.core.kv.StateStore;
-import mallowstall.core.machines.ManagedMachine.Reservation;
 import mallowstall.core.model.JobSpec;
 import mallowstall.core.model.StartBatch;
 import mallowstall.core.model.StartRequest;
 import mallowstall.core.model.StopRequest;
 import mallowstall.core.model.TaskAttempt;
-import mallowstall.core.model.TaskKey;
 import mallowstall.core.model.TaskRef;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -56,17 +54,15 @@
   private void reserve(StartRequest start) {
     ManagedMachine machine = machines.get(start.machine());
     JobSpec spec = store.job(start.job()).spec();
-    machine
-        .reservations()
-        .put(new TaskKey(start.job(), start.task()), new Reservation(start, spec));
+    machine.tasks().reserve(new Reservation(start, spec));
     for (TaskRef ref : start.victims()) {
       TaskAttempt attempt = TaskAttempt.of(ref);
-      if (machine.tasks().containsKey(attempt) && machine.preempted().add(attempt)) {
+      if (machine.tasks().preempt(attempt)) {
         preempt(machine, attempt, start);
       }
     }
-    machine.setIdleSinceMs(0);
-    machine.setStatusChanged(true);
+    machine.markBusy();
+    machine.published().markChanged();
     commands.enqueue(machine);
     LOG.debug(
         "start {}/{} attempt {} booked on {}",
@@ -88,6 +84,6 @@
     metrics.increment("preemptions");
     StopRequest stop =
         new StopRequest(machine.id(), attempt.job(), attempt.task(), attempt.attempt(), 0);
-    machine.pendingStops().put(attempt.key(), stop);
+    machine.tasks().requestStop(stop);
   }
 }
--- a/src/main/java/mallowstall/core/machines/StatusPublisher.java
+++ b/src/main/java/mallowstall/core/machines/StatusPublisher.java
@@ -15,7 +15,6 @@
 import mallowstall.core.kernel.EventLoopLag;
 import mallowstall.core.kernel.Metrics;
 import mallowstall.core.kv.StateStore;
-import mallowstall.core.machines.ManagedMachine.Reservation;
 import mallowstall.core.model.CoreSettings;
 import mallowstall.core.model.MachineStatus;
 import mallowstall.core.model.StartRejection;
@@ -140,7 +139,7 @@
     PeerState sender = view.peer(settings.node());
     List<MachineStatus> statuses = new ArrayList<>();
     for (ManagedMachine machine : changed) {
-      statuses.add(machine.publishedStatus());
+      statuses.add(machine.published().status());
     }
     localDelivery.accept(
         new StatusUpdate(
@@ -168,8 +167,8 @@
         peer.acknowledgedSerial() >= tombstonesPrunedThrough ? peer.acknowledgedSerial() : 0;
     List<MachineStatus> statuses = new ArrayList<>();
     for (ManagedMachine machine : machines.all()) {
-      if (machine.publishedUpdateNumber() > baseUpdate) {
-        statuses.add(machine.publishedStatus());
+      if (machine.published().updateNumber() > baseUpdate) {
+        statuses.add(machine.published().status());
       }
     }
     // to acknowledge what it said would vouch for all cancellations newer than its mirror
@@ -227,23 +226,21 @@
     List<ManagedMachine> changed = new ArrayList<>();
     for (ManagedMachine machine : machines.all()) {
       boolean publishedRecently =
-          machine.publishedStatus() != null
-              && now - machine.publishedAtMs() < Constants.MACHINE_STATUS_REFRESH_MS;
-      if (publishedRecently && !machine.statusChanged() && !changedByTime(machine, now)) {
+          machine.published().status() != null
+              && now - machine.published().publishedMs() < Constants.MACHINE_STATUS_REFRESH_MS;
+      if (publishedRecently && !machine.published().changed() && !changedByTime(machine, now)) {
         continue;
       }
-      machine.setStatusChanged(false);
+      machine.published().clearChanged();
       MachineStatus status = statusOf(machine, now);
-      if (publishedRecently && status.sameIgnoringElapsedTime(machine.publishedStatus())) {
+      if (publishedRecently && status.sameIgnoringElapsedTime(machine.published().status())) {
         continue;
       }
-      machine.setPublishedStatus(status);
-      machine.setPublishedUpdateNumber(updateNumber);
-      machine.setPublishedAtMs(now);
+      machine.published().publish(status, updateNumber, now);
       changed.add(machine);
-      for (TaskReport task : machine.tasks().values()) {
+      for (TaskReport task : machine.tasks().reports()) {
         if (task.state() == TaskState.EXITED && machines.restartsAfterExit(task)) {
-          machine.publishedExits().put(TaskAttempt.of(task).key(), task.attempt());
+          machine.published().recordExit(TaskAttempt.of(task));
         }
       }
     }
@@ -252,9 +249,9 @@
 
   /** Whether time alone has changed what is to be said of a machine. */
   private boolean changedByTime(ManagedMachine machine, long now) {
-    return machines.usable(machine) != machine.publishedStatus().usable()
-        || machines.unresponsive(machine) != machine.publishedStatus().unresponsive()
-        || (machine.drainUntilMs() > now) != machine.publishedStatus().draining();
+    return machines.usable(machine) != machine.published().status().usable()
+        || machines.unresponsive(machine) != machine.published().status().unresponsive()
+        || (machine.draining(now)) != machine.published().status().draining();
   }
 
   /**
@@ -266,12 +263,12 @@
     List<String> machineIds = new ArrayList<>();
     long now = clock.now();
     for (ManagedMachine machine : machines.all()) {
-      if (machine.publishedStatus() == null
-          || machine.statusChanged()
+      if (machine.published().status() == null
+          || machine.published().changed()
           || changedByTime(machine, now)) {
         continue;
       }
-      if (!statusOf(machine, now).sameIgnoringElapsedTime(machine.publishedStatus())) {
+      if (!statusOf(machine, now).sameIgnoringElapsedTime(machine.published().status())) {
         machineIds.add(machine.id());
       }
     }
@@ -280,48 +277,48 @@
 
   private MachineStatus statusOf(ManagedMachine machine, long now) {
     List<TaskStatus> taskStatuses =
-        new ArrayList<>(machine.tasks().size() + machine.reservations().size());
-    for (TaskReport task : machine.tasks().values()) {
+        new ArrayList<>(machine.tasks().reportCount() + machine.tasks().reservations().size());
+    for (TaskReport task : machine.tasks().reports()) {
       taskStatuses.add(
           new TaskStatus(task.job(), task.task(), task.attempt(), task.state(), task.exitReason()));
     }
-    for (Reservation reservation : machine.reservations().values()) {
+    for (Reservation reservation : machine.tasks().reservations()) {
       taskStatuses.add(
           new TaskStatus(
-              reservation.request.job(),
-              reservation.request.task(),
-              reservation.request.attempt(),
+              reservation.request().job(),
+              reservation.request().task(),
+              reservation.request().attempt(),
               null,
               null));
     }
-    double[] free = machines.freeResources(machine);
-    boolean idle = machine.idle();
+    FreeResources free = machines.freeResources(machine);
+    boolean idle = machine.tasks().isEmpty();
     return new MachineStatus(
         machine.id(),
         machine.address(),
         machine.fencingToken(),
-        machine.modRevision(),
+        machine.fencingToken(),
         machine.workerSession(),
         machine.latestHeartbeatSequence(),
         machine.tokenAcknowledged(),
         machines.usable(machine),
-        machine.drainUntilMs() > now,
+        machine.draining(now),
         machine.faulty(),
         machines.unresponsive(machine),
         machine.leaseExpired(),
         machine.type().name(),
         machine.zone(),
         machine.spot(),
-        machine.terminationDeadlineMs() == Long.MAX_VALUE
-            ? -1
-            : Math.max(0, (machine.terminationDeadlineMs() - now) / 1000.0),
-        free[0],
-        free[1],
-        free[2],
+        machine.terminationAnnounced()
+            ? Math.max(0, (machine.terminationDeadlineMs() - now) / 1000.0)
+            : -1,
+        free.cpus(),
+        free.gpus(),
+        free.memoryGb(),
         machine.leaseExpired() || machines.unresponsive(machine)
             ? Math.max(1, now - machine.lastHeartbeatMs())
             : idle && machine.idleSinceMs() > 0 ? Math.max(1, now - machine.idleSinceMs()) : 0,
-        List.copyOf(machine.cachedImages()),
+        machine.images().toList(),
         taskStatuses);
   }
 }
--- a/src/main/java/mallowstall/core/machines/StopRequestHandler.java
+++ b/src/main/java/mallowstall/core/machines/StopRequestHandler.java
@@ -2,7 +2,6 @@
 
 import mallowstall.Constants;
 import mallowstall.core.kernel.EventClock;
-import mallowstall.core.machines.ManagedMachine.Reservation;
 import mallowstall.core.model.StopBatch;
 import mallowstall.core.model.StopRequest;
 import mallowstall.core.model.TaskAttempt;
@@ -41,9 +40,9 @@
         continue;
       }
       TaskKey key = new TaskKey(stop.job(), stop.task());
-      Reservation reservation = machine.reservations().get(key);
-      if (machine.tasks().containsKey(new TaskAttempt(stop.job(), stop.task(), stop.attempt()))
-          || (reservation != null && reservation.request.attempt() == stop.attempt())) {
+      Reservation reservation = machine.tasks().reservation(key);
+      if (machine.tasks().isReported(new TaskAttempt(stop.job(), stop.task(), stop.attempt()))
+          || (reservation != null && reservation.request().attempt() == stop.attempt())) {
         LOG.info(
             "stop {}/{} attempt {} on {} asked by {}",
             stop.job(),
@@ -51,14 +50,14 @@
             stop.attempt(),
             stop.machine(),
             stopBatch.node());
-        machine.pendingStops().put(key, stop);
+        machine.tasks().requestStop(stop);
         commands.enqueue(machine);
       }
     }
     for (String id : stopBatch.machinesToDrain()) {
       ManagedMachine machine = machines.get(id);
       if (machine != null) {
-        machine.setDrainUntilMs(clock.now() + Constants.DRAIN_EXPIRY_MS);
+        machine.drainUntil(clock.now() + Constants.DRAIN_EXPIRY_MS);
         statusPublisher.requestPublish();
       }
     }
@@ -72,15 +71,13 @@
   public void stopCancelled(String job) {
     statusPublisher.requestPublish(); // peers hear of it soon
     for (ManagedMachine machine : machines.all()) {
-      for (TaskReport task : machine.tasks().values()) {
+      for (TaskReport task : machine.tasks().reports()) {
         if (task.state() != TaskState.FETCHING || !task.job().equals(job)) {
           continue;
         }
         machine
-            .pendingStops()
-            .put(
-                new TaskKey(job, task.task()),
-                new StopRequest(machine.id(), job, task.task(), task.attempt(), 0));
+            .tasks()
+            .requestStop(new StopRequest(machine.id(), job, task.task(), task.attempt(), 0));
         commands.enqueue(machine);
       }
     }
