--- a/src/main/java/mallowstall/core/ControllerCore.java
+++ b/src/main/java/mallowstall/core/ControllerCore.java
@@ -39,17 +39,22 @@
 import mallowstall.core.machines.HeartbeatHandler;
 import mallowstall.core.machines.HeartbeatResponder;
 import mallowstall.core.machines.HeartbeatRouter;
+import mallowstall.core.machines.LeaderRedirects;
 import mallowstall.core.machines.LeadershipChanges;
 import mallowstall.core.machines.LeaseExpiryMonitor;
 import mallowstall.core.machines.MachineEntryWriter;
 import mallowstall.core.machines.MachineFailover;
 import mallowstall.core.machines.MachineMaintenance;
 import mallowstall.core.machines.MachineRegistration;
+import mallowstall.core.machines.MachineStatuses;
+import mallowstall.core.machines.MachineTakeover;
 import mallowstall.core.machines.ManagedMachines;
 import mallowstall.core.machines.RestartRecovery;
+import mallowstall.core.machines.StaleHeartbeats;
 import mallowstall.core.machines.StartAdmission;
 import mallowstall.core.machines.StartRequestHandler;
 import mallowstall.core.machines.StatusPublisher;
+import mallowstall.core.machines.StatusUpdateSequence;
 import mallowstall.core.machines.StopRequestHandler;
 import mallowstall.core.model.ApiResponse;
 import mallowstall.core.model.CoreSettings;
@@ -105,11 +110,15 @@
   private final JobLeader jobLeader;
   private final ManagedMachines machines;
   private final MachineEntryWriter entryWriter;
+  private final MachineStatuses machineStatuses;
+  private final StatusUpdateSequence statusUpdateSequence;
   private final StatusPublisher statusPublisher;
   private final FencingTokens fencingTokens;
   private final HeartbeatApplier heartbeatApplier;
   private final HeartbeatHandler heartbeatHandler;
   private final DirectCommands commands;
+  private final StaleHeartbeats staleHeartbeats;
+  private final LeaderRedirects redirects;
   private final MachineRegistration registration;
   private final RestartRecovery restartRecovery;
   private final HeartbeatRouter heartbeats;
@@ -152,6 +161,9 @@
     jobLeader = newHolder();
     machines = new ManagedMachines(clock, settings, store, view);
     entryWriter = new MachineEntryWriter(settings, effects, store);
+    machineStatuses = new MachineStatuses(clock, machines);
+    statusUpdateSequence =
+        new StatusUpdateSequence(settings, store, cancellations, machines, machineStatuses);
     statusPublisher = newPublisher();
     fencingTokens = new FencingTokens(machines, entryWriter, statusPublisher);
     heartbeatApplier =
@@ -168,6 +180,8 @@
             heartbeatApplier,
             machines,
             fencingTokens);
+    staleHeartbeats = new StaleHeartbeats(store, view);
+    redirects = new LeaderRedirects(settings, store, view, membership);
     registration = newAdoption();
     restartRecovery =
         new RestartRecovery(
@@ -176,7 +190,13 @@
     stopRequests = new StopRequestHandler(clock, machines, statusPublisher, commands);
     leadershipChanges =
         new LeadershipChanges(
-            settings, store, machines, statusPublisher, registration, restartRecovery);
+            settings,
+            store,
+            machines,
+            statusPublisher,
+            statusUpdateSequence,
+            staleHeartbeats,
+            restartRecovery);
     machineLeader = newOwner();
     startReceiver = newStartReceiver();
     statusUpdates = newStatusUpdates();
@@ -216,11 +236,9 @@
         settings,
         effects,
         metrics,
-        store,
         view,
-        cancellations,
-        this::receiveStatusUpdate,
-        machines);
+        statusUpdateSequence,
+        this::receiveStatusUpdate);
   }
 
   private HeartbeatHandler newReports() {
@@ -234,9 +252,9 @@
         clock,
         settings,
         store,
-        view,
         machineTypes,
-        membership,
+        staleHeartbeats,
+        redirects,
         machines,
         entryWriter,
         heartbeatHandler);
@@ -248,29 +266,14 @@
   }
 
   private MachineMaintenance newOwner() {
+    MachineTakeover takeover =
+        new MachineTakeover(clock, effects, machineTypes, machines, entryWriter, heartbeatApplier);
     MachineFailover failover =
-        new MachineFailover(
-            clock,
-            settings,
-            effects,
-            store,
-            view,
-            machineTypes,
-            membership,
-            machines,
-            entryWriter,
-            heartbeatApplier);
+        new MachineFailover(settings, effects, store, view, membership, entryWriter, takeover);
     LeaseExpiryMonitor leaseExpiry =
         new LeaseExpiryMonitor(settings, store, machines, fencingTokens, statusPublisher);
     return new MachineMaintenance(
-        clock,
-        machines,
-        entryWriter,
-        statusPublisher,
-        commands,
-        registration,
-        failover,
-        leaseExpiry);
+        clock, machines, entryWriter, statusPublisher, commands, redirects, failover, leaseExpiry);
   }
 
   private StartBatchReceiver newStartReceiver() {
@@ -287,7 +290,7 @@
         store,
         view,
         cancellations,
-        statusPublisher::statusUpdateSentAtMs,
+        statusUpdateSequence::composedMs,
         jobLeader::applyStatusUpdate,
         placementTrigger);
   }
@@ -538,7 +541,7 @@
 
   /** Machines whose published state differs from what is known of them, by name. */
   List<String> unpublishedChanges() {
-    return statusPublisher.unpublishedChanges();
+    return machineStatuses.unpublishedChanges();
   }
 
   /** Asks the controller to stop a task on one of its machines. */
--- a/src/main/java/mallowstall/core/machines/FencingTokens.java
+++ b/src/main/java/mallowstall/core/machines/FencingTokens.java
@@ -2,13 +2,13 @@
 
 import mallowstall.core.kernel.ResultCode;
 
-/** Raises the term of machines: commands that went astray under a smaller one are dead then. */
+/** Raises fencing tokens, which invalidates commands of unknown outcome under smaller ones. */
 public final class FencingTokens {
   private final ManagedMachines machines;
   private final MachineEntryWriter entryWriter;
   private final StatusPublisher statusPublisher;
 
-  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  /** Raises tokens through the entry writer and publishes them. */
   public FencingTokens(
       ManagedMachines machines, MachineEntryWriter entryWriter, StatusPublisher statusPublisher) {
     this.machines = machines;
@@ -17,7 +17,8 @@
   }
 
   /**
-   * Once the worker has shown a larger term, commands that went astray under the old one are dead.
+   * Writes the machine's entry anew, so that its revision becomes a larger token; nothing if this
+   * is under way or done already. Once the worker acknowledges it, it ignores older commands.
    */
   void raise(ManagedMachine machine) {
     if (!machine.commands().beginTokenWrite()) {
--- a/src/main/java/mallowstall/core/machines/LeadershipChanges.java
+++ b/src/main/java/mallowstall/core/machines/LeadershipChanges.java
@@ -8,7 +8,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Takes in what changes in the state service mean for the machines led here. */
+/** Applies changes of entries in the state service to the machines led here. */
 public final class LeadershipChanges {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.owner");
 
@@ -16,56 +16,64 @@
   private final StateStore store;
   private final ManagedMachines machines;
   private final StatusPublisher statusPublisher;
-  private final MachineRegistration registration;
+  private final StatusUpdateSequence updates;
+  private final StaleHeartbeats staleHeartbeats;
   private final RestartRecovery restartRecovery;
 
-  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  /** Releases machines through {@code updates}, so that peers hear of it. */
   public LeadershipChanges(
       CoreSettings settings,
       StateStore store,
       ManagedMachines machines,
       StatusPublisher statusPublisher,
-      MachineRegistration registration,
+      StatusUpdateSequence updates,
+      StaleHeartbeats staleHeartbeats,
       RestartRecovery restartRecovery) {
     this.settings = settings;
     this.store = store;
     this.machines = machines;
     this.statusPublisher = statusPublisher;
-    this.registration = registration;
+    this.updates = updates;
+    this.staleHeartbeats = staleHeartbeats;
     this.restartRecovery = restartRecovery;
   }
 
-  /** The machine's record has changed; null: it was returned. */
-  public void machineChanged(String id, MachineEntry record) {
-    if (record == null) {
-      registration.tombstone(id);
+  /** The machine's entry has changed; null: it was deleted when the machine was returned. */
+  public void machineChanged(String id, MachineEntry entry) {
+    if (entry == null) {
+      staleHeartbeats.addReturned(id);
     } else {
-      restartRecovery.noteInterveningLeader(id, record);
+      restartRecovery.noteInterveningLeader(id, entry);
     }
     ManagedMachine machine = machines.get(id);
     if (machine == null) {
       return;
     }
-    if (record == null) {
-      statusPublisher.releaseMachine(id);
-    } else if (record.node().equals(settings.node())
-        && record.incarnation() == store.incarnation()) {
-      // this controller's own raise or adoption, seen before its answer is handled
+    if (entry == null) {
+      release(id);
+    } else if (entry.node().equals(settings.node()) && entry.incarnation() == store.incarnation()) {
+      // an own write may be seen here before its answer is handled
       if (!machine.commands().tokenWriteInFlight()
-          && record.fencingToken() > machine.fencingToken()) {
-        statusPublisher.releaseMachine(id);
+          && entry.fencingToken() > machine.fencingToken()) {
+        release(id);
       }
-    } else if (record.fencingToken() > machine.fencingToken()) {
+    } else if (entry.fencingToken() > machine.fencingToken()) {
       LOG.debug(
-          "machine {} is now owned by {} under term {}", id, record.node(), record.fencingToken());
-      statusPublisher.releaseMachine(id);
+          "machine released machine={} leader={} token={}", id, entry.node(), entry.fencingToken());
+      release(id);
+    }
+  }
+
+  private void release(String id) {
+    if (machines.remove(id)) {
+      updates.addReleased(id);
+      statusPublisher.requestPublish();
     }
   }
 
   /**
-   * A job has become known whose tasks may be on machines that came over from an owner whose mirror
-   * was ahead: only now their room counts. Until the next restatement such a machine was told as
-   * free.
+   * A job has become known: its tasks may be on machines taken from a leader whose replica was
+   * ahead, and their resources count as used only from now on.
    */
   public void jobChanged(JobEntry before, JobEntry after) {
     if (before != null) {
--- a/src/main/java/mallowstall/core/machines/MachineEntryWriter.java
+++ b/src/main/java/mallowstall/core/machines/MachineEntryWriter.java
@@ -17,43 +17,46 @@
 import mallowstall.core.model.MachineGroupMember;
 
 /**
- * Writes which controller owns a machine. Each change compares this process's session, so that one
- * applied late, after the process has ended, fails. Mutable.
+ * Writes which controller leads a machine. Each write is conditional on this process's session, so
+ * that one applied late, after the process has ended, fails. Mutable.
  */
 public final class MachineEntryWriter {
   private final CoreSettings settings;
   private final Effects effects;
   private final StateStore store;
 
-  /** Machines whose change is under way, since when. */
+  /** Machines whose entry is being changed, since when, in ms of the steady clock. */
   private final Map<String, Long> inFlight = new HashMap<>();
 
   private int groupCounter;
   private long nextSweepMs;
 
-  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  /** Writes entries for the incarnation that {@code store} knows at the time. */
   public MachineEntryWriter(CoreSettings settings, Effects effects, StateStore store) {
     this.settings = settings;
     this.effects = effects;
     this.store = store;
   }
 
-  /** Marks that the machine's record is being changed. */
+  /** A change of the machine's entry begins. */
   void markInFlight(String machine, long now) {
     inFlight.put(machine, now);
   }
 
+  /** The change of the machine's entry was answered or refused. */
   void clearInFlight(String machine) {
     inFlight.remove(machine);
   }
 
+  /** Whether a change of the machine's entry is unanswered. */
   boolean inFlight(String machine) {
     return inFlight.containsKey(machine);
   }
 
-  /** Since when the machine's record is being changed; null: it isn't. */
-  Long inFlightSinceMs(String machine) {
-    return inFlight.get(machine);
+  /** Whether a change of the machine's entry began at most so long ago and is unanswered. */
+  boolean inFlightWithin(String machine, long now, long ms) {
+    Long sinceMs = inFlight.get(machine);
+    return sinceMs != null && now - sinceMs < ms;
   }
 
   /**
@@ -81,7 +84,7 @@
     return accepted;
   }
 
-  /** Makes this controller the machine's recorded owner; false: refused for the backlog. */
+  /** Makes this controller the machine's recorded leader; false: refused because of the backlog. */
   boolean writeEntry(
       String id, String type, String zone, boolean spot, Consumer<TransactionResult> callback) {
     String key = StateStore.MACHINE_PREFIX + id;
@@ -96,7 +99,7 @@
         callback);
   }
 
-  /** Writes one record that names many machines; false: refused for the backlog. */
+  /** The same for many machines by one entry; false: refused because of the backlog. */
   boolean writeGroup(List<MachineGroupMember> machines, Consumer<TransactionResult> callback) {
     String key = StateStore.MACHINE_GROUP_PREFIX + store.incarnation() + "-" + ++groupCounter;
     PutOperation put = new PutOperation(key, groupEntry(machines), 0);
@@ -107,7 +110,7 @@
         callback);
   }
 
-  /** The size of the record that names these machines, as it is sent. */
+  /** The encoded size, in bytes, of the entry that names these machines. */
   int groupSize(List<MachineGroupMember> machines) {
     return effects.encodedSizeBytes(groupEntry(machines));
   }
@@ -116,13 +119,13 @@
     return new MachineGroupEntry(settings.node(), store.incarnation(), machines);
   }
 
-  /** A change applied late, after this process has ended, must not make it an owner again. */
+  /** A write applied late, after this process has ended, must not make it a leader again. */
   private Condition sessionCondition() {
     String key = StateStore.SESSION_PREFIX + settings.node();
     return new Condition(key, store.modRevision(key));
   }
 
-  /** Drops groups that say nothing any more, one at a time. */
+  /** Deletes group entries that a later entry supersedes for every machine, one at a time. */
   void deleteObsoleteGroups(long now) {
     if (now < nextSweepMs || !store.isSessionValid()) {
       return;
--- a/src/main/java/mallowstall/core/machines/MachineFailover.java
+++ b/src/main/java/mallowstall/core/machines/MachineFailover.java
@@ -7,103 +7,86 @@
 import java.util.Set;
 import mallowstall.Constants;
 import mallowstall.core.cluster.ClusterView;
-import mallowstall.core.cluster.MachineTypeCatalog;
 import mallowstall.core.cluster.MachineView;
 import mallowstall.core.cluster.Membership;
 import mallowstall.core.kernel.Effects;
-import mallowstall.core.kernel.EventClock;
-import mallowstall.core.kernel.ResultCode;
 import mallowstall.core.kv.StateStore;
 import mallowstall.core.model.CoreSettings;
 import mallowstall.core.model.Heartbeat;
 import mallowstall.core.model.MachineEntry;
-import mallowstall.core.model.MachineType;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 
 /**
- * Takes machines from a controller whose session is gone but which may still answer them.
+ * Probes machines whose leader's session has ended but which it may still answer.
  *
  * <p>A controller without state service and peers may go on answering its workers after its session
- * is gone; they never turn to another then, and every job taken over would wait for them. So each
- * is asked directly, by one of the others, and shown a larger term: from then on it drops what its
- * former owner says, which sends it away in turn when it sees that term. What can't be reached, as
- * in a zone that is cut off, is left alone. Mutable.
+ * has ended. They never turn to another controller then, and every job that changed its leader
+ * would wait for them. So one of the other controllers asks each of them directly, and takes over
+ * those that answer: the larger fencing token makes a worker ignore its former leader. Machines
+ * that can't be reached, as in a zone that is cut off, are left alone. Mutable.
  */
 public final class MachineFailover {
-  private static final Logger LOG = LoggerFactory.getLogger("mallowstall.owner");
-
-  private final EventClock clock;
   private final CoreSettings settings;
   private final Effects effects;
+  private final StateStore store;
   private final ClusterView view;
-  private final MachineTypeCatalog types;
   private final Membership membership;
-  private final StateStore store;
-  private final HeartbeatApplier heartbeatApplier;
-  private final ManagedMachines machines;
   private final MachineEntryWriter entryWriter;
+  private final MachineTakeover takeover;
 
-  /** Machines whose recorded owner is gone, since when. */
+  /** Machines whose leader's session has ended, and since when, in ms of the steady clock. */
   private final Map<String, Long> leaderlessSinceMs = new HashMap<>();
 
-  /** When such machines were last asked. */
+  /** When such machines were last probed, in ms of the steady clock. */
   private final Map<String, Long> lastProbeMs = new HashMap<>();
 
-  private long nextProbeMs;
+  private long nextScanMs;
 
-  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  /** Probes nothing before its first tick. */
   public MachineFailover(
-      EventClock clock,
       CoreSettings settings,
       Effects effects,
       StateStore store,
       ClusterView view,
-      MachineTypeCatalog types,
       Membership membership,
-      ManagedMachines machines,
       MachineEntryWriter entryWriter,
-      HeartbeatApplier heartbeatApplier) {
-    this.clock = clock;
+      MachineTakeover takeover) {
     this.settings = settings;
     this.effects = effects;
+    this.store = store;
     this.view = view;
-    this.types = types;
     this.membership = membership;
-    this.store = store;
-    this.heartbeatApplier = heartbeatApplier;
-    this.machines = machines;
     this.entryWriter = entryWriter;
+    this.takeover = takeover;
   }
 
-  /** Asks some of the machines whose recorded owner is gone. */
+  /** Probes some of the machines whose leader's session has ended. */
   void tick(long now) {
-    if (now < nextProbeMs || !store.isSessionValid()) {
+    if (now < nextScanMs || !store.isSessionValid()) {
       return;
     }
-    nextProbeMs = now + Constants.MACHINE_FAILOVER_SCAN_INTERVAL_MS;
+    nextScanMs = now + Constants.MACHINE_FAILOVER_SCAN_INTERVAL_MS;
     Set<String> leaderless = new HashSet<>();
     int probesLeft = Constants.MACHINE_FAILOVER_BATCH;
-    for (Map.Entry<String, StateStore.Held> entry :
+    for (Map.Entry<String, StateStore.Held> stored :
         store.entriesUnder(StateStore.MACHINE_PREFIX).entrySet()) {
-      MachineEntry machineEntry = (MachineEntry) entry.getValue().value();
-      if (store.isLive(machineEntry.node(), machineEntry.incarnation())) {
+      MachineEntry entry = (MachineEntry) stored.getValue().value();
+      if (store.isLive(entry.node(), entry.incarnation())) {
         continue;
       }
-      String id = entry.getKey().substring(StateStore.MACHINE_PREFIX.length());
+      String id = stored.getKey().substring(StateStore.MACHINE_PREFIX.length());
       leaderless.add(id);
       leaderlessSinceMs.putIfAbsent(id, now);
-      if (probesLeft > 0 && probeDue(id, machineEntry, now)) {
+      if (probesLeft > 0 && probeDue(id, entry, now)) {
         probesLeft--;
-        probe(id, machineEntry, now);
+        probe(id, entry, now);
       }
     }
     leaderlessSinceMs.keySet().retainAll(leaderless);
     lastProbeMs.keySet().retainAll(leaderless);
   }
 
-  /** Whether it is for this controller to ask the machine now. */
-  private boolean probeDue(String id, MachineEntry machineEntry, long now) {
+  /** Whether this controller is the one to probe the machine, and may do so now. */
+  private boolean probeDue(String id, MachineEntry entry, long now) {
     MachineView machine = view.machines.get(id);
     return now - leaderlessSinceMs.get(id) >= Constants.MACHINE_FAILOVER_DELAY_MS
         && machine != null
@@ -112,73 +95,23 @@
         && !entryWriter.inFlight(id)
         && now - lastProbeMs.getOrDefault(id, Long.MIN_VALUE / 2)
             >= Constants.MACHINE_FAILOVER_RETRY_MS
-        && membership.preferredLeader(id, machineEntry.zone()).equals(settings.node());
+        && membership.preferredLeader(id, entry.zone()).equals(settings.node());
   }
 
-  private void probe(String id, MachineEntry machineEntry, long now) {
+  private void probe(String id, MachineEntry entry, long now) {
     lastProbeMs.put(id, now);
     String address = view.machines.get(id).status().address();
-    // no session is 0, so this is refused, with the worker's report
+    // no session is 0, so the worker refuses the request and answers with its heartbeat
     effects.sendCommands(
-        address, 0, 0, List.of(), reply -> claimMachine(id, machineEntry, reply.heartbeat()));
+        address, 0, 0, List.of(), reply -> handleAnswer(id, entry, reply.heartbeat()));
   }
 
-  /** The machine has answered: unless its record has changed since, it is this controller's. */
-  private void claimMachine(String id, MachineEntry expectedEntry, Heartbeat heartbeat) {
-    MachineType type = types.find(expectedEntry.type());
-    MachineEntry currentEntry = store.machine(id);
-    if (heartbeat == null
-        || !heartbeat.machine().equals(id)
-        || type == null
-        || !expectedEntry.equals(currentEntry)) {
-      return;
+  /** Takes the machine over if it has answered and its entry hasn't changed since the probe. */
+  private void handleAnswer(String id, MachineEntry probedEntry, Heartbeat heartbeat) {
+    if (heartbeat != null
+        && heartbeat.machine().equals(id)
+        && probedEntry.equals(store.machine(id))) {
+      takeover.begin(id, probedEntry, heartbeat);
     }
-    if (entryWriter.inFlight(id) || machines.contains(id)) {
-      return;
-    }
-    entryWriter.claim(
-        id,
-        expectedEntry,
-        clock.now(),
-        reply -> {
-          if (reply.code() == ResultCode.OK && !machines.contains(id)) {
-            completeFailover(id, type, expectedEntry, heartbeat, reply.revision());
-          }
-        });
-  }
-
-  private void completeFailover(
-      String id, MachineType type, MachineEntry previousEntry, Heartbeat heartbeat, long revision) {
-    ManagedMachine machine =
-        machines.add(id, type, previousEntry.zone(), previousEntry.spot(), revision);
-    // until it shows the new term, its former owner may renew its lease
-    machine.recordResponse(clock.now());
-    heartbeatApplier.apply(machine, heartbeat, false);
-    LOG.info(
-        "machine {} taken from {}, which is gone, term {}",
-        id,
-        previousEntry.node(),
-        machine.fencingToken());
-    sendFencingToken(machine);
-  }
-
-  /** Shows the worker the term without any command. */
-  private void sendFencingToken(ManagedMachine machine) {
-    effects.sendCommands(
-        machine.address(),
-        machine.fencingToken(),
-        machine.workerSession(),
-        List.of(),
-        reply -> {
-          Heartbeat heartbeat = reply.heartbeat();
-          if (!machines.isCurrent(machine) || reply.code() != ResultCode.OK || heartbeat == null) {
-            return;
-          }
-          machine.recordResponse(clock.now());
-          if (heartbeat.session() > machine.workerSession()
-              || heartbeat.sequence() > machine.latestHeartbeatSequence()) {
-            heartbeatApplier.apply(machine, heartbeat, false);
-          }
-        });
   }
 }
--- a/src/main/java/mallowstall/core/machines/MachineMaintenance.java
+++ b/src/main/java/mallowstall/core/machines/MachineMaintenance.java
@@ -2,42 +2,42 @@
 
 import mallowstall.core.kernel.EventClock;
 
-/** The regular duties towards the machines that report to this controller. */
+/** Regular maintenance of the machines led here and of those that lack a leader. */
 public final class MachineMaintenance {
   private final EventClock clock;
   private final ManagedMachines machines;
   private final MachineEntryWriter entryWriter;
   private final StatusPublisher statusPublisher;
   private final DirectCommands directCommands;
-  private final MachineRegistration registration;
+  private final LeaderRedirects redirects;
   private final MachineFailover failover;
   private final LeaseExpiryMonitor leaseExpiry;
 
-  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  /** Does nothing before its first tick. */
   public MachineMaintenance(
       EventClock clock,
       ManagedMachines machines,
       MachineEntryWriter entryWriter,
       StatusPublisher statusPublisher,
-      DirectCommands commands,
-      MachineRegistration registration,
+      DirectCommands directCommands,
+      LeaderRedirects redirects,
       MachineFailover failover,
       LeaseExpiryMonitor leaseExpiry) {
     this.clock = clock;
     this.machines = machines;
     this.entryWriter = entryWriter;
     this.statusPublisher = statusPublisher;
-    this.directCommands = commands;
-    this.registration = registration;
+    this.directCommands = directCommands;
+    this.redirects = redirects;
     this.failover = failover;
     this.leaseExpiry = leaseExpiry;
   }
 
-  /** The regular duties. */
+  /** Runs the maintenance that is due; to be called every {@code Constants.TICK_MS}. */
   public void tick() {
     long now = clock.now();
     failover.tick(now);
-    registration.expireRedirects(now);
+    redirects.expire(now);
     leaseExpiry.tick(now);
     entryWriter.deleteObsoleteGroups(now);
     for (ManagedMachine machine : machines.all()) {
--- /dev/null
+++ b/src/main/java/mallowstall/core/machines/StaleHeartbeats.java
@@ -0,0 +1,55 @@
+package mallowstall.core.machines;
+
+import java.util.LinkedHashSet;
+import java.util.Set;
+import mallowstall.Constants;
+import mallowstall.core.cluster.ClusterView;
+import mallowstall.core.cluster.MachineView;
+import mallowstall.core.kv.StateStore;
+import mallowstall.core.model.Heartbeat;
+
+/**
+ * Recognizes late copies of heartbeats. Taken for the worker itself, such a copy would take the
+ * machine from its live leader, or bring back a machine that was returned. Mutable.
+ */
+public final class StaleHeartbeats {
+  private final StateStore store;
+  private final ClusterView view;
+
+  /** Machines whose entry was deleted when they were returned; names are never used again. */
+  private final Set<String> returnedMachines = new LinkedHashSet<>();
+
+  /** Judges heartbeats by the replica and by what the machines' leaders have published. */
+  public StaleHeartbeats(StateStore store, ClusterView view) {
+    this.store = store;
+    this.view = view;
+  }
+
+  /** The machine's entry was deleted: heartbeats that still come are late copies. */
+  void addReturned(String machine) {
+    returnedMachines.add(machine);
+    if (returnedMachines.size() > Constants.RELEASED_MACHINES_MAX) {
+      returnedMachines.remove(returnedMachines.iterator().next());
+    }
+  }
+
+  /** Whether the machine was returned, or its leader has published a newer heartbeat. */
+  boolean isStale(Heartbeat heartbeat) {
+    // the entry is written before the first token is shown and deleted after the return
+    if (heartbeat.fencingToken() > 0 && store.machine(heartbeat.machine()) == null) {
+      return true;
+    }
+    if (returnedMachines.contains(heartbeat.machine())) {
+      return true;
+    }
+    MachineView machine = view.machines.get(heartbeat.machine());
+    if (machine == null
+        || machine.status() == null
+        || heartbeat.session() > machine.status().session()) {
+      return false;
+    }
+    return heartbeat.session() < machine.status().session()
+        || machine.status().leaseExpired()
+        || heartbeat.sequence() <= machine.status().heartbeatSequence();
+  }
+}
--- a/src/main/java/mallowstall/core/machines/StatusPublisher.java
+++ b/src/main/java/mallowstall/core/machines/StatusPublisher.java
@@ -1,36 +1,22 @@
 package mallowstall.core.machines;
 
-import it.unimi.dsi.fastutil.longs.Long2LongLinkedOpenHashMap;
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.function.Consumer;
 import mallowstall.Constants;
-import mallowstall.core.cluster.CancellationExchange;
 import mallowstall.core.cluster.ClusterView;
-import mallowstall.core.cluster.PeerState;
 import mallowstall.core.kernel.Effects;
 import mallowstall.core.kernel.EventClock;
 import mallowstall.core.kernel.EventLoopLag;
 import mallowstall.core.kernel.Metrics;
-import mallowstall.core.kv.StateStore;
 import mallowstall.core.model.CoreSettings;
-import mallowstall.core.model.MachineStatus;
 import mallowstall.core.model.StartRejection;
 import mallowstall.core.model.StartRequest;
 import mallowstall.core.model.StatusUpdate;
-import mallowstall.core.model.TaskAttempt;
-import mallowstall.core.model.TaskReport;
-import mallowstall.core.model.TaskState;
-import mallowstall.core.model.TaskStatus;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/**
- * Tells every peer, and this controller's own view, what is on its machines: numbered statements of
- * which each carries what has changed since the last that the receiver has taken in. Mutable.
- */
+/** Sends status updates of the machines led here to every peer and to the own view. Mutable. */
 public final class StatusPublisher {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.owner");
 
@@ -40,62 +26,48 @@
   private final Effects effects;
   private final Metrics metrics;
   private final ClusterView view;
-  private final CancellationExchange cancellations;
+  private final StatusUpdateSequence updates;
   private final Consumer<StatusUpdate> localDelivery;
-  private final StateStore store;
-  private final ManagedMachines machines;
 
-  /** Refusals that the next statement tells. */
+  /** Rejections that the next update carries. */
   private final List<StartRejection> rejections = new ArrayList<>();
 
-  /** Whether something is to be told soon. */
   private boolean publishRequested;
-
   private long lastPublishMs;
-  private long updateNumber;
-
-  /** When the newest statements were made. */
-  private final Long2LongLinkedOpenHashMap createdAtMs = new Long2LongLinkedOpenHashMap();
-
-  /** Machines no longer owned, with the statement that said so. */
-  private final Map<String, Long> tombstones = new LinkedHashMap<>();
 
-  /** Statements up to this one can't be built upon: what went since then is forgotten. */
-  private long tombstonesPrunedThrough;
-
-  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  /**
+   * Publishes nothing before its first tick.
+   *
+   * @param localDelivery takes the update for this controller's own view
+   */
   public StatusPublisher(
       EventClock clock,
       EventLoopLag lag,
       CoreSettings settings,
       Effects effects,
       Metrics metrics,
-      StateStore store,
       ClusterView view,
-      CancellationExchange cancellations,
-      Consumer<StatusUpdate> localDelivery,
-      ManagedMachines machines) {
+      StatusUpdateSequence updates,
+      Consumer<StatusUpdate> localDelivery) {
     this.clock = clock;
     this.lag = lag;
     this.settings = settings;
     this.effects = effects;
     this.metrics = metrics;
     this.view = view;
-    this.cancellations = cancellations;
+    this.updates = updates;
     this.localDelivery = localDelivery;
-    this.store = store;
-    this.machines = machines;
   }
 
-  /** Something has changed that is to be told soon. */
+  /** Something has changed: the next update goes out as soon as the minimum interval allows. */
   public void requestPublish() {
     publishRequested = true;
   }
 
-  /** The next statement refuses the start by name. */
+  /** The next update rejects the start. */
   void rejectStart(StartRequest start, String reason) {
     LOG.debug(
-        "not possible: {}/{} attempt {} on {}: {}",
+        "start rejected job={} task={} attempt={} machine={} reason={}",
         start.job(),
         start.task(),
         start.attempt(),
@@ -107,7 +79,7 @@
     publishRequested = true;
   }
 
-  /** Publishes when something has changed, and at least once in a while. */
+  /** Publishes when something has changed, and at least once each regular interval. */
   void tick(long now) {
     long elapsedMs = now - lastPublishMs;
     long minGapMs = lag.stretchedGapMs(Constants.STATUS_UPDATE_INTERVAL_MIN_MS);
@@ -118,207 +90,19 @@
   }
 
   private void publish() {
-    if (store.incarnation() == 0 || !store.synced()) {
+    if (!updates.ready()) {
       return;
     }
     publishRequested = false;
     long now = clock.now();
     lastPublishMs = now;
-    updateNumber++;
-    createdAtMs.put(updateNumber, now);
-    if (createdAtMs.size() > Constants.STATUS_UPDATE_TIMES_MAX) {
-      createdAtMs.removeFirstLong();
-    }
-    List<ManagedMachine> changed = collectChanges(now);
+    List<ManagedMachine> changed = updates.beginUpdate(now);
     List<StartRejection> newRejections = new ArrayList<>(rejections);
     rejections.clear();
-    for (String peerNode : settings.peers()) {
-      PeerState peer = view.peer(peerNode);
-      effects.send(peerNode, buildStatusUpdate(peer, now - store.freshAtMs(), newRejections));
-    }
-    PeerState sender = view.peer(settings.node());
-    List<MachineStatus> statuses = new ArrayList<>();
-    for (ManagedMachine machine : changed) {
-      statuses.add(machine.published().status());
+    for (String peer : settings.peers()) {
+      effects.send(peer, updates.composeFor(view.peer(peer), now, newRejections));
     }
     localDelivery.accept(
-        new StatusUpdate(
-            settings.node(),
-            store.incarnation(),
-            updateNumber,
-            sender.serial(),
-            store.incarnation(),
-            updateNumber,
-            store.revision(),
-            sender.lastStartsIncarnation(),
-            sender.lastStartsConnection(),
-            sender.lastStartsSequence(),
-            0,
-            List.of(),
-            statuses,
-            removedSince(sender.serial()),
-            newRejections));
-  }
-
-  /** What the peer doesn't know for certain yet, or all if it can't be told as a difference. */
-  private StatusUpdate buildStatusUpdate(
-      PeerState peer, long replicaAgeMs, List<StartRejection> newRejections) {
-    long baseUpdate =
-        peer.acknowledgedSerial() >= tombstonesPrunedThrough ? peer.acknowledgedSerial() : 0;
-    List<MachineStatus> statuses = new ArrayList<>();
-    for (ManagedMachine machine : machines.all()) {
-      if (machine.published().updateNumber() > baseUpdate) {
-        statuses.add(machine.published().status());
-      }
-    }
-    // to acknowledge what it said would vouch for all cancellations newer than its mirror
-    boolean acknowledges =
-        peer.replicaRevision() > 0 && cancellations.retainsSince(peer.replicaRevision());
-    return new StatusUpdate(
-        settings.node(),
-        store.incarnation(),
-        updateNumber,
-        baseUpdate,
-        acknowledges ? peer.appliedIncarnation() : 0,
-        acknowledges ? peer.appliedSerial() : 0,
-        store.revision(),
-        peer.lastStartsIncarnation(),
-        peer.lastStartsConnection(),
-        peer.lastStartsSequence(),
-        replicaAgeMs,
-        acknowledges ? cancellations.cancelledSince(peer.replicaRevision()) : List.of(),
-        statuses,
-        baseUpdate == 0 ? List.of() : removedSince(baseUpdate),
-        newRejections);
-  }
-
-  /** When this statement was made; never, if it is forgotten or unknown. */
-  public long statusUpdateSentAtMs(long updateNumber) {
-    return createdAtMs.getOrDefault(updateNumber, Long.MIN_VALUE / 2);
-  }
-
-  private List<String> removedSince(long since) {
-    List<String> removed = new ArrayList<>();
-    tombstones.forEach(
-        (id, removedIn) -> {
-          if (removedIn > since && !machines.contains(id)) {
-            removed.add(id);
-          }
-        });
-    return removed;
-  }
-
-  /** The machine is no longer this controller's, which the next statement says. */
-  void releaseMachine(String id) {
-    if (!machines.remove(id)) {
-      return;
-    }
-    tombstones.put(id, updateNumber + 1);
-    publishRequested = true;
-    if (tombstones.size() > Constants.RELEASED_MACHINES_MAX) {
-      tombstonesPrunedThrough = updateNumber + 1;
-      tombstones.clear();
-    }
-  }
-
-  /** Makes the new statement: every machine of which something else is to be said than before. */
-  private List<ManagedMachine> collectChanges(long now) {
-    List<ManagedMachine> changed = new ArrayList<>();
-    for (ManagedMachine machine : machines.all()) {
-      boolean publishedRecently =
-          machine.published().status() != null
-              && now - machine.published().publishedMs() < Constants.MACHINE_STATUS_REFRESH_MS;
-      if (publishedRecently && !machine.published().changed() && !changedByTime(machine, now)) {
-        continue;
-      }
-      machine.published().clearChanged();
-      MachineStatus status = statusOf(machine, now);
-      if (publishedRecently && status.sameIgnoringElapsedTime(machine.published().status())) {
-        continue;
-      }
-      machine.published().publish(status, updateNumber, now);
-      changed.add(machine);
-      for (TaskReport task : machine.tasks().reports()) {
-        if (task.state() == TaskState.EXITED && machines.restartsAfterExit(task)) {
-          machine.published().recordExit(TaskAttempt.of(task));
-        }
-      }
-    }
-    return changed;
-  }
-
-  /** Whether time alone has changed what is to be said of a machine. */
-  private boolean changedByTime(ManagedMachine machine, long now) {
-    return machines.usable(machine) != machine.published().status().usable()
-        || machines.unresponsive(machine) != machine.published().status().unresponsive()
-        || (machine.draining(now)) != machine.published().status().draining();
-  }
-
-  /**
-   * The machines of which the last statement says something else than what is known, although
-   * nothing marks them to be told anew; none, or a start could pass for one that never arrived. For
-   * comparison with the slow way, which is to tell all each time.
-   */
-  public List<String> unpublishedChanges() {
-    List<String> machineIds = new ArrayList<>();
-    long now = clock.now();
-    for (ManagedMachine machine : machines.all()) {
-      if (machine.published().status() == null
-          || machine.published().changed()
-          || changedByTime(machine, now)) {
-        continue;
-      }
-      if (!statusOf(machine, now).sameIgnoringElapsedTime(machine.published().status())) {
-        machineIds.add(machine.id());
-      }
-    }
-    return machineIds;
-  }
-
-  private MachineStatus statusOf(ManagedMachine machine, long now) {
-    List<TaskStatus> taskStatuses =
-        new ArrayList<>(machine.tasks().reportCount() + machine.tasks().reservations().size());
-    for (TaskReport task : machine.tasks().reports()) {
-      taskStatuses.add(
-          new TaskStatus(task.job(), task.task(), task.attempt(), task.state(), task.exitReason()));
-    }
-    for (Reservation reservation : machine.tasks().reservations()) {
-      taskStatuses.add(
-          new TaskStatus(
-              reservation.request().job(),
-              reservation.request().task(),
-              reservation.request().attempt(),
-              null,
-              null));
-    }
-    FreeResources free = machines.freeResources(machine);
-    boolean idle = machine.tasks().isEmpty();
-    return new MachineStatus(
-        machine.id(),
-        machine.address(),
-        machine.fencingToken(),
-        machine.fencingToken(),
-        machine.workerSession(),
-        machine.latestHeartbeatSequence(),
-        machine.tokenAcknowledged(),
-        machines.usable(machine),
-        machine.draining(now),
-        machine.faulty(),
-        machines.unresponsive(machine),
-        machine.leaseExpired(),
-        machine.type().name(),
-        machine.zone(),
-        machine.spot(),
-        machine.terminationAnnounced()
-            ? Math.max(0, (machine.terminationDeadlineMs() - now) / 1000.0)
-            : -1,
-        free.cpus(),
-        free.gpus(),
-        free.memoryGb(),
-        machine.leaseExpired() || machines.unresponsive(machine)
-            ? Math.max(1, now - machine.lastHeartbeatMs())
-            : idle && machine.idleSinceMs() > 0 ? Math.max(1, now - machine.idleSinceMs()) : 0,
-        machine.images().toList(),
-        taskStatuses);
+        updates.composeForSelf(view.peer(settings.node()), changed, newRejections));
   }
 }
