--- a/src/main/java/mallowstall/core/machines/StartAdmission.java
+++ b/src/main/java/mallowstall/core/machines/StartAdmission.java
@@ -12,7 +12,6 @@
 import mallowstall.core.model.StartRequest;
 import mallowstall.core.model.TaskAttempt;
 import mallowstall.core.model.TaskKey;
-import mallowstall.core.model.TaskRef;
 import mallowstall.core.model.TaskReport;
 import mallowstall.core.model.TaskState;
 
@@ -92,10 +91,9 @@
   /** Whether the task has room once those that it replaces are gone. */
   private boolean fits(ManagedMachine machine, StartRequest start, JobSpec spec) {
     FreeResources free = machines.freeResources(machine);
-    for (TaskRef ref : start.victims()) {
-      TaskAttempt attempt = TaskAttempt.of(ref);
+    for (TaskAttempt attempt : start.victims()) {
       TaskReport victim = machine.tasks().report(attempt);
-      JobEntry victimJob = store.job(ref.job());
+      JobEntry victimJob = store.job(attempt.job());
       boolean freed = victim == null || victim.state() == TaskState.EXITED || victimJob == null;
       // what is replaced already counts as free room, and only once
       if (!freed && !machine.tasks().isPreempted(attempt)) {
--- a/src/main/java/mallowstall/core/machines/StartRequestHandler.java
+++ b/src/main/java/mallowstall/core/machines/StartRequestHandler.java
@@ -7,7 +7,6 @@
 import mallowstall.core.model.StartRequest;
 import mallowstall.core.model.StopRequest;
 import mallowstall.core.model.TaskAttempt;
-import mallowstall.core.model.TaskRef;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -55,8 +54,7 @@
     ManagedMachine machine = machines.get(start.machine());
     JobSpec spec = store.job(start.job()).spec();
     machine.tasks().reserve(new Reservation(start, spec));
-    for (TaskRef ref : start.victims()) {
-      TaskAttempt attempt = TaskAttempt.of(ref);
+    for (TaskAttempt attempt : start.victims()) {
       if (machine.tasks().preempt(attempt)) {
         preempt(machine, attempt, start);
       }
