--- a/src/main/java/mallowstall/core/machines/DirectCommands.java
+++ b/src/main/java/mallowstall/core/machines/DirectCommands.java
@@ -24,9 +24,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sends starts and stops to the worker's own address, one request a machine at a time. Such a
- * command may be executed at any time until it is answered or the worker shows a larger term, so
- * one that goes astray raises the term. Mutable.
+ * Sends starts and stops to the worker's own address, one request per machine at a time. Such a
+ * command may be executed at any time until it is answered or the worker acknowledges a larger
+ * fencing token, so the token is raised when the outcome of one is unknown. Mutable.
  */
 public final class DirectCommands {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.owner");
@@ -40,10 +40,10 @@
   private final ManagedMachines machines;
   private final FencingTokens fencingTokens;
 
-  /** Machines for which something may wait to be sent to their own address. */
+  /** Machines for which a command may wait to be sent. */
   private final Set<ManagedMachine> machinesWithPendingCommands = new LinkedHashSet<>();
 
-  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  /** Sends nothing before a machine is enqueued. */
   public DirectCommands(
       EventClock clock,
       Effects effects,
@@ -63,12 +63,12 @@
     this.fencingTokens = fencingTokens;
   }
 
-  /** Something may wait to be sent to this machine. */
+  /** A command may wait to be sent to this machine. */
   void enqueue(ManagedMachine machine) {
     machinesWithPendingCommands.add(machine);
   }
 
-  /** Sends what waits for a machine's next report to its own address, one request at a time. */
+  /** Sends commands that would else wait for the machines' next heartbeats. */
   public void sendPending() {
     if (machinesWithPendingCommands.isEmpty()) {
       return;
@@ -107,7 +107,7 @@
     }
   }
 
-  /** Whether a command may be sent to the machine now. */
+  /** Whether a request may be sent to the machine now. */
   private boolean reachable(ManagedMachine machine) {
     return machine.commands().ready()
         && machine.address() != null
@@ -142,7 +142,7 @@
     return commands;
   }
 
-  /** Accepted starts that haven't been sent, as many at most. */
+  /** Reserved starts that haven't been sent, at most {@code limit}. */
   private List<Reservation> startsFor(ManagedMachine machine, int limit) {
     List<Reservation> starts = new ArrayList<>();
     for (Reservation reservation : machine.tasks().reservations()) {
@@ -182,7 +182,10 @@
       if (!machine.commands().hasUnacknowledgedStarts()) {
         return;
       }
-      LOG.info("commands to {} went astray: raising its term", machine.id());
+      LOG.info(
+          "command outcome unknown, raising token machine={} token={}",
+          machine.id(),
+          machine.fencingToken());
       machine.commands().markOutcomeUnknown();
       fencingTokens.raise(machine);
       return;
--- a/src/main/java/mallowstall/core/machines/HeartbeatRouter.java
+++ b/src/main/java/mallowstall/core/machines/HeartbeatRouter.java
@@ -10,8 +10,8 @@
 import mallowstall.core.model.HeartbeatResponse;
 
 /**
- * Decides who answers a worker's report: this controller, because it leads the machine or takes it
- * over, another one, or nobody if the report may be a late copy.
+ * Decides who answers a worker's heartbeat: this controller, because it leads the machine or
+ * becomes its leader, another one, or nobody if the heartbeat may be a late copy.
  */
 public final class HeartbeatRouter {
   private final EventClock clock;
@@ -22,7 +22,7 @@
   private final HeartbeatHandler heartbeatHandler;
   private final MachineRegistration registration;
 
-  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  /** Passes heartbeats of machines led here to the handler and others to the registration. */
   public HeartbeatRouter(
       EventClock clock,
       StateStore store,
@@ -40,7 +40,7 @@
     this.registration = registration;
   }
 
-  /** A worker has reported; {@code reply} is called once, perhaps later. */
+  /** Handles a heartbeat; {@code reply} is called once, perhaps later. */
   public void route(Heartbeat heartbeat, Consumer<HeartbeatResponse> reply) {
     long now = clock.now();
     if (!store.synced()
@@ -51,28 +51,28 @@
       return;
     }
     if (connectivity.isIsolatedFromStateService()) {
-      // New jobs aren't known here, so these machines would stand idle: send them where they are.
+      // new jobs aren't known here, so the machine would stay idle
       reply.accept(HeartbeatResponse.redirect(connectivity.peerWithStateAccess()));
       return;
     }
     ManagedMachine machine = machines.get(heartbeat.machine());
     if (machine != null && heartbeat.fencingToken() <= machine.fencingToken()) {
       if (machine.leaseExpired() && heartbeat.session() <= machine.workerSession()) {
-        // sent before its lease ran out and delivered late: the tasks it lists are gone for certain
+        // sent before the lease expired and delivered late: the tasks it lists are gone
         reply.accept(HeartbeatResponse.unavailable());
         return;
       }
       if (heartbeat.session() < machine.workerSession()
           || (heartbeat.session() == machine.workerSession()
               && heartbeat.sequence() <= machine.handledHeartbeatSequence())) {
-        // A late copy: reports of a worker come one at a time. It renews nothing.
+        // a late copy, since a worker sends one heartbeat at a time: it renews nothing
         reply.accept(HeartbeatResponse.unavailable());
         return;
       }
       if (heartbeat.session() == machine.workerSession()
           && heartbeat.sequence() <= machine.latestHeartbeatSequence()) {
-        // Overtaken by the answer of a direct command: it says nothing new. To refuse it would
-        // send a healthy worker to another controller.
+        // overtaken by the answer to a direct command, but refused it would send a healthy worker
+        // to another controller
         machine.recordHandledSequence(heartbeat.sequence());
         machine.recordResponse(now);
         reply.accept(HeartbeatResponse.accepted(machine.fencingToken(), List.of()));
--- a/src/main/java/mallowstall/core/machines/LeaseExpiryMonitor.java
+++ b/src/main/java/mallowstall/core/machines/LeaseExpiryMonitor.java
@@ -6,7 +6,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Declares the tasks of machines gone whose lease has surely expired. */
+/** Expires the leases of workers that certainly have ended their tasks (protocol, Leases). */
 public final class LeaseExpiryMonitor {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.owner");
 
@@ -16,7 +16,7 @@
   private final FencingTokens fencingTokens;
   private final StatusPublisher statusPublisher;
 
-  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  /** Expires nothing before its first tick. */
   public LeaseExpiryMonitor(
       CoreSettings settings,
       StateStore store,
@@ -30,7 +30,7 @@
     this.statusPublisher = statusPublisher;
   }
 
-  /** Expires the leases of machines that nobody can have answered for long enough. */
+  /** Expires leases that are over and raises tokens that could not be raised before. */
   void tick(long now) {
     for (ManagedMachine machine : machines.all()) {
       if (machine.commands().needsTokenRaise()) {
@@ -42,9 +42,7 @@
     }
   }
 
-  /**
-   * Whether nobody can have answered the machine for so long that its tasks are gone for certain.
-   */
+  /** Whether no controller can have renewed the worker's lease for longer than it lasts. */
   private boolean isLeaseExpired(ManagedMachine machine, long now) {
     long leaseMs =
         (long) (settings.workerLeaseMs() * (1 + 2 * Constants.CLOCK_DRIFT_FRACTION))
@@ -52,25 +50,21 @@
     if (machine.leaseExpired() || now - machine.lastResponseMs() <= leaseMs) {
       return false;
     }
-    // unconfirmed: a former owner may still be answering it, unless it was our own former process
-    // (a late copy of a report to that one may have told a session: that changes nothing)
     if (machine.formerLeaderMayAnswer()) {
       return false;
     }
-    // Who owned it between the former process and this one may still be unknown here: a group's
-    // record isn't compared with. Written off then, its tasks were started a second time.
+    // another controller may have led it between the former process and this one, unknown here
+    // until the replica has passed the own write, since group entries are written unconditionally
     if (machine.recovered() && machine.fencingToken() > store.revision()) {
       return false;
     }
-    // the mirror has passed the end of the lease and still names this controller
+    // the replica has passed the end of the lease and still names this controller as leader
     return store.freshAtMs() > machine.lastResponseMs() + leaseMs;
   }
 
   private void expire(ManagedMachine machine, long now) {
     LOG.info(
-        "machine {} written off with {} tasks: silent beyond its lease",
-        machine.id(),
-        machine.tasks().reportCount());
+        "machine lease expired machine={} tasks={}", machine.id(), machine.tasks().reportCount());
     machine.expireLease(now);
     statusPublisher.requestPublish();
   }
--- a/src/main/java/mallowstall/core/machines/ManagedMachines.java
+++ b/src/main/java/mallowstall/core/machines/ManagedMachines.java
@@ -20,7 +20,7 @@
 import mallowstall.core.model.TaskReport;
 import mallowstall.core.model.TaskState;
 
-/** The machines that this controller owns, and what follows from what they report. Mutable. */
+/** The machines that this controller leads, in the order in which it became leader. Mutable. */
 public final class ManagedMachines {
   private final EventClock clock;
   private final CoreSettings settings;
@@ -28,7 +28,7 @@
   private final StateStore store;
   private final Map<String, ManagedMachine> machines = new LinkedHashMap<>();
 
-  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  /** No machine is led before the first is added. */
   public ManagedMachines(
       EventClock clock, CoreSettings settings, StateStore store, ClusterView view) {
     this.clock = clock;
@@ -37,29 +37,30 @@
     this.store = store;
   }
 
-  /** The machine, if this controller owns it; else null. */
+  /** The machine; null: this controller doesn't lead it. */
   ManagedMachine get(String id) {
     return machines.get(id);
   }
 
+  /** Whether this controller leads the machine. */
   boolean contains(String id) {
     return machines.containsKey(id);
   }
 
-  /** Whether it is still the one that this controller owns under that name. */
+  /** Whether the object still stands for the current leadership of that machine. */
   boolean isCurrent(ManagedMachine machine) {
     return machines.get(machine.id()) == machine;
   }
 
+  /** All machines, in the order in which their names were added first; a live view. */
   Collection<ManagedMachine> all() {
     return machines.values();
   }
 
-  /** This controller's from the change of that revision on, which is its term too. */
+  /** Begins the leadership that was written at that revision, which is its fencing token too. */
   ManagedMachine add(String id, MachineType type, String zone, boolean spot, long revision) {
     ManagedMachine machine = new ManagedMachine(id, type, zone, spot, revision, clock.now());
-    // reports don't name images: without what its last owner told of them, tasks were sent to
-    // machines that had to fetch theirs, each time that machines changed owner
+    // heartbeats don't name images, so the previous leader's knowledge is kept
     MachineView machineView = view.machines.get(id);
     if (machineView != null && machineView.status() != null) {
       machine.images().addAll(machineView.status().images());
@@ -68,12 +69,12 @@
     return machine;
   }
 
-  /** Whether the machine was owned until now. */
+  /** Ends the leadership of the machine; false: there was none. */
   boolean remove(String id) {
     return machines.remove(id) != null;
   }
 
-  /** Whether the task runs again after this end, whose only trace is what statements tell of it. */
+  /** Whether the task restarts after this exit, which is recorded in status updates only. */
   boolean restartsAfterExit(TaskReport task) {
     if (task.exitReason() != ExitReason.DONE) {
       return true;
@@ -82,7 +83,9 @@
     return job != null && job.spec().isService();
   }
 
-  /** A machine whose reports come to nobody answers commands, but loses its tasks each lease. */
+  /**
+   * Whether the machine may get tasks: its lease is renewed, and it is neither suspect nor ending.
+   */
   boolean usable(ManagedMachine machine) {
     long now = clock.now();
     return !machine.leaseExpired()
@@ -97,12 +100,12 @@
     return Math.max(Constants.UNRESPONSIVE_AFTER_MS, settings.heartbeatIntervalMs() * 2);
   }
 
-  /** Whether the machine hasn't been heard for so long that it gets no tasks. */
+  /** Whether no heartbeat has come for so long that the machine gets no tasks. */
   boolean unresponsive(ManagedMachine machine) {
     return clock.now() - machine.lastHeartbeatMs() > unresponsiveAfterMs();
   }
 
-  /** Processors, GPUs and memory that nothing on the machine and no accepted start takes. */
+  /** What neither tasks nor accepted starts use; victims of accepted starts count as ended. */
   FreeResources freeResources(ManagedMachine machine) {
     FreeResources free = new FreeResources(machine.type());
     for (TaskReport task : machine.tasks().reports()) {
@@ -123,7 +126,7 @@
     return free;
   }
 
-  /** The roomiest machines, as many as fit into one value of the state service. */
+  /** Free capacities of usable machines, the largest if not all fit one value of the state. */
   public List<FreeCapacity> freeCapacities() {
     List<FreeCapacity> capacities = new ArrayList<>();
     for (ManagedMachine machine : machines.values()) {
@@ -133,7 +136,6 @@
       FreeResources free = freeResources(machine);
       capacities.add(new FreeCapacity(machine.id(), free.cpus(), free.gpus(), free.memoryGb()));
     }
-    // two hundred machines once made a value that the state service refused
     int limit = Math.max(1, settings.maxValueBytes() / Constants.FREE_CAPACITY_BYTES - 2);
     if (capacities.size() <= limit) {
       return capacities;
--- a/src/main/java/mallowstall/core/machines/RestartRecovery.java
+++ b/src/main/java/mallowstall/core/machines/RestartRecovery.java
@@ -16,10 +16,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/**
- * Machines that a new process of this controller takes over from its former one, which is dead.
- * Mutable.
- */
+/** Recovers the machines that this controller's former process led, which has ended. Mutable. */
 public final class RestartRecovery {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.owner");
 
@@ -31,13 +28,13 @@
   private final MachineEntryWriter entryWriter;
   private final StatusPublisher statusPublisher;
 
-  /** Machines being asked for, and whether another controller has owned them since. */
+  /** Machines whose entry is being written, and whether another controller has led them since. */
   private final Map<String, Boolean> recoveriesInFlight = new HashMap<>();
 
-  /** Machines still to be asked for; null: not looked for yet. */
+  /** Machines still to be recovered; null before the first look. */
   private ArrayDeque<String> machinesToRecover;
 
-  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  /** Recovers nothing before the first call of {@link #recover}. */
   public RestartRecovery(
       EventClock clock,
       CoreSettings settings,
@@ -56,9 +53,8 @@
   }
 
   /**
-   * Another controller owned the machine between the record that this one took over from its former
-   * process and its own. That one may have answered the worker since, so the lease doesn't count
-   * from the former process's end: the machine can't be written off before it is confirmed.
+   * Another controller led the machine between the former process and this one. It may have renewed
+   * the worker's lease, which can't expire then before the worker has acknowledged the new token.
    */
   public void handleCompetingEntry(String id, MachineEntry machineEntry) {
     noteInterveningLeader(id, machineEntry);
@@ -68,7 +64,7 @@
     }
   }
 
-  /** The same, told while the record is still being asked for. */
+  /** The same while this process's own entry is still being written. */
   void noteInterveningLeader(String id, MachineEntry machineEntry) {
     if (!machineEntry.node().equals(settings.node())) {
       recoveriesInFlight.computeIfPresent(id, (k, v) -> true);
@@ -76,9 +72,9 @@
   }
 
   /**
-   * Takes over what stands in the former process's name, a few at a time: each takes a change of
-   * its own. Asked for at once, hundreds used up the state service's rate for ten seconds, in which
-   * none of the machines that came back by themselves could be taken over.
+   * Recovers machines that are still recorded under the former incarnation, a few at a time: each
+   * takes a write of its own, and hundreds at once would use up the state service's rate limit for
+   * machines that register by themselves.
    */
   public void recover() {
     if (machinesToRecover == null) {
@@ -108,9 +104,9 @@
   }
 
   /**
-   * Whether the record names a former process of this controller: that process is dead, so nobody
-   * answers the machine unless it has gone to another controller, which {@link
-   * #handleCompetingEntry} tells at the latest before the write-off.
+   * Whether the entry names a former process of this controller. That process has ended, so nobody
+   * answers the machine unless another controller has taken it, of which {@link
+   * #handleCompetingEntry} is told before the lease can expire.
    */
   private boolean isFromFormerIncarnation(MachineEntry machineEntry) {
     return machineEntry != null
@@ -147,7 +143,7 @@
     // the former process may have answered until just before this one began
     machine.markRecovered(
         interveningLeader, clock.startedAtMs(), clock.now() - Constants.UNRESPONSIVE_AFTER_MS);
-    LOG.info("machine {} kept from the former process, term {}", id, machine.fencingToken());
+    LOG.info("machine recovered machine={} token={}", id, machine.fencingToken());
     statusPublisher.requestPublish();
   }
 }
--- a/src/main/java/mallowstall/core/machines/StartAdmission.java
+++ b/src/main/java/mallowstall/core/machines/StartAdmission.java
@@ -16,8 +16,8 @@
 import mallowstall.core.model.TaskState;
 
 /**
- * Judges starts from holders by what is on the machine, its room, and what the mirror says of the
- * job (the design's vetting by the owner).
+ * Admits starts that job leaders request, by what is on the machine, its free resources, and what
+ * the replica says of the job (docs/design.md).
  */
 public final class StartAdmission {
   private final EventClock clock;
@@ -27,7 +27,7 @@
   private final StateStore store;
   private final ManagedMachines machines;
 
-  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  /** Admits starts on machines led here. */
   public StartAdmission(
       EventClock clock,
       StateStore store,
@@ -43,7 +43,7 @@
     this.machines = machines;
   }
 
-  /** Why the start is not possible; null: it is. */
+  /** Why the start is rejected, in the words that peers receive; null: it is admitted. */
   String rejectionReason(StartBatch startBatch, StartRequest start) {
     ManagedMachine machine = machines.get(start.machine());
     if (machine == null || machine.fencingToken() > store.revision()) {
@@ -88,14 +88,14 @@
     return fits(machine, start, spec) ? null : "no room";
   }
 
-  /** Whether the task has room once those that it replaces are gone. */
+  /** Whether the task fits once its victims have ended. */
   private boolean fits(ManagedMachine machine, StartRequest start, JobSpec spec) {
     FreeResources free = machines.freeResources(machine);
     for (TaskAttempt attempt : start.victims()) {
       TaskReport victim = machine.tasks().report(attempt);
       JobEntry victimJob = store.job(attempt.job());
       boolean freed = victim == null || victim.state() == TaskState.EXITED || victimJob == null;
-      // what is replaced already counts as free room, and only once
+      // the resources of a victim that is preempted already count as free
       if (!freed && !machine.tasks().isPreempted(attempt)) {
         free.release(victimJob.spec());
       }
--- a/src/main/java/mallowstall/core/machines/StartRequestHandler.java
+++ b/src/main/java/mallowstall/core/machines/StartRequestHandler.java
@@ -10,7 +10,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Reserves capacity for the starts that job leaders request, or rejects them by name. */
+/** Reserves capacity for the starts that job leaders request, or rejects them. */
 public final class StartRequestHandler {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.owner");
 
@@ -21,7 +21,7 @@
   private final DirectCommands commands;
   private final StartAdmission startAdmission;
 
-  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  /** Handles requests by admission, reservation and the command that follows. */
   public StartRequestHandler(
       Metrics metrics,
       StateStore store,
@@ -37,14 +37,14 @@
     this.startAdmission = startAdmission;
   }
 
-  /** Starts from a holder; each is booked or refused. */
+  /** Handles starts from a job leader: each is reserved or rejected in the next status update. */
   public void handle(StartBatch startBatch) {
     for (StartRequest start : startBatch.starts()) {
-      String refusal = startAdmission.rejectionReason(startBatch, start);
-      if (refusal == null) {
+      String rejection = startAdmission.rejectionReason(startBatch, start);
+      if (rejection == null) {
         reserve(start);
       } else {
-        statusPublisher.rejectStart(start, refusal);
+        statusPublisher.rejectStart(start, rejection);
       }
     }
     statusPublisher.requestPublish();
@@ -63,22 +63,23 @@
     machine.published().markChanged();
     commands.enqueue(machine);
     LOG.debug(
-        "start {}/{} attempt {} booked on {}",
+        "start reserved job={} task={} attempt={} machine={}",
         start.job(),
         start.task(),
         start.attempt(),
         start.machine());
   }
 
-  /** Stops a task that the accepted start replaces. */
+  /** Stops a victim of the accepted start. */
   private void preempt(ManagedMachine machine, TaskAttempt attempt, StartRequest start) {
     LOG.info(
-        "{}/{} stops {}/{} on {}",
-        start.job(),
-        start.task(),
+        "task preempted job={} task={} attempt={} machine={} reason={}/{}",
         attempt.job(),
         attempt.task(),
-        machine.id());
+        attempt.attempt(),
+        machine.id(),
+        start.job(),
+        start.task());
     metrics.increment("preemptions");
     StopRequest stop =
         new StopRequest(machine.id(), attempt.job(), attempt.task(), attempt.attempt(), 0);
--- a/src/main/java/mallowstall/core/machines/StopRequestHandler.java
+++ b/src/main/java/mallowstall/core/machines/StopRequestHandler.java
@@ -20,7 +20,7 @@
   private final StatusPublisher statusPublisher;
   private final DirectCommands commands;
 
-  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  /** Handles stops by noting them on the machine and sending a command. */
   public StopRequestHandler(
       EventClock clock,
       ManagedMachines machines,
@@ -32,7 +32,7 @@
     this.commands = commands;
   }
 
-  /** Stops and drains from holders and from the fleet. */
+  /** Handles stops from job leaders and drains from the autoscaler. */
   public void handle(StopBatch stopBatch) {
     for (StopRequest stop : stopBatch.stops()) {
       ManagedMachine machine = machines.get(stop.machine());
@@ -44,7 +44,7 @@
       if (machine.tasks().isReported(new TaskAttempt(stop.job(), stop.task(), stop.attempt()))
           || (reservation != null && reservation.request().attempt() == stop.attempt())) {
         LOG.info(
-            "stop {}/{} attempt {} on {} asked by {}",
+            "stop requested job={} task={} attempt={} machine={} peer={}",
             stop.job(),
             stop.task(),
             stop.attempt(),
@@ -64,12 +64,12 @@
   }
 
   /**
-   * The job is cancelled: its tasks that wait for their image are stopped at once, at the worker's
-   * own address, since they would begin before the next report's answer. Those that run are stopped
-   * by that answer, as are these if the command goes astray.
+   * The job is cancelled: its tasks that fetch their image are stopped by a direct command, since
+   * they would begin to run before the next heartbeat is answered. That answer stops those that
+   * run, and these if the command is lost.
    */
   public void stopCancelled(String job) {
-    statusPublisher.requestPublish(); // peers hear of it soon
+    statusPublisher.requestPublish(); // it carries the cancellation to peers
     for (ManagedMachine machine : machines.all()) {
       for (TaskReport task : machine.tasks().reports()) {
         if (task.state() != TaskState.FETCHING || !task.job().equals(job)) {
