--- a/src/main/java/mallowstall/core/machines/DirectCommands.java
+++ b/src/main/java/mallowstall/core/machines/DirectCommands.java
@@ -29,7 +29,7 @@
  * fencing token, so the token is raised when the outcome of one is unknown. Mutable.
  */
 public final class DirectCommands {
-  private static final Logger LOG = LoggerFactory.getLogger("mallowstall.owner");
+  private static final Logger LOG = LoggerFactory.getLogger("mallowstall.machines");
 
   private final EventClock clock;
   private final Effects effects;
--- a/src/main/java/mallowstall/core/machines/HeartbeatApplier.java
+++ b/src/main/java/mallowstall/core/machines/HeartbeatApplier.java
@@ -20,7 +20,7 @@
 
 /** Takes over what heartbeats say of machines led here. */
 public final class HeartbeatApplier {
-  private static final Logger LOG = LoggerFactory.getLogger("mallowstall.owner");
+  private static final Logger LOG = LoggerFactory.getLogger("mallowstall.machines");
 
   private final EventClock clock;
   private final CoreSettings settings;
--- a/src/main/java/mallowstall/core/machines/HeartbeatRouter.java
+++ b/src/main/java/mallowstall/core/machines/HeartbeatRouter.java
@@ -42,7 +42,6 @@
 
   /** Handles a heartbeat; {@code reply} is called once, perhaps later. */
   public void route(Heartbeat heartbeat, Consumer<HeartbeatResponse> reply) {
-    long now = clock.now();
     if (!store.synced()
         || store.incarnation() == 0
         || types.isEmpty()
@@ -57,30 +56,32 @@
     }
     ManagedMachine machine = machines.get(heartbeat.machine());
     if (machine != null && heartbeat.fencingToken() <= machine.fencingToken()) {
-      if (machine.leaseExpired() && heartbeat.session() <= machine.workerSession()) {
-        // sent before the lease expired and delivered late: the tasks it lists are gone
-        reply.accept(HeartbeatResponse.unavailable());
-        return;
-      }
-      if (heartbeat.session() < machine.workerSession()
-          || (heartbeat.session() == machine.workerSession()
-              && heartbeat.sequence() <= machine.handledHeartbeatSequence())) {
-        // a late copy, since a worker sends one heartbeat at a time: it renews nothing
-        reply.accept(HeartbeatResponse.unavailable());
-        return;
-      }
-      if (heartbeat.session() == machine.workerSession()
-          && heartbeat.sequence() <= machine.latestHeartbeatSequence()) {
-        // overtaken by the answer to a direct command, but refused it would send a healthy worker
-        // to another controller
-        machine.recordHandledSequence(heartbeat.sequence());
-        machine.recordResponse(now);
-        reply.accept(HeartbeatResponse.accepted(machine.fencingToken(), List.of()));
-        return;
-      }
-      reply.accept(heartbeatHandler.handle(machine, heartbeat));
-      return;
+      reply.accept(respond(machine, heartbeat));
+    } else {
+      registration.register(heartbeat, reply);
+    }
+  }
+
+  /** Answers the worker of a machine led here. */
+  private HeartbeatResponse respond(ManagedMachine machine, Heartbeat heartbeat) {
+    if (machine.leaseExpired() && heartbeat.session() <= machine.workerSession()) {
+      // sent before the lease expired and delivered late: the tasks it lists are gone
+      return HeartbeatResponse.unavailable();
+    }
+    if (heartbeat.session() < machine.workerSession()
+        || (heartbeat.session() == machine.workerSession()
+            && heartbeat.sequence() <= machine.handledHeartbeatSequence())) {
+      // a late copy, since a worker sends one heartbeat at a time: it renews nothing
+      return HeartbeatResponse.unavailable();
+    }
+    if (heartbeat.session() == machine.workerSession()
+        && heartbeat.sequence() <= machine.latestHeartbeatSequence()) {
+      // overtaken by the answer to a direct command, but refused it would send a healthy worker
+      // to another controller
+      machine.recordHandledSequence(heartbeat.sequence());
+      machine.recordResponse(clock.now());
+      return HeartbeatResponse.accepted(machine.fencingToken(), List.of());
     }
-    registration.register(heartbeat, reply);
+    return heartbeatHandler.handle(machine, heartbeat);
   }
 }
--- a/src/main/java/mallowstall/core/machines/LeadershipChanges.java
+++ b/src/main/java/mallowstall/core/machines/LeadershipChanges.java
@@ -10,7 +10,7 @@
 
 /** Applies changes of entries in the state service to the machines led here. */
 public final class LeadershipChanges {
-  private static final Logger LOG = LoggerFactory.getLogger("mallowstall.owner");
+  private static final Logger LOG = LoggerFactory.getLogger("mallowstall.machines");
 
   private final CoreSettings settings;
   private final StateStore store;
--- a/src/main/java/mallowstall/core/machines/LeaseExpiryMonitor.java
+++ b/src/main/java/mallowstall/core/machines/LeaseExpiryMonitor.java
@@ -8,7 +8,7 @@
 
 /** Expires the leases of workers that certainly have ended their tasks (protocol, Leases). */
 public final class LeaseExpiryMonitor {
-  private static final Logger LOG = LoggerFactory.getLogger("mallowstall.owner");
+  private static final Logger LOG = LoggerFactory.getLogger("mallowstall.machines");
 
   private final CoreSettings settings;
   private final StateStore store;
--- a/src/main/java/mallowstall/core/machines/MachineRegistration.java
+++ b/src/main/java/mallowstall/core/machines/MachineRegistration.java
@@ -24,7 +24,7 @@
  * transaction. Mutable.
  */
 public final class MachineRegistration {
-  private static final Logger LOG = LoggerFactory.getLogger("mallowstall.owner");
+  private static final Logger LOG = LoggerFactory.getLogger("mallowstall.machines");
 
   private final EventClock clock;
   private final CoreSettings settings;
--- a/src/main/java/mallowstall/core/machines/MachineTakeover.java
+++ b/src/main/java/mallowstall/core/machines/MachineTakeover.java
@@ -13,7 +13,7 @@
 
 /** Takes the leadership of a machine that has answered a probe, and shows it the new token. */
 public final class MachineTakeover {
-  private static final Logger LOG = LoggerFactory.getLogger("mallowstall.owner");
+  private static final Logger LOG = LoggerFactory.getLogger("mallowstall.machines");
 
   private final EventClock clock;
   private final Effects effects;
--- a/src/main/java/mallowstall/core/machines/RestartRecovery.java
+++ b/src/main/java/mallowstall/core/machines/RestartRecovery.java
@@ -18,7 +18,7 @@
 
 /** Recovers the machines that this controller's former process led, which has ended. Mutable. */
 public final class RestartRecovery {
-  private static final Logger LOG = LoggerFactory.getLogger("mallowstall.owner");
+  private static final Logger LOG = LoggerFactory.getLogger("mallowstall.machines");
 
   private final EventClock clock;
   private final CoreSettings settings;
--- a/src/main/java/mallowstall/core/machines/StartAdmission.java
+++ b/src/main/java/mallowstall/core/machines/StartAdmission.java
@@ -43,7 +43,10 @@
     this.machines = machines;
   }
 
-  /** Why the start is rejected, in the words that peers receive; null: it is admitted. */
+  /**
+   * Why the start is rejected, as peers receive it; null: it is admitted. The reasons are part of
+   * the protocol of the controllers.
+   */
   String rejectionReason(StartBatch startBatch, StartRequest start) {
     ManagedMachine machine = machines.get(start.machine());
     if (machine == null || machine.fencingToken() > store.revision()) {
@@ -56,6 +59,12 @@
     if (job == null) {
       return StartRejection.JOB_NOT_KNOWN;
     }
+    String reason = outdatedReason(startBatch, start, job);
+    return reason != null ? reason : machineReason(machine, start, job.spec());
+  }
+
+  /** Why the request is out of date; null: it isn't. */
+  private String outdatedReason(StartBatch startBatch, StartRequest start, JobEntry job) {
     if (cancellations.isOver(start.job(), job)) {
       return "job is over";
     }
@@ -68,10 +77,11 @@
     if (clock.wallClockMs() > start.expiryWallMs()) {
       return "expired";
     }
-    JobSpec spec = job.spec();
-    if (jobBitmaps.isRecordedCompleted(job, start.task())) {
-      return "done already";
-    }
+    return jobBitmaps.isRecordedCompleted(job, start.task()) ? "done already" : null;
+  }
+
+  /** Why the machine can't run the task; null: it can. */
+  private String machineReason(ManagedMachine machine, StartRequest start, JobSpec spec) {
     if (!spec.allowsMachine(machine.type().name(), machine.zone(), machine.spot())) {
       return "machine not allowed";
     }
--- a/src/main/java/mallowstall/core/machines/StartRequestHandler.java
+++ b/src/main/java/mallowstall/core/machines/StartRequestHandler.java
@@ -12,7 +12,7 @@
 
 /** Reserves capacity for the starts that job leaders request, or rejects them. */
 public final class StartRequestHandler {
-  private static final Logger LOG = LoggerFactory.getLogger("mallowstall.owner");
+  private static final Logger LOG = LoggerFactory.getLogger("mallowstall.machines");
 
   private final Metrics metrics;
   private final StateStore store;
--- a/src/main/java/mallowstall/core/machines/StatusPublisher.java
+++ b/src/main/java/mallowstall/core/machines/StatusPublisher.java
@@ -18,7 +18,7 @@
 
 /** Sends status updates of the machines led here to every peer and to the own view. Mutable. */
 public final class StatusPublisher {
-  private static final Logger LOG = LoggerFactory.getLogger("mallowstall.owner");
+  private static final Logger LOG = LoggerFactory.getLogger("mallowstall.machines");
 
   private final EventClock clock;
   private final EventLoopLag lag;
--- a/src/main/java/mallowstall/core/machines/StopRequestHandler.java
+++ b/src/main/java/mallowstall/core/machines/StopRequestHandler.java
@@ -13,7 +13,7 @@
 
 /** Stops tasks on machines led here: as job leaders ask, or since their job is cancelled. */
 public final class StopRequestHandler {
-  private static final Logger LOG = LoggerFactory.getLogger("mallowstall.owner");
+  private static final Logger LOG = LoggerFactory.getLogger("mallowstall.machines");
 
   private final EventClock clock;
   private final ManagedMachines machines;
