--- a/src/main/java/mallowstall/core/ControllerCore.java
+++ b/src/main/java/mallowstall/core/ControllerCore.java
@@ -97,7 +97,7 @@
         cluster.store,
         cluster.view,
         cluster.cancellations,
-        machines.statusPublisher::statusUpdateSentAtMs,
+        machines.statusUpdateSequence::composedMs,
         jobLeader::applyStatusUpdate,
         cluster.placementTrigger);
   }
@@ -255,7 +255,7 @@
 
   /** Machines whose published state differs from what is known of them, by name. */
   List<String> unpublishedChanges() {
-    return machines.statusPublisher.unpublishedChanges();
+    return machines.machineStatuses.unpublishedChanges();
   }
 
   /** Asks the controller to stop a task on one of its machines. */
--- a/src/main/java/mallowstall/core/machines/StartAdmission.java
+++ b/src/main/java/mallowstall/core/machines/StartAdmission.java
@@ -1,6 +1,5 @@
 package mallowstall.core.machines;
 
-import mallowstall.Constants;
 import mallowstall.core.cluster.CancellationExchange;
 import mallowstall.core.cluster.Connectivity;
 import mallowstall.core.kernel.EventClock;
@@ -17,8 +16,8 @@
 import mallowstall.core.model.TaskState;
 
 /**
- * Judges starts from holders by what is on the machine, its room, and what the mirror says of the
- * job (the design's vetting by the owner).
+ * Admits starts that job leaders request, by what is on the machine, its free resources, and what
+ * the replica says of the job (docs/design.md).
  */
 public final class StartAdmission {
   private final EventClock clock;
@@ -28,7 +27,7 @@
   private final StateStore store;
   private final ManagedMachines machines;
 
-  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  /** Admits starts on machines led here. */
   public StartAdmission(
       EventClock clock,
       StateStore store,
@@ -44,10 +43,13 @@
     this.machines = machines;
   }
 
-  /** Why the start is not possible; null: it is. */
+  /**
+   * Why the start is rejected, as peers receive it; null: it is admitted. The reasons are part of
+   * the protocol of the controllers.
+   */
   String rejectionReason(StartBatch startBatch, StartRequest start) {
     ManagedMachine machine = machines.get(start.machine());
-    if (machine == null || machine.modRevision() > store.revision()) {
+    if (machine == null || machine.fencingToken() > store.revision()) {
       return "not the owner";
     }
     if (!connectivity.mayRenewWorkerLeases()) {
@@ -57,6 +59,12 @@
     if (job == null) {
       return StartRejection.JOB_NOT_KNOWN;
     }
+    String reason = outdatedReason(startBatch, start, job);
+    return reason != null ? reason : machineReason(machine, start, job.spec());
+  }
+
+  /** Why the request is out of date; null: it isn't. */
+  private String outdatedReason(StartBatch startBatch, StartRequest start, JobEntry job) {
     if (cancellations.isOver(start.job(), job)) {
       return "job is over";
     }
@@ -69,40 +77,39 @@
     if (clock.wallClockMs() > start.expiryWallMs()) {
       return "expired";
     }
-    JobSpec spec = job.spec();
-    if (jobBitmaps.isRecordedCompleted(job, start.task())) {
-      return "done already";
-    }
+    return jobBitmaps.isRecordedCompleted(job, start.task()) ? "done already" : null;
+  }
+
+  /** Why the machine can't run the task; null: it can. */
+  private String machineReason(ManagedMachine machine, StartRequest start, JobSpec spec) {
     if (!spec.allowsMachine(machine.type().name(), machine.zone(), machine.spot())) {
       return "machine not allowed";
     }
     if (!machine.tokenAcknowledged()) {
       return "machine doesn't show that it hears";
     }
-    if (!machines.usable(machine) || machine.drainUntilMs() > clock.now()) {
+    if (!machines.usable(machine) || machine.draining(clock.now())) {
       return "machine set aside";
     }
     TaskKey key = new TaskKey(start.job(), start.task());
-    if (machine.hasTask(key)) {
+    if (machine.tasks().hasTask(key)) {
       return "task is here already";
     }
     return fits(machine, start, spec) ? null : "no room";
   }
 
-  /** Whether the task has room once those that it replaces are gone. */
+  /** Whether the task fits once its victims have ended. */
   private boolean fits(ManagedMachine machine, StartRequest start, JobSpec spec) {
-    double[] free = machines.freeResources(machine);
+    FreeResources free = machines.freeResources(machine);
     for (TaskAttempt attempt : start.victims()) {
-      TaskReport victim = machine.tasks().get(attempt);
+      TaskReport victim = machine.tasks().report(attempt);
       JobEntry victimJob = store.job(attempt.job());
       boolean freed = victim == null || victim.state() == TaskState.EXITED || victimJob == null;
-      // what is replaced already counts as free room, and only once
-      if (!freed && !machine.preempted().contains(attempt)) {
-        ManagedMachines.subtract(free, victimJob.spec(), -1);
+      // the resources of a victim that is preempted already count as free
+      if (!freed && !machine.tasks().isPreempted(attempt)) {
+        free.release(victimJob.spec());
       }
     }
-    return spec.cpus() <= free[0] + Constants.AMOUNT_EPSILON
-        && spec.gpus() <= free[1] + Constants.AMOUNT_EPSILON
-        && spec.memoryGb() <= free[2] + Constants.AMOUNT_EPSILON;
+    return free.fits(spec);
   }
 }
