--- a/src/main/java/mallowstall/AdapterEffects.java
+++ b/src/main/java/mallowstall/AdapterEffects.java
@@ -46,13 +46,13 @@
   }
 
   @Override
-  public void transact(Transaction txn, Consumer<TransactionResult> then) {
+  public void transact(Transaction transaction, Consumer<TransactionResult> callback) {
     long sentNanos = System.nanoTime();
     state.transact(
-        txn,
+        transaction,
         reply -> {
           metrics.timeNanos(ControllerMetrics.STATE_WRITE, System.nanoTime() - sentNanos);
-          then.accept(reply);
+          callback.accept(reply);
         });
   }
 
@@ -62,28 +62,28 @@
   }
 
   @Override
-  public void get(String key, Consumer<GetResult> then) {
-    state.get(key, then);
+  public void get(String key, Consumer<GetResult> callback) {
+    state.get(key, callback);
   }
 
   @Override
-  public void list(String after, Consumer<ListResult> then) {
-    state.list(after, then);
+  public void list(String afterKey, Consumer<ListResult> callback) {
+    state.list(afterKey, callback);
   }
 
   @Override
-  public void watch(long after, long holdMs, Consumer<WatchResult> then) {
-    state.watch(after, holdMs, then);
+  public void watch(long afterRevision, long waitMs, Consumer<WatchResult> callback) {
+    state.watch(afterRevision, waitMs, callback);
   }
 
   @Override
-  public void grantLease(long ttlMs, Consumer<LeaseResult> then) {
-    state.grantLease(ttlMs, then);
+  public void grantLease(long ttlMs, Consumer<LeaseResult> callback) {
+    state.grantLease(ttlMs, callback);
   }
 
   @Override
-  public void renewLease(long lease, Consumer<LeaseResult> then) {
-    state.renewLease(lease, then);
+  public void renewLease(long leaseId, Consumer<LeaseResult> callback) {
+    state.renewLease(leaseId, callback);
   }
 
   @Override
@@ -93,37 +93,37 @@
 
   @Override
   public void sendCommands(
-      String addr,
-      long token,
+      String address,
+      long fencingToken,
       long session,
       List<WorkerCommand> commands,
-      Consumer<CommandResult> then) {
-    workers.order(addr, token, session, commands, then);
+      Consumer<CommandResult> callback) {
+    workers.sendCommands(address, fencingToken, session, commands, callback);
   }
 
   @Override
-  public void fetchMachineTypes(Consumer<List<MachineType>> then) {
-    cloud.types(then);
+  public void fetchMachineTypes(Consumer<List<MachineType>> callback) {
+    cloud.fetchMachineTypes(callback);
   }
 
   @Override
-  public void scaleOut(ScaleOutRequest request, Consumer<ScaleOutResult> then) {
+  public void scaleOut(ScaleOutRequest request, Consumer<ScaleOutResult> callback) {
     long sentNanos = System.nanoTime();
-    cloud.rent(
+    cloud.scaleOut(
         request,
         reply -> {
-          metrics.timeNanos(ControllerMetrics.CLOUD_RENT, System.nanoTime() - sentNanos);
-          then.accept(reply);
+          metrics.timeNanos(ControllerMetrics.CLOUD_SCALE_OUT, System.nanoTime() - sentNanos);
+          callback.accept(reply);
         });
   }
 
   @Override
-  public void scaleIn(List<String> machines, Consumer<Boolean> then) {
-    cloud.returnMachines(machines, then);
+  public void scaleIn(List<String> machines, Consumer<Boolean> callback) {
+    cloud.scaleIn(machines, callback);
   }
 
   @Override
-  public void listMachines(String after, Consumer<InventoryPage> then) {
-    cloud.listMachines(after, then);
+  public void listMachines(String afterId, Consumer<InventoryPage> callback) {
+    cloud.listMachines(afterId, callback);
   }
 }
--- a/src/main/java/mallowstall/Controller.java
+++ b/src/main/java/mallowstall/Controller.java
@@ -78,7 +78,7 @@
             (int) (sockets * Constants.SERVER_SOCKET_FRACTION));
   }
 
-  /** Controllers draw differently, and each one the same after a restart. */
+  /** Differs by controller, and stays the same after a restart. */
   private static long randomSeed(String node) {
     return node.hashCode() * 31L + 7;
   }
@@ -94,8 +94,8 @@
   }
 
   /**
-   * Connects to peers and begins to tick. Users and workers are listened to once requests can be
-   * taken, or at the latest after {@link Constants#LISTEN_DELAY_MAX_MS}: refusing hundreds of
+   * Connects to peers and begins to tick. The port for users and workers opens once requests can be
+   * taken, or at the latest after {@link Constants#LISTEN_DELAY_MAX_MS}: turning away hundreds of
    * workers one by one takes all the processor time that getting ready needs, and a closed port
    * sends them on as well. Call it once.
    *
--- a/src/main/java/mallowstall/ControllerMetrics.java
+++ b/src/main/java/mallowstall/ControllerMetrics.java
@@ -13,14 +13,14 @@
  * size. Used on the event loop only.
  */
 final class ControllerMetrics implements Metrics {
-  /** Latency of submissions, from the whole request to the answer. */
+  /** Latency of submissions, from the whole request to the response. */
   static final String SUBMIT = "submit";
 
   /** Latency of the state service's transactions. */
   static final String STATE_WRITE = "state_write";
 
-  /** Latency of the cloud's rentals. */
-  static final String CLOUD_RENT = "cloud_rent";
+  /** Latency of scale-out requests to the cloud. */
+  static final String CLOUD_SCALE_OUT = "cloud_rent";
 
   /** Microseconds. Longer durations are counted as this. */
   private static final long MAX_MICROS = 60_000_000;
--- a/src/main/java/mallowstall/RequestRouter.java
+++ b/src/main/java/mallowstall/RequestRouter.java
@@ -70,7 +70,7 @@
       return;
     }
     try {
-      workers.report(request, responder);
+      workers.handleHeartbeat(request, responder);
     } catch (IOException failure) {
       LOG.info("heartbeat rejected reason={}", failure.getMessage());
       respondError(responder, HttpStatus.BAD_REQUEST, "not a valid report");
--- a/src/main/java/mallowstall/cli/WarmUp.java
+++ b/src/main/java/mallowstall/cli/WarmUp.java
@@ -18,7 +18,7 @@
 import picocli.CommandLine.Command;
 
 /**
- * Serves for a moment on loopback against canned answers and ends. The build runs it so that the
+ * Serves for a moment on loopback against canned responses and ends. The build runs it so that the
  * class archive holds what serving loads: on a small share of a core loading classes is most of a
  * restart.
  */
@@ -29,9 +29,9 @@
           + "\"piezas\":3,\"vcpus\":1.0,\"gpus\":0.0,\"mem_gb\":1.0,\"molde\":\"i\",\"image_gb\":0.1,"
           + "\"calibres\":null,\"patio\":null,\"one_zone\":false,\"scatter\":false,\"prestados\":true,"
           + "\"aserrado_s\":1.0,\"marca_s\":0.0,\"apilado_s\":0.0,\"despacho_s\":60.0}";
-  private static final int ROUNDS = 12;
-  private static final int REQUESTS_PER_ROUND = 4;
-  private static final long ROUND_MS = 150;
+  private static final int REPETITIONS = 12;
+  private static final int REQUESTS_PER_REPETITION = 4;
+  private static final long REPETITION_MS = 150;
   private static final long REQUEST_TIMEOUT_MS = 2_000;
   private static final long ANSWERS_S = 5;
   private static final int WORLD_CONNECTIONS = 50;
@@ -56,14 +56,14 @@
     controller.start();
     try {
       HttpClient user = new HttpClient(group.next(), controller.address().join(), USER_CONNECTIONS);
-      CountDownLatch unanswered = new CountDownLatch(ROUNDS * REQUESTS_PER_ROUND);
-      for (int round = 1; round <= ROUNDS; round++) {
-        String heartbeat = heartbeat(worldAddress, round);
+      CountDownLatch unanswered = new CountDownLatch(REPETITIONS * REQUESTS_PER_REPETITION);
+      for (int repetition = 1; repetition <= REPETITIONS; repetition++) {
+        String heartbeat = heartbeat(worldAddress, repetition);
         send(group, user, HttpMethod.GET, "/ready", null, unanswered);
         send(group, user, HttpMethod.POST, "/hello", heartbeat, unanswered);
         send(group, user, HttpMethod.POST, "/submissions", JOB, unanswered);
         send(group, user, HttpMethod.GET, "/submissions/wk-000001", null, unanswered);
-        Thread.sleep(ROUND_MS);
+        Thread.sleep(REPETITION_MS);
       }
       return unanswered.await(ANSWERS_S, TimeUnit.SECONDS);
     } finally {
@@ -111,17 +111,17 @@
         .formatted(worldAddress);
   }
 
-  /** A heartbeat of the one worker; the job's task has ended in the later rounds. */
-  private static String heartbeat(String address, int round) {
-    int token = round > 2 ? 1 : 0;
+  /** A heartbeat of the one worker; the job's task has ended in the later repetitions. */
+  private static String heartbeat(String address, int repetition) {
+    int token = repetition > 2 ? 1 : 0;
     String tasks =
-        round > 6
+        repetition > 6
             ? "{\"pieza\":\"wk-000001/0\",\"intento\":1,\"estado\":\"ended\",\"motivo\":\"done\"}"
             : "";
     return """
         {"sierra":"m-000001","addr":"%s","calibre":"x","patio":"z","prestados":false,
          "turno":1,"folio":%d,"baston":%d,"aviso_s":null,"piezas":[%s]}
         """
-        .formatted(address, round, token, tasks);
+        .formatted(address, repetition, token, tasks);
   }
 }
--- a/src/main/java/mallowstall/cloud/CloudClient.java
+++ b/src/main/java/mallowstall/cloud/CloudClient.java
@@ -30,7 +30,7 @@
   private final HttpClient http;
   private final Consumer<Runnable> events;
 
-  /** Turns the core's requests into calls of the cloud. */
+  /** Uses this connection pool; {@code events} runs each response as one event of the core. */
   public CloudClient(HttpClient http, Consumer<Runnable> events) {
     this.http = http;
     this.events = events;
@@ -41,7 +41,7 @@
       String path,
       byte[] body,
       JsonReader.ValueReader<T> content,
-      BiConsumer<Integer, T> then) {
+      BiConsumer<Integer, T> callback) {
     http.call(
         method,
         path,
@@ -50,7 +50,7 @@
         reply ->
             events.accept(
                 () ->
-                    then.accept(
+                    callback.accept(
                         reply.status(),
                         reply.status() == HttpStatus.OK && content != null
                             ? JsonReader.readOrNull(reply.body(), content, CloudClient::unreadable)
@@ -62,24 +62,24 @@
   }
 
   /** See {@link Effects#fetchMachineTypes}. */
-  public void types(Consumer<List<MachineType>> then) {
+  public void fetchMachineTypes(Consumer<List<MachineType>> callback) {
     call(
         HttpMethod.GET,
         CloudProtocol.TYPES_PATH,
         null,
         CloudCodec::readTypes,
-        (status, types) -> then.accept(types));
+        (status, types) -> callback.accept(types));
   }
 
   /** See {@link Effects#scaleOut}. */
-  public void rent(ScaleOutRequest request, Consumer<ScaleOutResult> then) {
+  public void scaleOut(ScaleOutRequest request, Consumer<ScaleOutResult> callback) {
     call(
         HttpMethod.POST,
         CloudProtocol.MACHINES_PATH,
         JsonWriter.object(out -> CloudCodec.writeScaleOut(out, request)),
         CloudCodec::readMachineNames,
         (status, names) ->
-            then.accept(
+            callback.accept(
                 new ScaleOutResult(
                     names == null && status == HttpStatus.OK
                         ? HttpClient.Reply.NO_RESPONSE
@@ -88,27 +88,27 @@
   }
 
   /** See {@link Effects#scaleIn}. */
-  public void returnMachines(List<String> machines, Consumer<Boolean> then) {
+  public void scaleIn(List<String> machines, Consumer<Boolean> callback) {
     call(
         HttpMethod.POST,
-        CloudProtocol.RETURN_PATH,
+        CloudProtocol.SCALE_IN_PATH,
         JsonWriter.object(out -> JsonWriter.strings(out, CloudProtocol.MACHINES, machines)),
         null,
-        (status, nothing) -> then.accept(status == HttpStatus.OK));
+        (status, nothing) -> callback.accept(status == HttpStatus.OK));
   }
 
   /** See {@link Effects#listMachines}. */
-  public void listMachines(String after, Consumer<InventoryPage> then) {
+  public void listMachines(String afterId, Consumer<InventoryPage> callback) {
     call(
         HttpMethod.GET,
-        CloudProtocol.inventoryPath(after, PAGE_SIZE),
+        CloudProtocol.inventoryPath(afterId, PAGE_SIZE),
         null,
         CloudCodec::readPage,
         (status, page) -> {
           if (page == null || page.machines() == null) {
-            then.accept(new InventoryPage(false, List.of(), false));
+            callback.accept(new InventoryPage(false, List.of(), false));
           } else {
-            then.accept(new InventoryPage(true, page.machines(), page.more()));
+            callback.accept(new InventoryPage(true, page.machines(), page.more()));
           }
         });
   }
--- a/src/main/java/mallowstall/cloud/CloudProtocol.java
+++ b/src/main/java/mallowstall/cloud/CloudProtocol.java
@@ -10,7 +10,7 @@
   // requests
   static final String TYPES_PATH = "/flavors";
   static final String MACHINES_PATH = "/machines";
-  static final String RETURN_PATH = "/machines/return";
+  static final String SCALE_IN_PATH = "/machines/return";
 
   // machine types
   static final String TYPES = "calibres";
@@ -25,7 +25,7 @@
   static final String BOOT_S = "ready_s";
   static final String ZONES = "patios";
 
-  // requests for machines
+  // scale-out requests
   static final String REQUEST_NAME = "alquiler";
   static final String MACHINE_TYPE = "calibre";
   static final String ZONE = "patio";
@@ -40,7 +40,11 @@
   static final String AGE_S = "held_s";
 
   /** The path of a page of the inventory after this machine; null: from the first. */
-  static String inventoryPath(String after, int pageSize) {
-    return MACHINES_PATH + "?" + (after == null ? "" : "after=" + after + "&") + "page=" + pageSize;
+  static String inventoryPath(String afterId, int pageSize) {
+    return MACHINES_PATH
+        + "?"
+        + (afterId == null ? "" : "after=" + afterId + "&")
+        + "page="
+        + pageSize;
   }
 }
--- a/src/main/java/mallowstall/json/JsonReader.java
+++ b/src/main/java/mallowstall/json/JsonReader.java
@@ -27,13 +27,13 @@
     T read(JsonReader in) throws IOException;
   }
 
-  /** Is told why a document couldn't be read. */
+  /** Receives why a document couldn't be read. */
   public interface DocumentErrorHandler {
     /** The document is not JSON, or has a {@link WrongTypeException}. */
     void handle(IOException failure);
   }
 
-  /** Is told why a value couldn't be read. */
+  /** Receives why a value couldn't be read. */
   public interface ValueErrorHandler {
     /** The value was skipped. */
     void handle(WrongTypeException failure);
@@ -94,7 +94,7 @@
     }
   }
 
-  /** Whether the value begins with this token; false: it is null. Anything else is refused. */
+  /** Whether the value begins with this token; false: it is null. Anything else is an error. */
   private boolean expect(JsonToken token, String expected) throws IOException {
     if (isNull()) {
       return false;
@@ -249,7 +249,7 @@
     return value == null ? 0 : value;
   }
 
-  /** Reads the value, or skips it if it can't be read, which {@code unreadable} is told. */
+  /** Reads the value, or skips it if it can't be read, which {@code unreadable} receives. */
   public <T> T readOrSkip(ValueReader<T> value, ValueErrorHandler unreadable) throws IOException {
     JsonStreamContext outside = outside();
     try {
--- a/src/main/java/mallowstall/peers/PeerCodec.java
+++ b/src/main/java/mallowstall/peers/PeerCodec.java
@@ -44,10 +44,10 @@
   private static final int STOP_BATCH = 2;
 
   // bits of a machine's flags
-  private static final int CONFIRMED = 1;
+  private static final int TOKEN_ACKNOWLEDGED = 1;
   private static final int USABLE = 2;
   private static final int DRAINING = 4;
-  private static final int REPLACE = 8;
+  private static final int NEEDS_REPLACEMENT = 8;
   private static final int UNRESPONSIVE = 16;
   private static final int SPOT = 32;
   private static final int LEASE_EXPIRED = 64;
@@ -192,10 +192,10 @@
     encoder.writeLong(state.session());
     encoder.writeLong(state.heartbeatSequence());
     encoder.writeInt(
-        (state.tokenAcknowledged() ? CONFIRMED : 0)
+        (state.tokenAcknowledged() ? TOKEN_ACKNOWLEDGED : 0)
             | (state.usable() ? USABLE : 0)
             | (state.draining() ? DRAINING : 0)
-            | (state.needsReplacement() ? REPLACE : 0)
+            | (state.needsReplacement() ? NEEDS_REPLACEMENT : 0)
             | (state.unresponsive() ? UNRESPONSIVE : 0)
             | (state.spot() ? SPOT : 0)
             | (state.leaseExpired() ? LEASE_EXPIRED : 0));
@@ -212,25 +212,25 @@
 
   private static MachineStatus readMachineStatus(BinaryDecoder decoder) throws IOException {
     String id = decoder.readString();
-    String addr = decoder.readString();
+    String address = decoder.readString();
     long token = decoder.readLong();
     long version = decoder.readLong();
     long session = decoder.readLong();
-    long seq = decoder.readLong();
+    long sequence = decoder.readLong();
     int flags = decoder.readInt();
     String type = decoder.readString();
     String zone = decoder.readString();
     return new MachineStatus(
         id,
-        addr.isEmpty() ? null : addr,
+        address.isEmpty() ? null : address,
         token,
         version,
         session,
-        seq,
-        (flags & CONFIRMED) != 0,
+        sequence,
+        (flags & TOKEN_ACKNOWLEDGED) != 0,
         (flags & USABLE) != 0,
         (flags & DRAINING) != 0,
-        (flags & REPLACE) != 0,
+        (flags & NEEDS_REPLACEMENT) != 0,
         (flags & UNRESPONSIVE) != 0,
         (flags & LEASE_EXPIRED) != 0,
         type,
@@ -258,8 +258,8 @@
     int task = decoder.readInt();
     long attempt = decoder.readLong();
     TaskState state = readEnumOrNull(decoder, "task state", STATES);
-    ExitReason why = readEnumOrNull(decoder, "exit reason", EXIT_REASONS);
-    return new TaskStatus(job, task, attempt, state, why);
+    ExitReason exitReason = readEnumOrNull(decoder, "exit reason", EXIT_REASONS);
+    return new TaskStatus(job, task, attempt, state, exitReason);
   }
 
   private static void writeEnumOrNull(BinaryEncoder encoder, Enum<?> value) throws IOException {
--- a/src/main/java/mallowstall/peers/PeerConnections.java
+++ b/src/main/java/mallowstall/peers/PeerConnections.java
@@ -97,7 +97,7 @@
     if (connection == null || connection.channel == null || !connection.channel.isActive()) {
       return;
     }
-    // the next status update tells what this one does, so one that can't be sent now is dropped
+    // the next status update covers this one, which is dropped if it can't be sent now
     if (message instanceof StatusUpdate && connection.channel.bytesBeforeUnwritable() <= 0) {
       return;
     }
@@ -130,7 +130,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable failure) {
       LOG.info(
-          "connection of a peer failed address={} reason={}",
+          "inbound peer connection failed address={} reason={}",
           ctx.channel().remoteAddress(),
           failure.toString());
       ctx.close();
@@ -141,7 +141,7 @@
   private static final class OutboundHandler extends ChannelInboundHandlerAdapter {
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable failure) {
-      LOG.debug("connection to a peer failed reason={}", failure.toString());
+      LOG.debug("outbound peer connection failed reason={}", failure.toString());
       ctx.close();
     }
   }
@@ -183,7 +183,7 @@
     private void connected(Channel connection) {
       channel = connection;
       long connectionNumber = ++connections;
-      LOG.info("connected to peer={}", node);
+      LOG.info("peer connected peer={}", node);
       connection.closeFuture().addListener(closeFuture -> reconnect());
       events.accept(() -> core.peerConnected(node, connectionNumber));
     }
--- a/src/main/java/mallowstall/state/StateCodec.java
+++ b/src/main/java/mallowstall/state/StateCodec.java
@@ -28,7 +28,7 @@
     return readNumber(in, StateProtocol.REVISION);
   }
 
-  /** The lease in a response; 0 if it has none. */
+  /** The id of the lease in a response; 0 if it has none. */
   static Long readLease(JsonReader in) throws IOException {
     return readNumber(in, StateProtocol.LEASE);
   }
@@ -93,10 +93,10 @@
     return new Page(items, more, revision);
   }
 
-  /** A key with its value, or a change of it; null: its value is of no use here. */
+  /** A key with its value, or a change of it; null: the key is unknown or its value unreadable. */
   static KeyValue readItem(JsonReader in) throws IOException {
     String key = null;
-    boolean dropped = false;
+    boolean deleted = false;
     StoredEntry value = null;
     JsonReader.Deferred unread = null;
     long version = 0;
@@ -108,7 +108,7 @@
         case StateProtocol.KEY, StateProtocol.PUT -> key = in.string();
         case StateProtocol.DELETE -> {
           key = in.string();
-          dropped = true;
+          deleted = true;
         }
         case StateProtocol.VALUE -> {
           if (key == null) {
@@ -125,7 +125,7 @@
       String name = key;
       value = unread.read(later -> readEntry(name, later));
     }
-    return key != null && (dropped || value != null) ? new KeyValue(key, value, version) : null;
+    return key != null && (deleted || value != null) ? new KeyValue(key, value, version) : null;
   }
 
   /** The value of the key; null if there is none, or if it can't be read. */
--- a/src/main/java/mallowstall/state/StateServiceClient.java
+++ b/src/main/java/mallowstall/state/StateServiceClient.java
@@ -52,13 +52,14 @@
     };
   }
 
-  private void call(HttpMethod method, String path, byte[] body, Consumer<HttpClient.Reply> then) {
+  private void call(
+      HttpMethod method, String path, byte[] body, Consumer<HttpClient.Reply> callback) {
     calls.call(
         method,
         path,
         body,
         Constants.STATE_TIMEOUT_MS,
-        reply -> events.accept(() -> then.accept(reply)));
+        reply -> events.accept(() -> callback.accept(reply)));
   }
 
   /** The body of a successful response; null for any other or unreadable one. */
@@ -80,7 +81,7 @@
   }
 
   /** See {@link Effects#transact}. */
-  public void transact(Transaction transaction, Consumer<TransactionResult> then) {
+  public void transact(Transaction transaction, Consumer<TransactionResult> callback) {
     call(
         HttpMethod.POST,
         StateProtocol.TRANSACTION_PATH,
@@ -102,67 +103,68 @@
           if (revision == null && code == ResultCode.OK) {
             code = ResultCode.OUTCOME_UNKNOWN;
           }
-          then.accept(new TransactionResult(code, revision == null ? 0 : revision));
+          callback.accept(new TransactionResult(code, revision == null ? 0 : revision));
         });
   }
 
   /** See {@link Effects#get}. */
-  public void get(String key, Consumer<GetResult> then) {
+  public void get(String key, Consumer<GetResult> callback) {
     call(
         HttpMethod.GET,
         StateProtocol.keyPath(key),
         null,
         reply -> {
           if (reply.status() == HttpStatus.NOT_FOUND) {
-            then.accept(new GetResult(ResultCode.OK, new KeyValue(key, null, 0)));
+            callback.accept(new GetResult(ResultCode.OK, new KeyValue(key, null, 0)));
             return;
           }
           // before the reader is made: that costs processor time which a starting process lacks
           if (reply.status() != HttpStatus.OK) {
-            then.accept(new GetResult(code(reply.status()), null));
+            callback.accept(new GetResult(code(reply.status()), null));
             return;
           }
           KeyValue item = read(reply.body(), StateCodec::readItem);
           if (item == null || item.value() == null) {
-            then.accept(new GetResult(ResultCode.REJECTED, null));
+            callback.accept(new GetResult(ResultCode.REJECTED, null));
           } else {
-            then.accept(
+            callback.accept(
                 new GetResult(ResultCode.OK, new KeyValue(key, item.value(), item.modRevision())));
           }
         });
   }
 
   /** See {@link Effects#list}. */
-  public void list(String after, Consumer<ListResult> then) {
+  public void list(String afterKey, Consumer<ListResult> callback) {
     call(
         HttpMethod.GET,
-        StateProtocol.listPath(after, Constants.LIST_PAGE_SIZE),
+        StateProtocol.listPath(afterKey, Constants.LIST_PAGE_SIZE),
         null,
         reply -> {
           StateCodec.Page page = content(reply, StateCodec::readPage);
           if (page == null) {
-            then.accept(new ListResult(ResultCode.REJECTED, List.of(), false, 0));
+            callback.accept(new ListResult(ResultCode.REJECTED, List.of(), false, 0));
             return;
           }
-          then.accept(new ListResult(ResultCode.OK, page.items(), page.more(), page.revision()));
+          callback.accept(
+              new ListResult(ResultCode.OK, page.items(), page.more(), page.revision()));
         });
   }
 
   /** See {@link Effects#watch}. */
-  public void watch(long after, long holdMs, Consumer<WatchResult> then) {
+  public void watch(long afterRevision, long waitMs, Consumer<WatchResult> callback) {
     watches.call(
         HttpMethod.GET,
-        StateProtocol.changesPath(after, holdMs),
+        StateProtocol.changesPath(afterRevision, waitMs),
         null,
-        holdMs + Constants.STATE_TIMEOUT_MS,
+        waitMs + Constants.STATE_TIMEOUT_MS,
         reply ->
             events.accept(
                 () -> {
                   StateCodec.Page page = content(reply, StateCodec::readPage);
                   if (page != null) {
-                    then.accept(new WatchResult(ResultCode.OK, page.items(), page.revision()));
+                    callback.accept(new WatchResult(ResultCode.OK, page.items(), page.revision()));
                   } else {
-                    then.accept(
+                    callback.accept(
                         new WatchResult(
                             reply.status() == HttpStatus.GONE
                                 ? ResultCode.EXPIRED
@@ -174,31 +176,31 @@
   }
 
   /** See {@link Effects#grantLease}. */
-  public void grantLease(long ttlMs, Consumer<LeaseResult> then) {
+  public void grantLease(long ttlMs, Consumer<LeaseResult> callback) {
     call(
         HttpMethod.POST,
         StateProtocol.LEASES_PATH,
         JsonWriter.object(out -> out.writeNumberField(StateProtocol.LEASE_DURATION_MS, ttlMs)),
         reply -> {
           Long lease = content(reply, StateCodec::readLease);
-          then.accept(
+          callback.accept(
               new LeaseResult(
                   lease == null ? ResultCode.REJECTED : ResultCode.OK, lease == null ? 0 : lease));
         });
   }
 
   /** See {@link Effects#renewLease}. */
-  public void renewLease(long lease, Consumer<LeaseResult> then) {
+  public void renewLease(long leaseId, Consumer<LeaseResult> callback) {
     call(
         HttpMethod.POST,
-        StateProtocol.renewPath(lease),
+        StateProtocol.renewPath(leaseId),
         null,
         reply ->
-            then.accept(
+            callback.accept(
                 new LeaseResult(
                     reply.status() == HttpStatus.NOT_FOUND
                         ? ResultCode.EXPIRED
                         : reply.status() == HttpStatus.OK ? ResultCode.OK : ResultCode.REJECTED,
-                    lease)));
+                    leaseId)));
   }
 }
--- a/src/main/java/mallowstall/state/StoredEntries.java
+++ b/src/main/java/mallowstall/state/StoredEntries.java
@@ -26,12 +26,12 @@
 public final class StoredEntries {
   private StoredEntries() {}
 
-  /** The entry as it is sent. */
+  /** The entry as it is stored, in UTF-8. */
   public static byte[] encode(StoredEntry entry) {
     return JsonWriter.document(out -> write(out, entry));
   }
 
-  /** Reads the entry that stands under this key; null: there is none, or the key isn't known. */
+  /** Reads the entry of this key; null: the value is null, or the key unknown. */
   public static StoredEntry read(String key, JsonReader in) throws IOException {
     JsonReader.ValueReader<? extends StoredEntry> fields = reader(key);
     if (fields == null) {
@@ -41,7 +41,7 @@
     return in.enterObjectIfPresent() ? fields.read(in) : null;
   }
 
-  /** What reads the fields of the entries under such a key; null: nothing does. */
+  /** The reader of the entries under such a key; null: the key is unknown. */
   private static JsonReader.ValueReader<? extends StoredEntry> reader(String key) {
     return switch (key.length() < 4 ? "" : key.substring(0, 4)) {
       case "c/j/" -> StoredJobs::read;
@@ -51,10 +51,10 @@
       case "c/v/" -> StoredEntries::version;
       case "c/t/" -> StoredEntries::team;
       case "c/d/" -> StoredEntries::digest;
-      case "c/b/" -> StoredEntries::bits;
+      case "c/b/" -> StoredEntries::completionBits;
       default ->
           switch (key) {
-            case "c/cloud" -> StoredEntries::duty;
+            case "c/cloud" -> StoredEntries::autoscalerLeader;
             case "c/incarnations" -> StoredEntries::counter;
             default -> null;
           };
@@ -82,8 +82,8 @@
       write(out, digest);
     } else if (entry instanceof CompletionBitsEntry bits) {
       out.writeBinaryField(StoredFields.COMPLETED_BITS, bits.bits());
-    } else if (entry instanceof AutoscalerLeaderEntry duty) {
-      writeProcess(out, duty.node(), duty.incarnation());
+    } else if (entry instanceof AutoscalerLeaderEntry autoscalerLeader) {
+      writeProcess(out, autoscalerLeader.node(), autoscalerLeader.incarnation());
     } else if (entry instanceof IncarnationCounterEntry counter) {
       out.writeNumberField(StoredFields.COUNTER, counter.value());
     }
@@ -121,16 +121,17 @@
   private static void write(JsonGenerator out, DigestEntry digest) throws IOException {
     out.writeNumberField(StoredFields.INCARNATION, digest.incarnation());
     JsonWriter.list(
-        out, StoredFields.FREE_CAPACITY, digest.freeCapacities(), StoredEntries::writeRoom);
+        out, StoredFields.FREE_CAPACITY, digest.freeCapacities(), StoredEntries::writeFreeCapacity);
     out.writeNumberField(StoredFields.PENDING_CPUS, digest.pendingCpus());
   }
 
-  private static void writeRoom(JsonGenerator out, FreeCapacity room) throws IOException {
+  private static void writeFreeCapacity(JsonGenerator out, FreeCapacity capacity)
+      throws IOException {
     out.writeStartObject();
-    out.writeStringField(StoredFields.MACHINE, room.machine());
-    out.writeNumberField(StoredFields.CPUS, room.freeCpus());
-    out.writeNumberField(StoredFields.GPUS, room.freeGpus());
-    out.writeNumberField(StoredFields.MEMORY_GB, room.freeMemoryGb());
+    out.writeStringField(StoredFields.MACHINE, capacity.machine());
+    out.writeNumberField(StoredFields.CPUS, capacity.freeCpus());
+    out.writeNumberField(StoredFields.GPUS, capacity.freeGpus());
+    out.writeNumberField(StoredFields.MEMORY_GB, capacity.freeMemoryGb());
     out.writeEndObject();
   }
 
@@ -147,7 +148,7 @@
     return new SessionEntry(node, incarnation);
   }
 
-  private static AutoscalerLeaderEntry duty(JsonReader in) throws IOException {
+  private static AutoscalerLeaderEntry autoscalerLeader(JsonReader in) throws IOException {
     SessionEntry process = session(in);
     return new AutoscalerLeaderEntry(process.node(), process.incarnation());
   }
@@ -155,22 +156,22 @@
   private static VersionEntry version(JsonReader in) throws IOException {
     String node = null;
     long incarnation = 0;
-    int version = 0;
+    int programVersion = 0;
     while (in.nextField()) {
       switch (in.field()) {
         case StoredFields.NODE -> node = in.string();
         case StoredFields.INCARNATION -> incarnation = in.longOrZero();
-        case StoredFields.VERSION -> version = in.intOrZero();
+        case StoredFields.VERSION -> programVersion = in.intOrZero();
         default -> in.skip();
       }
     }
-    return new VersionEntry(node, incarnation, version);
+    return new VersionEntry(node, incarnation, programVersion);
   }
 
   private static MachineEntry machine(JsonReader in) throws IOException {
     String node = null;
     long incarnation = 0;
-    long token = 0;
+    long fencingToken = 0;
     String type = null;
     String zone = null;
     boolean spot = false;
@@ -178,14 +179,14 @@
       switch (in.field()) {
         case StoredFields.NODE -> node = in.string();
         case StoredFields.INCARNATION -> incarnation = in.longOrZero();
-        case StoredFields.TOKEN -> token = in.longOrZero();
+        case StoredFields.TOKEN -> fencingToken = in.longOrZero();
         case StoredFields.TYPE -> type = in.string();
         case StoredFields.ZONE -> zone = in.string();
         case StoredFields.SPOT -> spot = in.booleanOrFalse();
         default -> in.skip();
       }
     }
-    return new MachineEntry(node, incarnation, token, type, zone, spot);
+    return new MachineEntry(node, incarnation, fencingToken, type, zone, spot);
   }
 
   private static MachineGroupEntry group(JsonReader in) throws IOException {
@@ -238,20 +239,20 @@
 
   private static DigestEntry digest(JsonReader in) throws IOException {
     long incarnation = 0;
-    List<FreeCapacity> rooms = null;
+    List<FreeCapacity> freeCapacities = null;
     double pendingCpus = 0;
     while (in.nextField()) {
       switch (in.field()) {
         case StoredFields.INCARNATION -> incarnation = in.longOrZero();
-        case StoredFields.FREE_CAPACITY -> rooms = in.list(StoredEntries::room);
+        case StoredFields.FREE_CAPACITY -> freeCapacities = in.list(StoredEntries::freeCapacity);
         case StoredFields.PENDING_CPUS -> pendingCpus = in.doubleOrZero();
         default -> in.skip();
       }
     }
-    return new DigestEntry(incarnation, rooms, pendingCpus);
+    return new DigestEntry(incarnation, freeCapacities, pendingCpus);
   }
 
-  private static FreeCapacity room(JsonReader in) throws IOException {
+  private static FreeCapacity freeCapacity(JsonReader in) throws IOException {
     if (!in.enterObjectIfPresent()) {
       return null;
     }
@@ -271,15 +272,15 @@
     return new FreeCapacity(machine, cpus, gpus, memoryGb);
   }
 
-  private static CompletionBitsEntry bits(JsonReader in) throws IOException {
-    byte[] done = null;
+  private static CompletionBitsEntry completionBits(JsonReader in) throws IOException {
+    byte[] bits = null;
     while (in.nextField()) {
       switch (in.field()) {
-        case StoredFields.COMPLETED_BITS -> done = in.bytes();
+        case StoredFields.COMPLETED_BITS -> bits = in.bytes();
         default -> in.skip();
       }
     }
-    return new CompletionBitsEntry(done);
+    return new CompletionBitsEntry(bits);
   }
 
   private static IncarnationCounterEntry counter(JsonReader in) throws IOException {
--- a/src/main/java/mallowstall/state/StoredJobs.java
+++ b/src/main/java/mallowstall/state/StoredJobs.java
@@ -62,32 +62,41 @@
   static JobEntry read(JsonReader in) throws IOException {
     JobSpec spec = null;
     long submittedMs = 0;
-    String holder = null;
+    String leader = null;
     long incarnation = 0;
     long epoch = 0;
-    byte[] done = null;
-    int doneCount = 0;
-    int grant = 0;
-    JobOutcome fin = null;
+    byte[] completionBits = null;
+    int completedTaskCount = 0;
+    int quotaReservedTasks = 0;
+    JobOutcome outcome = null;
     while (in.nextField()) {
       switch (in.field()) {
         case StoredFields.SPEC ->
             spec = in.enterObjectIfPresent() ? new SpecFields().read(in) : null;
         case StoredFields.SUBMITTED_MS -> submittedMs = in.longOrZero();
-        case StoredFields.LEADER -> holder = in.string();
+        case StoredFields.LEADER -> leader = in.string();
         case StoredFields.INCARNATION -> incarnation = in.longOrZero();
         case StoredFields.EPOCH -> epoch = in.longOrZero();
-        case StoredFields.COMPLETED_BITS -> done = in.bytes();
-        case StoredFields.COMPLETED_COUNT -> doneCount = in.intOrZero();
-        case StoredFields.QUOTA_RESERVATION -> grant = in.intOrZero();
-        case StoredFields.OUTCOME -> fin = in.enumConstant(JobOutcome.class);
+        case StoredFields.COMPLETED_BITS -> completionBits = in.bytes();
+        case StoredFields.COMPLETED_COUNT -> completedTaskCount = in.intOrZero();
+        case StoredFields.QUOTA_RESERVATION -> quotaReservedTasks = in.intOrZero();
+        case StoredFields.OUTCOME -> outcome = in.enumConstant(JobOutcome.class);
         default -> in.skip();
       }
     }
-    return new JobEntry(spec, submittedMs, holder, incarnation, epoch, done, doneCount, grant, fin);
+    return new JobEntry(
+        spec,
+        submittedMs,
+        leader,
+        incarnation,
+        epoch,
+        completionBits,
+        completedTaskCount,
+        quotaReservedTasks,
+        outcome);
   }
 
-  /** A description as its fields come in. Mutable. */
+  /** The fields of a specification that were read so far. Mutable. */
   private static final class SpecFields {
     private String id;
     private String jobClass;
@@ -99,14 +108,14 @@
     private double memoryGb;
     private String image;
     private double imageGb;
-    private List<String> types;
+    private List<String> machineTypes;
     private String zone;
-    private boolean oneZone;
+    private boolean singleZone;
     private boolean spread;
     private boolean spot;
-    private double estimateS;
-    private double checkpointS;
-    private double saveS;
+    private double estimatedRunS;
+    private double checkpointIntervalS;
+    private double checkpointSaveS;
     private Double deadlineS;
     private JobKind kind;
 
@@ -125,14 +134,14 @@
           memoryGb,
           image,
           imageGb,
-          types,
+          machineTypes,
           zone,
-          oneZone,
+          singleZone,
           spread,
           spot,
-          estimateS,
-          checkpointS,
-          saveS,
+          estimatedRunS,
+          checkpointIntervalS,
+          checkpointSaveS,
           deadlineS,
           kind);
     }
@@ -149,14 +158,14 @@
         case StoredFields.MEMORY_GB -> memoryGb = in.doubleOrZero();
         case StoredFields.IMAGE -> image = in.string();
         case StoredFields.IMAGE_GB -> imageGb = in.doubleOrZero();
-        case StoredFields.TYPES -> types = in.strings();
+        case StoredFields.TYPES -> machineTypes = in.strings();
         case StoredFields.ZONE -> zone = in.string();
-        case StoredFields.ONE_ZONE -> oneZone = in.booleanOrFalse();
+        case StoredFields.ONE_ZONE -> singleZone = in.booleanOrFalse();
         case StoredFields.SPREAD -> spread = in.booleanOrFalse();
         case StoredFields.SPOT -> spot = in.booleanOrFalse();
-        case StoredFields.ESTIMATE_S -> estimateS = in.doubleOrZero();
-        case StoredFields.CHECKPOINT_S -> checkpointS = in.doubleOrZero();
-        case StoredFields.SAVE_S -> saveS = in.doubleOrZero();
+        case StoredFields.ESTIMATE_S -> estimatedRunS = in.doubleOrZero();
+        case StoredFields.CHECKPOINT_S -> checkpointIntervalS = in.doubleOrZero();
+        case StoredFields.SAVE_S -> checkpointSaveS = in.doubleOrZero();
         case StoredFields.DEADLINE_S -> deadlineS = in.doubleOrNull();
         case StoredFields.KIND -> kind = in.enumConstant(JobKind.class);
         default -> in.skip();
--- a/src/main/java/mallowstall/users/UserApiHandler.java
+++ b/src/main/java/mallowstall/users/UserApiHandler.java
@@ -31,24 +31,24 @@
         core.rejectSubmission(
             malformed.job(),
             malformed.getMessage(),
-            userAnswer -> answer(userAnswer, responder, true));
+            response -> respond(response, responder, true));
       }
       return;
     }
-    core.submit(spec, userAnswer -> answer(userAnswer, responder, true));
+    core.submit(spec, response -> respond(response, responder, true));
   }
 
   /** GET /submissions/{id}. */
   public void query(String id, Responder responder) {
     if (isJob(id, responder)) {
-      core.query(id, userAnswer -> answer(userAnswer, responder, false));
+      core.query(id, response -> respond(response, responder, false));
     }
   }
 
   /** POST /submissions/{id}/cancel. */
   public void cancel(String id, Responder responder) {
     if (isJob(id, responder)) {
-      core.cancel(id, userAnswer -> answer(userAnswer, responder, true));
+      core.cancel(id, response -> respond(response, responder, true));
     }
   }
 
@@ -65,28 +65,28 @@
     responder.answer(status, error(message), 0);
   }
 
-  /** Why a request is refused. */
+  /** The body that says why a request is rejected. */
   private static byte[] error(String message) {
     return JsonWriter.object(out -> out.writeStringField(UserProtocol.ERROR, message));
   }
 
-  private static void answer(ApiResponse answer, Responder responder, boolean brief) {
-    if (answer.state() == null) {
-      responder.answer(answer.status(), error(answer.message()), answer.retryAfterS());
+  private static void respond(ApiResponse response, Responder responder, boolean brief) {
+    if (response.state() == null) {
+      responder.answer(response.status(), error(response.message()), response.retryAfterS());
     } else {
       responder.answer(
-          answer.status(), JsonWriter.object(out -> writeState(out, answer, brief)), 0);
+          response.status(), JsonWriter.object(out -> writeState(out, response, brief)), 0);
     }
   }
 
-  /** A job's state as it is told. */
-  private static void writeState(JsonGenerator out, ApiResponse answer, boolean brief)
+  /** Writes the state of a job; {@code brief}: without the numbers of its tasks. */
+  private static void writeState(JsonGenerator out, ApiResponse response, boolean brief)
       throws IOException {
-    out.writeStringField(UserProtocol.JOB, answer.id());
-    out.writeStringField(UserProtocol.STATE, answer.state());
+    out.writeStringField(UserProtocol.JOB, response.id());
+    out.writeStringField(UserProtocol.STATE, response.state());
     if (!brief) {
-      out.writeNumberField(UserProtocol.DONE, answer.completedTaskCount());
-      out.writeNumberField(UserProtocol.RUNNING, answer.runningTaskCount());
+      out.writeNumberField(UserProtocol.DONE, response.completedTaskCount());
+      out.writeNumberField(UserProtocol.RUNNING, response.runningTaskCount());
     }
   }
 }
--- a/src/main/java/mallowstall/workers/HeartbeatCodec.java
+++ b/src/main/java/mallowstall/workers/HeartbeatCodec.java
@@ -40,14 +40,14 @@
 
   private static Heartbeat readFields(JsonReader in) throws IOException {
     String machine = null;
-    String addr = null;
+    String address = null;
     String type = null;
     String zone = null;
     boolean spot = false;
     long session = 0;
-    long seq = 0;
-    long token = 0;
-    Double noticeS = null;
+    long sequence = 0;
+    long fencingToken = 0;
+    Double interruptionNoticeS = null;
     List<TaskReport> tasks = List.of();
     if (!in.enterObjectIfPresent()) {
       return null;
@@ -55,19 +55,29 @@
     while (in.nextField()) {
       switch (in.field()) {
         case WorkerProtocol.MACHINE -> machine = in.string();
-        case WorkerProtocol.ADDRESS -> addr = in.string();
+        case WorkerProtocol.ADDRESS -> address = in.string();
         case WorkerProtocol.MACHINE_TYPE -> type = in.string();
         case WorkerProtocol.ZONE -> zone = in.string();
         case WorkerProtocol.SPOT -> spot = in.booleanOrFalse();
         case WorkerProtocol.SESSION -> session = in.longOrZero();
-        case WorkerProtocol.SEQUENCE -> seq = in.longOrZero();
-        case WorkerProtocol.TOKEN -> token = in.longOrZero();
-        case WorkerProtocol.PREEMPTION_NOTICE_S -> noticeS = in.doubleOrNull();
+        case WorkerProtocol.SEQUENCE -> sequence = in.longOrZero();
+        case WorkerProtocol.FENCING_TOKEN -> fencingToken = in.longOrZero();
+        case WorkerProtocol.INTERRUPTION_NOTICE_S -> interruptionNoticeS = in.doubleOrNull();
         case WorkerProtocol.TASKS -> tasks = readTasks(in);
         default -> in.skip();
       }
     }
-    return new Heartbeat(machine, addr, type, zone, spot, session, seq, token, noticeS, tasks);
+    return new Heartbeat(
+        machine,
+        address,
+        type,
+        zone,
+        spot,
+        session,
+        sequence,
+        fencingToken,
+        interruptionNoticeS,
+        tasks);
   }
 
   private static List<TaskReport> readTasks(JsonReader in) throws IOException {
@@ -79,16 +89,16 @@
     String name = null;
     long attempt = 0;
     TaskState state = TaskState.FETCHING;
-    String why = null;
-    boolean saved = false;
+    String exitReason = null;
+    boolean checkpointed = false;
     in.enterObject();
     while (in.nextField()) {
       switch (in.field()) {
         case WorkerProtocol.TASK -> name = in.string();
         case WorkerProtocol.ATTEMPT -> attempt = in.longOrZero();
         case WorkerProtocol.STATE -> state = state(in.string());
-        case WorkerProtocol.EXIT_REASON -> why = in.string();
-        case WorkerProtocol.CHECKPOINT_SAVED -> saved = in.booleanOrFalse();
+        case WorkerProtocol.EXIT_REASON -> exitReason = in.string();
+        case WorkerProtocol.CHECKPOINTED -> checkpointed = in.booleanOrFalse();
         default -> in.skip();
       }
     }
@@ -101,8 +111,8 @@
         taskIndex(name, slash + 1),
         attempt,
         state,
-        state == TaskState.EXITED ? exitReason(why) : null,
-        saved);
+        state == TaskState.EXITED ? exitReason(exitReason) : null,
+        checkpointed);
   }
 
   private static IOException invalidTaskName(String name) {
@@ -121,7 +131,7 @@
   private static TaskState state(String word) {
     return switch (word == null ? "" : word) {
       case WorkerProtocol.STATE_RUNNING -> TaskState.RUNNING;
-      case WorkerProtocol.STATE_SAVING -> TaskState.CHECKPOINTING;
+      case WorkerProtocol.STATE_CHECKPOINTING -> TaskState.CHECKPOINTING;
       case WorkerProtocol.STATE_EXITED -> TaskState.EXITED;
       default -> TaskState.FETCHING;
     };
@@ -131,26 +141,26 @@
     return switch (word == null ? "" : word) {
       case WorkerProtocol.EXIT_DONE -> ExitReason.DONE;
       case WorkerProtocol.EXIT_STOPPED -> ExitReason.STOPPED;
-      case WorkerProtocol.EXIT_NO_ROOM -> ExitReason.INSUFFICIENT_CAPACITY;
+      case WorkerProtocol.EXIT_INSUFFICIENT_CAPACITY -> ExitReason.INSUFFICIENT_CAPACITY;
       case WorkerProtocol.EXIT_BUSY -> ExitReason.BUSY;
-      case WorkerProtocol.EXIT_UNKNOWN_TASK -> ExitReason.TASK_NOT_FOUND;
+      case WorkerProtocol.EXIT_TASK_NOT_FOUND -> ExitReason.TASK_NOT_FOUND;
       default -> ExitReason.ERROR;
     };
   }
 
   /** Writes the fields of commands sent to the worker's own address. */
   static void writeCommands(
-      JsonGenerator out, long token, long session, List<WorkerCommand> commands)
+      JsonGenerator out, long fencingToken, long session, List<WorkerCommand> commands)
       throws IOException {
-    out.writeNumberField(WorkerProtocol.TOKEN, token);
+    out.writeNumberField(WorkerProtocol.FENCING_TOKEN, fencingToken);
     out.writeNumberField(WorkerProtocol.SESSION, session);
     JsonWriter.list(out, WorkerProtocol.COMMANDS, commands, HeartbeatCodec::writeCommand);
   }
 
   /** Writes the fields of the response to a heartbeat. */
-  static void writeResponse(JsonGenerator out, long token, List<WorkerCommand> commands)
+  static void writeResponse(JsonGenerator out, long fencingToken, List<WorkerCommand> commands)
       throws IOException {
-    out.writeNumberField(WorkerProtocol.TOKEN, token);
+    out.writeNumberField(WorkerProtocol.FENCING_TOKEN, fencingToken);
     JsonWriter.list(out, WorkerProtocol.COMMANDS, commands, HeartbeatCodec::writeCommand);
   }
 
@@ -161,12 +171,12 @@
         switch (command.kind()) {
           case START -> WorkerProtocol.COMMAND_START;
           case STOP -> WorkerProtocol.COMMAND_STOP;
-          case REMOVE -> WorkerProtocol.COMMAND_FORGET;
+          case REMOVE -> WorkerProtocol.COMMAND_REMOVE;
         });
     out.writeStringField(WorkerProtocol.TASK, command.job() + "/" + command.task());
     out.writeNumberField(WorkerProtocol.ATTEMPT, command.attempt());
     if (command.kind() == CommandKind.STOP) {
-      out.writeNumberField(WorkerProtocol.GRACE_S, command.gracePeriodS());
+      out.writeNumberField(WorkerProtocol.GRACE_PERIOD_S, command.gracePeriodS());
     }
     out.writeEndObject();
   }
--- a/src/main/java/mallowstall/workers/WorkerHttpAdapter.java
+++ b/src/main/java/mallowstall/workers/WorkerHttpAdapter.java
@@ -22,8 +22,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Heartbeats of workers with the commands that answer them, and commands sent to workers' own
- * addresses (protocol, Workers). Runs on the event loop.
+ * Heartbeats of workers with their responses, and commands sent to workers' own addresses
+ * (protocol, Workers). Runs on the event loop.
  */
 public final class WorkerHttpAdapter {
   private static final byte[] EMPTY = {'{', '}'};
@@ -38,7 +38,7 @@
   private final Object2ObjectLinkedOpenHashMap<String, HttpClient> clients =
       new Object2ObjectLinkedOpenHashMap<>();
 
-  /** Turns reports into events of the core, and its commands into requests. */
+  /** Turns heartbeats into events of the core, and its commands into requests. */
   public WorkerHttpAdapter(
       ControllerCore core, EventLoop loop, Consumer<Runnable> events, int maxClients) {
     this.maxClients = maxClients;
@@ -48,43 +48,44 @@
   }
 
   /** POST /hello. */
-  public void report(Request request, Responder responder) throws IOException {
+  public void handleHeartbeat(Request request, Responder responder) throws IOException {
     core.handleHeartbeat(
-        HeartbeatCodec.read(request.body()), reportAnswer -> answer(reportAnswer, responder));
+        HeartbeatCodec.read(request.body()), response -> respond(response, responder));
   }
 
   /** Commands to the worker's own address. */
-  public void order(
-      String addr,
-      long token,
+  public void sendCommands(
+      String address,
+      long fencingToken,
       long session,
       List<WorkerCommand> commands,
-      Consumer<CommandResult> then) {
-    HttpClient client = clients.getAndMoveToLast(addr);
+      Consumer<CommandResult> callback) {
+    HttpClient client = clients.getAndMoveToLast(address);
     if (client == null) {
       try {
-        client = new HttpClient(loop, SocketAddresses.parse(addr), 1);
+        client = new HttpClient(loop, SocketAddresses.parse(address), 1);
       } catch (IllegalArgumentException e) {
-        then.accept(new CommandResult(ResultCode.REJECTED, null));
+        callback.accept(new CommandResult(ResultCode.REJECTED, null));
         return;
       }
       // only the least recently used one is retired: the others may have calls under way
       if (clients.size() >= maxClients) {
         clients.removeFirst().retire();
       }
-      clients.put(addr, client);
+      clients.put(address, client);
     }
     byte[] body =
-        JsonWriter.object(out -> HeartbeatCodec.writeCommands(out, token, session, commands));
+        JsonWriter.object(
+            out -> HeartbeatCodec.writeCommands(out, fencingToken, session, commands));
     client.call(
         HttpMethod.POST,
         WorkerProtocol.COMMANDS_PATH,
         body,
         Constants.COMMAND_REQUEST_TIMEOUT_MS,
-        reply -> events.accept(() -> then.accept(orderReply(reply))));
+        reply -> events.accept(() -> callback.accept(commandResult(reply))));
   }
 
-  private CommandResult orderReply(HttpClient.Reply reply) {
+  private CommandResult commandResult(HttpClient.Reply reply) {
     ResultCode code =
         switch (reply.status()) {
           case HttpStatus.OK -> ResultCode.OK;
@@ -103,25 +104,26 @@
     }
   }
 
-  private static void answer(HeartbeatResponse answer, Responder responder) {
-    switch (answer.status()) {
+  private static void respond(HeartbeatResponse response, Responder responder) {
+    switch (response.status()) {
       case HttpStatus.OK ->
           responder.answer(
               HttpStatus.OK,
               JsonWriter.object(
                   out ->
-                      HeartbeatCodec.writeResponse(out, answer.fencingToken(), answer.commands())),
+                      HeartbeatCodec.writeResponse(
+                          out, response.fencingToken(), response.commands())),
               0);
       case HttpStatus.MISDIRECTED_REQUEST ->
-          responder.answer(HttpStatus.MISDIRECTED_REQUEST, elsewhere(answer.redirectTo()), 0);
-      default -> responder.answer(answer.status(), EMPTY, 1);
+          responder.answer(HttpStatus.MISDIRECTED_REQUEST, redirect(response.redirectTo()), 0);
+      default -> responder.answer(response.status(), EMPTY, 1);
     }
   }
 
-  /** Names the controller that the worker should report to, if one is known. */
-  private static byte[] elsewhere(String node) {
+  /** The body that names the controller to report to, if one is known. */
+  private static byte[] redirect(String node) {
     return node == null
         ? EMPTY
-        : JsonWriter.object(out -> out.writeStringField(WorkerProtocol.REPORT_TO, node));
+        : JsonWriter.object(out -> out.writeStringField(WorkerProtocol.REDIRECT_TO, node));
   }
 }
--- a/src/main/java/mallowstall/workers/WorkerProtocol.java
+++ b/src/main/java/mallowstall/workers/WorkerProtocol.java
@@ -18,8 +18,8 @@
   static final String SPOT = "prestados";
   static final String SESSION = "turno";
   static final String SEQUENCE = "folio";
-  static final String TOKEN = "baston";
-  static final String PREEMPTION_NOTICE_S = "aviso_s";
+  static final String FENCING_TOKEN = "baston";
+  static final String INTERRUPTION_NOTICE_S = "aviso_s";
   static final String TASKS = "piezas";
 
   // task in a heartbeat or a command
@@ -27,26 +27,26 @@
   static final String ATTEMPT = "intento";
   static final String STATE = "estado";
   static final String EXIT_REASON = "motivo";
-  static final String CHECKPOINT_SAVED = "saved";
+  static final String CHECKPOINTED = "saved";
 
   // task states; any other word means that the image is being fetched
   static final String STATE_RUNNING = "running";
-  static final String STATE_SAVING = "flushing";
+  static final String STATE_CHECKPOINTING = "flushing";
   static final String STATE_EXITED = "ended";
 
   // exit reasons; any other word is an error
   static final String EXIT_DONE = "done";
   static final String EXIT_STOPPED = "stopped";
-  static final String EXIT_NO_ROOM = "full";
+  static final String EXIT_INSUFFICIENT_CAPACITY = "full";
   static final String EXIT_BUSY = "busy";
-  static final String EXIT_UNKNOWN_TASK = "no_such";
+  static final String EXIT_TASK_NOT_FOUND = "no_such";
 
   // response and commands
   static final String COMMANDS = "ordenes";
   static final String COMMAND = "orden";
-  static final String GRACE_S = "respiro_s";
+  static final String GRACE_PERIOD_S = "respiro_s";
   static final String COMMAND_START = "run";
   static final String COMMAND_STOP = "kill";
-  static final String COMMAND_FORGET = "reap";
-  static final String REPORT_TO = "capataz";
+  static final String COMMAND_REMOVE = "reap";
+  static final String REDIRECT_TO = "capataz";
 }
--- a/src/test/java/mallowstall/cloud/GoldenCloudTest.java
+++ b/src/test/java/mallowstall/cloud/GoldenCloudTest.java
@@ -23,8 +23,9 @@
     try (LoopbackServer server = new LoopbackServer()) {
       CloudClient cloud = new CloudClient(server.client(), Runnable::run);
 
-      List<MachineType> types = server.answer(200, Fixtures.text("cloud-types.json"), cloud::types);
-      List<MachineType> noTypes = server.answer(503, "{}", cloud::types);
+      List<MachineType> types =
+          server.answer(200, Fixtures.text("cloud-types.json"), cloud::fetchMachineTypes);
+      List<MachineType> noTypes = server.answer(503, "{}", cloud::fetchMachineTypes);
       InventoryPage page =
           server.answer(
               200, Fixtures.text("cloud-page.json"), then -> cloud.listMachines(null, then));
@@ -60,15 +61,14 @@
       CloudClient cloud = new CloudClient(server.client(), Runnable::run);
 
       ScaleOutResult rented =
-          server.answer(200, "{\"sierras\":[\"m-1\",\"m-2\"]}", then -> cloud.rent(RENTAL, then));
-      ScaleOutResult unread = server.answer(200, "no JSON", then -> cloud.rent(RENTAL, then));
+          server.answer(
+              200, "{\"sierras\":[\"m-1\",\"m-2\"]}", then -> cloud.scaleOut(RENTAL, then));
+      ScaleOutResult unread = server.answer(200, "no JSON", then -> cloud.scaleOut(RENTAL, then));
       ScaleOutResult refused =
-          server.answer(429, "{\"error\":\"x\"}", then -> cloud.rent(RENTAL, then));
+          server.answer(429, "{\"error\":\"x\"}", then -> cloud.scaleOut(RENTAL, then));
       List<String> machines = List.of("m-1", "m-2");
-      boolean returned =
-          server.<Boolean>answer(200, "{}", then -> cloud.returnMachines(machines, then));
-      boolean kept =
-          server.<Boolean>answer(503, "{}", then -> cloud.returnMachines(List.of("m-3"), then));
+      boolean returned = server.<Boolean>answer(200, "{}", then -> cloud.scaleIn(machines, then));
+      boolean kept = server.<Boolean>answer(503, "{}", then -> cloud.scaleIn(List.of("m-3"), then));
 
       assertEquals(new ScaleOutResult(200, machines), rented);
       assertEquals(new ScaleOutResult(0, List.of()), unread);
--- a/src/test/java/mallowstall/workers/GoldenOrdersTest.java
+++ b/src/test/java/mallowstall/workers/GoldenOrdersTest.java
@@ -61,15 +61,15 @@
       String report = Fixtures.text("worker-report.json");
 
       CommandResult done =
-          server.answer(200, report, then -> workers.order(to, 17, 3, COMMANDS, then));
+          server.answer(200, report, then -> workers.sendCommands(to, 17, 3, COMMANDS, then));
       CommandResult not =
-          server.answer(409, report, then -> workers.order(to, 17, 3, List.of(), then));
+          server.answer(409, report, then -> workers.sendCommands(to, 17, 3, List.of(), then));
       CommandResult wrong =
-          server.answer(400, "{}", then -> workers.order(to, 17, 3, List.of(), then));
+          server.answer(400, "{}", then -> workers.sendCommands(to, 17, 3, List.of(), then));
       CommandResult unknown =
-          server.answer(500, "{}", then -> workers.order(to, 17, 3, List.of(), then));
+          server.answer(500, "{}", then -> workers.sendCommands(to, 17, 3, List.of(), then));
       CommandResult unread =
-          server.answer(200, "{}", then -> workers.order(to, 17, 3, List.of(), then));
+          server.answer(200, "{}", then -> workers.sendCommands(to, 17, 3, List.of(), then));
 
       assertEquals(new CommandResult(ResultCode.OK, report()), done);
       assertEquals(new CommandResult(ResultCode.CONFLICT, report()), not);
--- a/src/test/java/mallowstall/workers/GoldenReportAnswersTest.java
+++ b/src/test/java/mallowstall/workers/GoldenReportAnswersTest.java
@@ -33,7 +33,7 @@
     WorkerHttpAdapter workers = new WorkerHttpAdapter(controller.core(), null, Runnable::run, 1);
     String json = "{\"calibre\":\"g8\",\"patio\":\"a\",\"turno\":1," + fields + "}";
     byte[] body = json.getBytes(StandardCharsets.UTF_8);
-    workers.report(new Request("POST", "/hello", body), note(what));
+    workers.handleHeartbeat(new Request("POST", "/hello", body), note(what));
     controller.pass(500);
   }
 
