--- a/src/main/java/mallowstall/core/ControllerCore.java
+++ b/src/main/java/mallowstall/core/ControllerCore.java
@@ -28,9 +28,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One controller without its sockets: events and time come in, effects go out. It wires the modules
- * and hands each event to the one that it concerns. Not thread-safe; the caller sets the time
- * before each event and gives events one at a time.
+ * One controller without its sockets: takes events and the time, and hands each event to the module
+ * that it concerns; requests to the outside leave through {@link Effects}. Not thread-safe: the
+ * caller sets the time before each event and gives events one at a time. Replies may come before
+ * the method returns; failures are replies too.
  *
  * <p>Modules get what they use through their constructors, those of a lower layer first. Where a
  * lower layer calls a higher one, it takes a function that ends in one of the private methods here.
@@ -47,7 +48,13 @@
   private final DigestPublisher digestPublisher;
   private final JobApi jobApi;
 
-  /** A core that does nothing before its first event. */
+  /**
+   * Builds all modules; none does anything before the first event.
+   *
+   * @param policies placement policies by job class
+   * @param metrics takes counts and durations
+   * @param seed seed of random choices; equal events with an equal seed have equal effects
+   */
   public ControllerCore(
       CoreSettings settings,
       Effects effects,
@@ -138,7 +145,7 @@
     cluster.clock.advance(steadyMs, wallMs);
   }
 
-  /** Runs what is due; the caller calls again after every event and at least every tick. */
+  /** Runs timers, a scheduling pass and commands that are due; call it after every event. */
   public void runDueWork() {
     cluster.clock.runDue();
     if (cluster.placementTrigger.takeDue()) {
@@ -147,12 +154,12 @@
     machines.commands.sendPending();
   }
 
-  /** When the next timer is due, for callers that sleep; {@code Long.MAX_VALUE}: none. */
+  /** Steady ms at which the next timer is due; {@code Long.MAX_VALUE}: none. */
   public long nextTimerMs() {
     return cluster.clock.nextTimerMs();
   }
 
-  /** The regular duties; to be called every {@link Constants#TICK_MS}. */
+  /** The regular work of all modules; to be called every {@link Constants#TICK_MS}. */
   public void tick() {
     cluster.eventLoopLag.onTick(cluster.clock.now());
     cluster.store.tick();
@@ -175,47 +182,47 @@
     runDueWork();
   }
 
-  /** A worker has reported. */
+  /** Handles a heartbeat of a worker (protocol, Workers). */
   public void handleHeartbeat(Heartbeat heartbeat, Consumer<HeartbeatResponse> reply) {
     machines.heartbeats.route(heartbeat, reply);
     runDueWork();
   }
 
-  /** A user has submitted a job. */
+  /** Accepts or rejects a submission (protocol, Users). */
   public void submit(JobSpec spec, Consumer<ApiResponse> reply) {
     jobApi.submit(spec, reply);
     runDueWork();
   }
 
-  /** A submission that is wrong by itself, unless a controller of another version accepted it. */
+  /** Rejects a malformed submission, unless a controller of another version accepted the job. */
   public void rejectSubmission(String id, String reason, Consumer<ApiResponse> reply) {
     jobApi.rejectSubmission(id, ApiResponse.invalid(reason), reply);
     runDueWork();
   }
 
-  /** A user asks for a job's state. */
+  /** Responds with the state of a job. */
   public void query(String id, Consumer<ApiResponse> reply) {
     jobApi.query(id, reply);
     runDueWork();
   }
 
-  /** A user cancels a job. */
+  /** Cancels a job. */
   public void cancel(String id, Consumer<ApiResponse> reply) {
     jobApi.cancel(id, reply);
     runDueWork();
   }
 
-  /** Whether users' requests can be taken. */
+  /** Whether users' requests can be served. */
   public boolean isReady() {
     return jobApi.isReady();
   }
 
-  /** A new connection to a peer stands; numbers only grow within a process. */
+  /** A new connection to a peer is open; its number must be larger than all before. */
   public void peerConnected(String node, long connection) {
     cluster.messenger.peerConnected(node, connection);
   }
 
-  /** A peer has sent a message. */
+  /** Handles a message of a peer. */
   public void handleMessage(PeerMessage message) {
     if (message instanceof StatusUpdate statusUpdate) {
       receiveStatusUpdate(statusUpdate);
@@ -253,22 +260,22 @@
     return jobLeader.mayPlace(job);
   }
 
-  /** Machines whose published state differs from what is known of them, by name. */
+  /** Ids of the machines whose published status is outdated without being marked so: a fault. */
   List<String> unpublishedChanges() {
     return machines.statusPublisher.unpublishedChanges();
   }
 
-  /** Asks the controller to stop a task on one of its machines. */
+  /** Asks a machine leader to stop a task. */
   void sendStop(String node, StopRequest stop) {
     cluster.messenger.sendStop(node, stop);
   }
 
-  /** When this process began its regular work; 0: it hasn't. */
+  /** Steady ms of the first tick; 0: there was none yet. */
   long startedAtMs() {
     return cluster.clock.startedAtMs();
   }
 
-  /** This process's number; 0: it has none yet. */
+  /** Incarnation of this process; 0: it has none yet. */
   long incarnation() {
     return cluster.store.incarnation();
   }
