--- a/src/main/java/mallowstall/core/ControllerCore.java
+++ b/src/main/java/mallowstall/core/ControllerCore.java
@@ -59,10 +59,18 @@
 import mallowstall.core.model.StatusUpdate;
 import mallowstall.core.model.StopBatch;
 import mallowstall.core.model.StopRequest;
+import mallowstall.core.placement.BlockPlacer;
+import mallowstall.core.placement.CapacitySnapshot;
+import mallowstall.core.placement.GroupPlacer;
+import mallowstall.core.placement.JobPlacements;
 import mallowstall.core.placement.JobRanking;
+import mallowstall.core.placement.MachineScoring;
+import mallowstall.core.placement.PendingJobs;
+import mallowstall.core.placement.PlacementBackoffs;
 import mallowstall.core.placement.PlacementScheduler;
 import mallowstall.core.placement.Policy;
 import mallowstall.core.placement.PolicyFacts;
+import mallowstall.core.placement.PreemptingPlacer;
 import mallowstall.core.placement.Preemption;
 import mallowstall.core.placement.QueuedWork;
 import mallowstall.core.placement.ReplicaRelocation;
@@ -363,24 +371,26 @@
     ReplicaRelocation relocation =
         new ReplicaRelocation(
             view, messenger, policies, jobLeader, quotaLedger, policyFacts, startSender);
+    PlacementBackoffs backoffs = new PlacementBackoffs(metrics, placementTrigger, policies);
+    MachineScoring scoring = new MachineScoring(policyFacts, new SplittableRandom(seed));
+    GroupPlacer groupPlacer =
+        new GroupPlacer(
+            ranking,
+            queuedWork,
+            backoffs,
+            new JobPlacements(policies, ranking, quotaLedger),
+            new BlockPlacer(scoring, queuedWork, startSender),
+            new PreemptingPlacer(preemption, startSender));
     return new PlacementScheduler(
         clock,
-        metrics,
         store,
-        view,
         machineTypes,
-        placementTrigger,
-        policies,
         jobLeader,
-        quotaLedger,
-        ranking,
-        guaranteedShares,
-        queuedWork,
-        policyFacts,
-        startSender,
-        preemption,
+        new CapacitySnapshot(view, jobLeader, ranking, guaranteedShares, queuedWork),
+        new PendingJobs(jobLeader, ranking, backoffs),
         relocation,
-        new SplittableRandom(seed));
+        groupPlacer,
+        startSender);
   }
 
   private DigestPublisher newDigest() {
--- a/src/main/java/mallowstall/core/autoscaling/UnplaceableJobs.java
+++ b/src/main/java/mallowstall/core/autoscaling/UnplaceableJobs.java
@@ -110,7 +110,7 @@
     if (job.singleZone() && tasksElsewhere > 0) {
       return false;
     }
-    return !job.spread() || tasksInZone < (job.tasks() + 1) / 2;
+    return tasksInZone < job.maxTasksPerZone();
   }
 
   private static int tasksOn(MachineView machine, String job) {
--- a/src/main/java/mallowstall/core/jobs/LedJob.java
+++ b/src/main/java/mallowstall/core/jobs/LedJob.java
@@ -359,6 +359,12 @@
     return machineCooldownUntilMs;
   }
 
+  /** Whether no task of the job is to be started on the machine for now. */
+  public boolean isOnCooldown(String machine, long now) {
+    Long untilMs = machineCooldownUntilMs.get(machine);
+    return untilMs != null && untilMs > now;
+  }
+
   /** The machines with errors. */
   Set<String> machinesWithErrors() {
     return machinesWithErrors;
--- a/src/main/java/mallowstall/core/model/JobSpec.java
+++ b/src/main/java/mallowstall/core/model/JobSpec.java
@@ -36,6 +36,16 @@
     return kind == JobKind.SERVICE;
   }
 
+  /** The most tasks that may be in one zone: half of a spread job's, rounded up. */
+  public int maxTasksPerZone() {
+    return spread ? (tasks + 1) / 2 : Integer.MAX_VALUE;
+  }
+
+  /** Tasks that are placed first once the job starves: a tenth, at least one. */
+  public int starvationTasks() {
+    return Math.max(1, tasks / 10);
+  }
+
   /** Whether one task fits on an empty machine of this type, and the job allows the type. */
   public boolean fits(MachineType type) {
     return (machineTypes == null || machineTypes.contains(type.name()))
--- a/src/main/java/mallowstall/core/placement/PolicyFacts.java
+++ b/src/main/java/mallowstall/core/placement/PolicyFacts.java
@@ -12,6 +12,12 @@
 
 /** Gathers what policies may ask about a machine and a job. Mutable. */
 public final class PolicyFacts {
+  /** Stands for a machine that no block of the policy accepts. */
+  static final double REJECTED = Double.POSITIVE_INFINITY;
+
+  /** Of the time that a fetch takes, what is left on average of one that runs already. */
+  private static final double REMAINING_FETCH_FRACTION = 0.6;
+
   private final EventClock clock;
   private final CoreSettings settings;
   private final ClusterView view;
@@ -20,7 +26,7 @@
   private final QueuedWork queuedWork;
   private final Policy.Facts facts = new Policy.Facts();
 
-  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  /** Facts come from the cluster view, the demand for machines and the work that waits. */
   public PolicyFacts(
       EventClock clock,
       CoreSettings settings,
@@ -66,7 +72,9 @@
     facts.fetchS =
         facts.imagePresent
             ? 0
-            : spec.imageGb() / fetchGbPerS * (fetchingSameImage ? 0.6 : 1 + fetching);
+            : spec.imageGb()
+                / fetchGbPerS
+                * (fetchingSameImage ? REMAINING_FETCH_FRACTION : 1 + fetching);
     facts.drainS = queuedWork.drainS(spec.image());
     facts.otherDrainS = queuedWork.maxOtherDrainS(spec.image(), machine.status().images());
     facts.reservedForUrgent = demand.reserved(machine.id());
@@ -89,23 +97,20 @@
     return facts;
   }
 
-  /**
-   * Since the job was submitted, or since a task of it was started last: what is being served,
-   * however slowly, doesn't starve.
-   */
+  /** In s since the job was submitted, or since a task of it was last started: it progresses. */
   private double waitedS(LedJob ledJob, long now) {
     double ageS = (clock.wallClockMs() - ledJob.entry().submittedMs()) / 1000.0;
     return ledJob.lastStartMs() == 0 ? ageS : Math.min(ageS, (now - ledJob.lastStartMs()) / 1000.0);
   }
 
-  /** Whether some block of the policy takes the machine for the job. */
-  boolean accepts(Policy policy, MachineView machine, LedJob ledJob, long now) {
+  /** Seconds until the image would be there if a block accepts the machine, else REJECTED. */
+  double acceptedFetchS(Policy policy, MachineView machine, LedJob ledJob, long now) {
     evaluate(machine, ledJob, now);
     for (Policy.Block block : policy.blocks()) {
       if (block.workers(facts) && !block.invalidate(facts)) {
-        return true;
+        return facts.fetchS;
       }
     }
-    return false;
+    return REJECTED;
   }
 }
--- /dev/null
+++ b/src/main/java/mallowstall/core/placement/PreemptingPlacer.java
@@ -0,0 +1,80 @@
+package mallowstall.core.placement;
+
+import java.util.List;
+import mallowstall.Constants;
+import mallowstall.core.cluster.MachineView;
+import mallowstall.core.jobs.LedJob;
+import mallowstall.core.model.JobSpec;
+
+/** Starts a job's tasks in the place of others where it found no free capacity. */
+public final class PreemptingPlacer {
+  private final Preemption preemption;
+  private final StartSender startSender;
+
+  /** Victims are named in the start request; the machine's leader stops them. */
+  public PreemptingPlacer(Preemption preemption, StartSender startSender) {
+    this.preemption = preemption;
+    this.startSender = startSender;
+  }
+
+  /** Starts tasks in the place of others if the job may preempt them and has waited in vain. */
+  void place(JobPlacement placement, long now) {
+    LedJob ledJob = placement.ledJob();
+    if (!preemption.mayPreempt(ledJob, now)) {
+      return;
+    }
+    if (placement.freeQuotaTasks() <= 0) {
+      ledJob.setRequestedQuota(
+          Math.max(
+              ledJob.requestedQuota(),
+              Math.min(placement.pendingTasks(), Constants.PREEMPTIONS_PER_PASS_MAX)));
+      return;
+    }
+    ledJob.setLastPreemptionMs(now);
+    int remainingStarts = Constants.PREEMPTIONS_PER_PASS_MAX;
+    for (Preemption.PreemptionCandidate candidate :
+        preemption.findCandidates(ledJob, placement.policy(), placement.chosenZone(), now)) {
+      remainingStarts -= startOn(candidate, placement, remainingStarts, now);
+      if (placement.pendingTasks() <= 0
+          || placement.freeQuotaTasks() <= 0
+          || remainingStarts <= 0) {
+        return;
+      }
+    }
+  }
+
+  /** Starts at most so many tasks in the place of the candidate's victims; returns how many. */
+  private int startOn(
+      Preemption.PreemptionCandidate candidate, JobPlacement placement, int maxStarts, long now) {
+    JobSpec spec = placement.spec();
+    MachineView machine = candidate.machine();
+    String zone = machine.status().zone();
+    // with no free capacity anywhere the first start chooses the zone of a single-zone job
+    if (spec.singleZone()
+        && placement.chosenZone() != null
+        && !zone.equals(placement.chosenZone())) {
+      return 0;
+    }
+    int remainingInZone = placement.remainingInZone(zone);
+    if (remainingInZone <= 0) {
+      return 0;
+    }
+    preemption.releaseVictimCapacity(candidate, now);
+    int startable =
+        Math.min(
+            Math.min(placement.pendingTasks(), machine.fittingTasks(spec)),
+            Math.min(placement.freeQuotaTasks(), maxStarts));
+    int started = 0;
+    while (started < Math.min(startable, remainingInZone)) {
+      int task = placement.ledJob().pollTask();
+      if (task < 0) {
+        return started;
+      }
+      startSender.enqueue(
+          placement.ledJob(), task, machine, started == 0 ? candidate.victimRefs() : List.of());
+      placement.recordPreemptingStart(zone);
+      started++;
+    }
+    return started;
+  }
+}
--- a/src/main/java/mallowstall/core/placement/Preemption.java
+++ b/src/main/java/mallowstall/core/placement/Preemption.java
@@ -20,12 +20,13 @@
 import mallowstall.core.quota.GuaranteedShares;
 
 /**
- * Finds tasks whose places a job may take: lower ones for urgent jobs, borrowed ones for jobs that
- * their team's guarantee covers.
+ * Finds tasks that a job may preempt: lower ones for urgent jobs, and for jobs covered by their
+ * team's guaranteed share those of other teams that aren't.
  */
 public final class Preemption {
-  /** A machine, the tasks to be stopped there, and the seconds of work that this costs. */
+  /** A machine, the tasks to be preempted there, and the seconds of work that this costs. */
   record PreemptionCandidate(MachineView machine, List<TaskStatus> victims, double costS) {
+    /** The victims as a start request names them. */
     List<TaskRef> victimRefs() {
       return victims.stream().map(Preemption::taskRef).toList();
     }
@@ -38,7 +39,7 @@
   private final GuaranteedShares guaranteedShares;
   private final PolicyFacts policyFacts;
 
-  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  /** Guaranteed shares say who is owed capacity; the policy's facts say where it would be used. */
   public Preemption(
       EventClock clock,
       StateStore store,
@@ -54,7 +55,7 @@
     this.policyFacts = policyFacts;
   }
 
-  /** Whether the job may take others' places, and has waited long enough for it. */
+  /** Whether the job may preempt others, and has waited long enough for it. */
   boolean mayPreempt(LedJob ledJob, long now) {
     return (isUrgent(ledJob) || isOwedGuaranteedShare(ledJob, now))
         && now - ledJob.leaderSinceMs() >= Constants.PREEMPTION_DELAY_MS
@@ -71,8 +72,8 @@
   }
 
   /**
-   * Machines that a block of the job's policy takes and where stopping lower tasks makes room, the
-   * least loss first. Stopping work elsewhere once freed room that nobody used, over and over.
+   * Machines that a block of the job's policy accepts and where preempting lower tasks makes room,
+   * the least loss first. Capacity freed on a machine that the policy rejects would go unused.
    */
   List<PreemptionCandidate> findCandidates(
       LedJob ledJob, Policy policy, String chosenZone, long now) {
@@ -86,12 +87,15 @@
         continue;
       }
       if (demand.isScarce(spec, machine.status().type())
-          || ledJob.machineCooldownUntilMs().getOrDefault(machine.id(), 0L) > now) {
+          || ledJob.isOnCooldown(machine.id(), now)) {
         continue;
       }
       List<TaskStatus> victims = selectVictims(ledJob, machine, now);
-      if (!victims.isEmpty() && policyFacts.accepts(policy, machine, ledJob, now)) {
-        double costS = policyFacts.evaluate(machine, ledJob, now).fetchS;
+      if (victims.isEmpty()) {
+        continue;
+      }
+      double costS = policyFacts.acceptedFetchS(policy, machine, ledJob, now);
+      if (costS != PolicyFacts.REJECTED) {
         for (TaskStatus victim : victims) {
           costS += lostWorkS(victim);
         }
@@ -102,8 +106,8 @@
     return candidates;
   }
 
-  /** Counts the room of what is to be stopped as free. */
-  void reserveVictimCapacity(PreemptionCandidate candidate, long now) {
+  /** Counts the capacity of the victims as free until they have stopped. */
+  void releaseVictimCapacity(PreemptionCandidate candidate, long now) {
     MachineView machine = candidate.machine;
     for (TaskStatus victim : candidate.victims) {
       machine.reserve(store.job(victim.job()).spec(), -1);
@@ -111,7 +115,7 @@
     }
   }
 
-  /** The fewest lower tasks on the machine that make room for one of this job; none: empty. */
+  /** The fewest lower tasks on the machine that make room for one of the job; empty: none do. */
   private List<TaskStatus> selectVictims(LedJob ledJob, MachineView machine, long now) {
     boolean urgent = isUrgent(ledJob);
     boolean owedShare = isOwedGuaranteedShare(ledJob, now);
@@ -153,17 +157,17 @@
     return List.of();
   }
 
-  /** What has just begun after starving keeps its few tasks, or it would starve on. */
+  /** A job that has just begun after starving keeps its few tasks, or it would starve again. */
   private boolean isProtected(JobEntry job) {
     return clock.wallClockMs() - job.submittedMs() > Constants.STARVATION_MS
-        && view.placedTasks(job.spec().id()) <= Math.max(1, job.spec().tasks() / 10);
+        && view.placedTasks(job.spec().id()) <= job.spec().starvationTasks();
   }
 
   private static TaskRef taskRef(TaskStatus task) {
     return new TaskRef(task.job(), task.task(), task.attempt());
   }
 
-  /** Seconds of work that are about lost when the task is stopped; little while it fetches. */
+  /** Estimated work lost when the task is stopped, in s; little while it fetches its image. */
   private double lostWorkS(TaskStatus task) {
     if (task.state() == TaskState.FETCHING) {
       return 1;
--- a/src/main/java/mallowstall/core/placement/QueuedWork.java
+++ b/src/main/java/mallowstall/core/placement/QueuedWork.java
@@ -183,7 +183,7 @@
       starvingSinceMs.remove(spec.id());
     }
     int rank = starves ? 0 : ranking.rank(job, spec);
-    double cpus = (starves ? Math.max(1, spec.tasks() / 10) : tasks) * spec.cpus();
+    double cpus = (starves ? spec.starvationTasks() : tasks) * spec.cpus();
     queuedJobs.add(new QueuedJob(spec.id(), rank, demand.minimalType(spec), job.leader(), cpus));
   }
 
--- a/src/main/java/mallowstall/core/placement/ReplicaRelocation.java
+++ b/src/main/java/mallowstall/core/placement/ReplicaRelocation.java
@@ -128,19 +128,17 @@
     MachineView best = null;
     double bestCost = Double.MAX_VALUE;
     for (MachineView machine : machines) {
-      if (ledJob.machineCooldownUntilMs().getOrDefault(machine.id(), 0L) > now
-          || !mayRunOn(ledJob, moving.task(), machine)) {
+      if (ledJob.isOnCooldown(machine.id(), now) || !mayRunOn(ledJob, moving.task(), machine)) {
         continue;
       }
-      boolean accepted = policyFacts.accepts(policy, machine, ledJob, now);
+      // infinite where the policy rejects the machine
       double cost =
-          policyFacts.evaluate(machine, ledJob, now).fetchS
+          policyFacts.acceptedFetchS(policy, machine, ledJob, now)
               + replicasByMachine.getOrDefault(machine.id(), 0);
-      if (!accepted || cost >= bestCost) {
-        continue;
+      if (cost < bestCost) {
+        best = machine;
+        bestCost = cost;
       }
-      best = machine;
-      bestCost = cost;
     }
     return best;
   }
@@ -163,6 +161,6 @@
         replicasInZone++;
       }
     }
-    return !spec.spread() || replicasInZone <= (spec.tasks() + 1) / 2;
+    return replicasInZone <= spec.maxTasksPerZone();
   }
 }
