--- a/src/main/java/mallowstall/core/ControllerCore.java
+++ b/src/main/java/mallowstall/core/ControllerCore.java
@@ -6,11 +6,19 @@
 import mallowstall.Constants;
 import mallowstall.core.api.JobApi;
 import mallowstall.core.autoscaling.Autoscaler;
+import mallowstall.core.autoscaling.AutoscalerLeadership;
 import mallowstall.core.autoscaling.CloudInventory;
+import mallowstall.core.autoscaling.IdleScaleIn;
 import mallowstall.core.autoscaling.MachineDemand;
+import mallowstall.core.autoscaling.PendingMachines;
+import mallowstall.core.autoscaling.RegisteredMachines;
 import mallowstall.core.autoscaling.ScaleIn;
 import mallowstall.core.autoscaling.ScaleOut;
+import mallowstall.core.autoscaling.ScaleOutRequests;
+import mallowstall.core.autoscaling.ScalingPlanner;
+import mallowstall.core.autoscaling.TypePlanner;
 import mallowstall.core.autoscaling.UnplaceableJobs;
+import mallowstall.core.autoscaling.UnregisteredMachines;
 import mallowstall.core.cluster.CancellationExchange;
 import mallowstall.core.cluster.ClusterVersion;
 import mallowstall.core.cluster.ClusterView;
@@ -321,18 +329,7 @@
             callsPerSecond * Constants.STATE_RATE_FRACTION,
             callsPerSecond * 2 * Constants.STATE_RATE_FRACTION);
     CloudInventory cloudInventory = new CloudInventory(clock, effects, calls);
-    ScaleOut scaleOut =
-        new ScaleOut(
-            clock,
-            effects,
-            store,
-            view,
-            machineTypes,
-            openJobs,
-            machineDemand,
-            new UnplaceableJobs(settings, store, view),
-            calls,
-            this::scaleOutAnswered);
+    PendingMachines pendingMachines = new PendingMachines();
     ScaleIn scaleIn =
         new ScaleIn(
             clock,
@@ -341,20 +338,43 @@
             store,
             calls,
             machine -> {
-              scaleOut.pendingMachines().remove(machine);
+              pendingMachines.remove(machine);
               cloudInventory.remove(machine);
             });
+    ScaleOutRequests requests =
+        new ScaleOutRequests(clock, effects, store, calls, pendingMachines, this::scaleOutAnswered);
     return new Autoscaler(
         clock,
-        settings,
         store,
-        view,
         machineTypes,
         machineDemand,
+        new AutoscalerLeadership(clock, settings, store),
         cloudInventory,
-        scaleOut,
-        scaleIn,
-        messenger);
+        newScalingPlanner(pendingMachines, requests, cloudInventory, scaleIn),
+        scaleIn);
+  }
+
+  private ScalingPlanner newScalingPlanner(
+      PendingMachines pendingMachines,
+      ScaleOutRequests requests,
+      CloudInventory cloudInventory,
+      ScaleIn scaleIn) {
+    ScaleOut scaleOut =
+        new ScaleOut(
+            view,
+            machineTypes,
+            openJobs,
+            machineDemand,
+            new UnplaceableJobs(settings, store, view),
+            pendingMachines,
+            requests);
+    return new ScalingPlanner(
+        store,
+        machineTypes,
+        new RegisteredMachines(settings, store, view, pendingMachines),
+        new UnregisteredMachines(settings, machineTypes, cloudInventory, scaleIn, pendingMachines),
+        new TypePlanner(machineDemand, scaleOut, new IdleScaleIn(scaleIn, messenger)),
+        scaleIn);
   }
 
   private PlacementScheduler newPlacement(Policy.PolicyRegistry policies, long seed) {
--- /dev/null
+++ b/src/main/java/mallowstall/core/autoscaling/AutoscalerLeadership.java
@@ -0,0 +1,81 @@
+package mallowstall.core.autoscaling;
+
+import java.util.List;
+import mallowstall.core.kernel.Condition;
+import mallowstall.core.kernel.EventClock;
+import mallowstall.core.kernel.PutOperation;
+import mallowstall.core.kernel.ResultCode;
+import mallowstall.core.kernel.RetryDelay;
+import mallowstall.core.kernel.Transaction;
+import mallowstall.core.kv.StateStore;
+import mallowstall.core.model.AutoscalerLeaderEntry;
+import mallowstall.core.model.CoreSettings;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Leadership of autoscaling: one controller at a time holds the entry, which ends with its session
+ * at the state service. Mutable.
+ */
+public final class AutoscalerLeadership {
+  private static final Logger LOG = LoggerFactory.getLogger("mallowstall.autoscaling");
+
+  private final EventClock clock;
+  private final CoreSettings settings;
+  private final StateStore store;
+  private final RetryDelay retry = new RetryDelay();
+  private boolean requestInFlight;
+
+  /** Led by nobody until the state replica names a leader. */
+  public AutoscalerLeadership(EventClock clock, CoreSettings settings, StateStore store) {
+    this.clock = clock;
+    this.settings = settings;
+    this.store = store;
+  }
+
+  /** Whether this incarnation is the leader, by the state replica and a valid session. */
+  boolean isLeader() {
+    StateStore.Held stored = store.entry(StateStore.AUTOSCALER_LEADER_KEY);
+    if (stored == null || !store.isSessionValid()) {
+      return false;
+    }
+    AutoscalerLeaderEntry leaderEntry = (AutoscalerLeaderEntry) stored.value();
+    return leaderEntry.node().equals(settings.node())
+        && leaderEntry.incarnation() == store.incarnation();
+  }
+
+  /** Asks for leadership when nobody has it and no earlier request is under way. */
+  void acquireIfVacant(long now) {
+    if (store.entry(StateStore.AUTOSCALER_LEADER_KEY) == null
+        && !requestInFlight
+        && retry.isDue(now)) {
+      acquire();
+    }
+  }
+
+  private void acquire() {
+    requestInFlight = true;
+    boolean accepted =
+        store.transact(
+            // as urgent as machines: behind registrations and jobs it would wait too long
+            StateStore.Urgency.MACHINE,
+            new Transaction(
+                List.of(new Condition(StateStore.AUTOSCALER_LEADER_KEY, 0)),
+                List.of(
+                    new PutOperation(
+                        StateStore.AUTOSCALER_LEADER_KEY,
+                        new AutoscalerLeaderEntry(settings.node(), store.incarnation()),
+                        store.leaseId())),
+                List.of()),
+            reply -> {
+              requestInFlight = false;
+              retry.recordResult(clock.now(), reply.code());
+              if (reply.code() == ResultCode.OK) {
+                LOG.info("autoscaler leadership acquired incarnation={}", store.incarnation());
+              }
+            });
+    if (!accepted) {
+      requestInFlight = false;
+    }
+  }
+}
--- a/src/main/java/mallowstall/core/autoscaling/CloudInventory.java
+++ b/src/main/java/mallowstall/core/autoscaling/CloudInventory.java
@@ -10,7 +10,7 @@
 import mallowstall.core.kernel.TokenBucket;
 import mallowstall.core.model.ListedMachine;
 
-/** The cloud's list of machines, read page by page. It lags, and may be older than the last. */
+/** The cloud's list of machines, read page by page; it lags behind what the cloud has. Mutable. */
 public final class CloudInventory {
   private final EventClock clock;
   private final Effects effects;
@@ -20,7 +20,7 @@
   private boolean readInFlight;
   private long nextReadMs;
 
-  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  /** Empty until the first list is complete; pages are read as far as the call rate allows. */
   public CloudInventory(EventClock clock, Effects effects, TokenBucket apiCallBucket) {
     this.clock = clock;
     this.effects = effects;
@@ -32,11 +32,12 @@
     return machines.values();
   }
 
+  /** Whether the newest complete list names the machine. */
   boolean contains(String machine) {
     return machines.containsKey(machine);
   }
 
-  /** When the newest complete list was read. */
+  /** When the newest complete list was read, in ms of the steady clock. */
   long readAtMs() {
     return readAtMs;
   }
@@ -46,7 +47,7 @@
     machines.remove(machine);
   }
 
-  /** Reads the list again when it is time. */
+  /** Reads the list again when due. */
   void tick(long now) {
     if (now < nextReadMs || readInFlight || !apiCallBucket.canSpend(now, 1, 0)) {
       return;
--- a/src/main/java/mallowstall/core/autoscaling/MachineDemand.java
+++ b/src/main/java/mallowstall/core/autoscaling/MachineDemand.java
@@ -38,10 +38,12 @@
   /** Types that are the smallest for some open job. */
   private final Set<String> minimalTypesInUse = new HashSet<>();
 
+  /** Machines that are reserved for urgent jobs. */
   private final Set<String> reserved = new HashSet<>();
+
   private long computedAtMs;
 
-  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  /** Nothing is needed until the demand is counted first. */
   public MachineDemand(
       EventClock clock,
       CoreSettings settings,
@@ -66,7 +68,7 @@
     return minimal != null && !minimal.equals(type) && minimalTypesInUse.contains(type);
   }
 
-  /** The smallest type that holds a task of the job; null: none does. */
+  /** The smallest type on which a task of the job fits; null if on none. */
   public String minimalType(JobSpec spec) {
     String cached = minimalTypeByJob.get(spec.id());
     if (cached != null) {
@@ -82,7 +84,7 @@
     return found;
   }
 
-  /** The types have been read anew. */
+  /** The catalog of types has changed. */
   public void onTypesChanged() {
     minimalTypeByJob.clear();
   }
@@ -218,9 +220,8 @@
 
   /**
    * How many of the job's tasks may run one after the other in one place and still be on time, on a
-   * machine that must first be rented and fetch the image. A machine for every two tasks of a job
-   * with minutes to spare cost more than it was worth. Whole ones only: a wave and a half rented
-   * too few machines for jobs of which only one wave is on time.
+   * machine that must first boot and fetch the image. Whole waves only: fractions would ask for too
+   * few machines for jobs of which only one wave is on time.
    */
   private double sequentialWaves(JobEntry job, MachineType type) {
     JobSpec spec = job.spec();
@@ -234,9 +235,9 @@
   }
 
   /**
-   * Keeps as many machines from lower work as urgent jobs use on average, so that these needn't
-   * stop anybody. The oldest ordinary ones: they are not taken back, and every controller names the
-   * same.
+   * Reserves as many machines for urgent jobs as these use on average, so that they needn't preempt
+   * others. On-demand ones first, then by id: the cloud doesn't take them back, and every
+   * controller chooses the same.
    */
   private void recomputeReserved() {
     reserved.clear();
@@ -247,8 +248,8 @@
       }
     }
     available.sort(
-        Comparator.comparing((MachineView candidateView) -> candidateView.status().spot())
-            .thenComparing(candidate -> candidate.id()));
+        Comparator.comparing((MachineView machine) -> machine.status().spot())
+            .thenComparing(MachineView::id));
     for (Map.Entry<String, TypeDemand> entry : demandByType.entrySet()) {
       long total =
           available.stream()
@@ -271,8 +272,8 @@
     }
   }
 
-  /** Whether the machine is kept for urgent work. */
-  public boolean reserved(String machine) {
+  /** Whether the machine is reserved for urgent jobs. */
+  public boolean isReserved(String machine) {
     return reserved.contains(machine);
   }
 }
--- a/src/main/java/mallowstall/core/autoscaling/ScaleIn.java
+++ b/src/main/java/mallowstall/core/autoscaling/ScaleIn.java
@@ -23,11 +23,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Gives machines back to the cloud and then ends their records, which tells every holder that what
- * was on them is gone. Mutable.
+ * Returns machines to the cloud and then deletes their entries, which tells every job leader that
+ * their tasks have ended (protocol, Cloud). Mutable.
  */
 public final class ScaleIn {
-  private static final Logger LOG = LoggerFactory.getLogger("mallowstall.fleet");
+  private static final Logger LOG = LoggerFactory.getLogger("mallowstall.autoscaling");
+
+  /** Why machines are returned. */
+  enum Reason {
+    IDLE,
+    LOST_OR_FAULTY
+  }
 
   private final EventClock clock;
   private final CoreSettings settings;
@@ -43,12 +49,12 @@
   /** Returned machines, and when that was confirmed. */
   private final Map<String, Long> returnedAtMs = new HashMap<>();
 
-  /** Returned machines whose records still stand. */
+  /** Returned machines whose entries are still to be deleted. */
   private final Set<String> entriesToDelete = new HashSet<>();
 
   private final RetryDelay deleteRetry = new RetryDelay();
 
-  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  /** Each machine that the cloud confirms as returned is handed to {@code onReturned}. */
   public ScaleIn(
       EventClock clock,
       CoreSettings settings,
@@ -69,18 +75,18 @@
     return returnsInFlight.contains(machine);
   }
 
-  /** Whether it was returned so lately that the cloud's list may still name it. */
+  /** Whether it was returned so recently that the cloud's inventory may still list it. */
   boolean wasReturnedRecently(String machine, long now) {
     Long returnedMs = returnedAtMs.get(machine);
     return returnedMs != null && now - returnedMs < Constants.SCALE_IN_MEMORY_MS;
   }
 
-  /** Forgets returns that no list of the cloud can still contradict. */
+  /** Forgets returns that are older than any inventory still to come. */
   void expireReturned(long now) {
     returnedAtMs.values().removeIf(returnedMs -> now - returnedMs > Constants.SCALE_IN_MEMORY_MS);
   }
 
-  /** Leaves those that nothing need be asked for. */
+  /** Those of the machines that are neither returned nor being returned. */
   List<String> withoutReturned(Collection<String> machines) {
     List<String> remaining = new ArrayList<>(machines);
     remaining.removeAll(returnsInFlight);
@@ -89,10 +95,10 @@
   }
 
   /**
-   * As many as one request may name; the rest with a later plan. Idle machines of a fleet were once
-   * named all at once, 200 of them: the cloud refused, again and again, and none went back.
+   * Returns as many of the machines as one request may name; the rest come with a later plan. The
+   * cloud rejects a longer request as a whole.
    */
-  void returnMachines(List<String> machines, String reason) {
+  void returnMachines(List<String> machines, Reason reason) {
     if (!apiCallBucket.canSpend(clock.now(), 1, 0)) {
       return;
     }
@@ -100,13 +106,14 @@
     int batchSize = Math.min(machines.size(), Constants.SCALE_IN_MACHINES_MAX);
     List<String> batch = List.copyOf(machines.subList(0, batchSize));
     returnsInFlight.addAll(batch);
-    LOG.info("return {}: {}", batch, reason);
+    LOG.info("scale in requested machines={} reason={}", batch, reason);
     effects.scaleIn(batch, ok -> handleResult(batch, ok));
   }
 
   private void handleResult(List<String> batch, boolean ok) {
     returnsInFlight.removeAll(batch);
     if (!ok) {
+      LOG.debug("scale in failed machines={}", batch);
       return;
     }
     for (String id : batch) {
@@ -119,14 +126,14 @@
     deleteEntries();
   }
 
-  /** Tries again to end records that couldn't be ended. */
+  /** Tries again to delete entries whose deletion has failed. */
   void tick(long now) {
     if (!entriesToDelete.isEmpty() && deleteRetry.isDue(now)) {
       deleteEntries();
     }
   }
 
-  /** Ends as many records as a transaction may change. */
+  /** Deletes as many entries as one transaction may change. */
   private void deleteEntries() {
     entriesToDelete.removeIf(id -> store.machine(id) == null);
     if (entriesToDelete.isEmpty()) {
@@ -154,7 +161,7 @@
                 entriesToDelete.addAll(machines);
               }
             });
-    // until the records are gone, holders don't know and jobs taken over wait for these machines
+    // job leaders wait for these machines until their entries are deleted
     if (!accepted) {
       entriesToDelete.addAll(machines);
     }
--- /dev/null
+++ b/src/main/java/mallowstall/core/autoscaling/ScaleOutRequests.java
@@ -0,0 +1,124 @@
+package mallowstall.core.autoscaling;
+
+import java.util.HashMap;
+import java.util.Map;
+import mallowstall.Constants;
+import mallowstall.core.autoscaling.PendingMachines.PendingMachine;
+import mallowstall.core.kernel.Effects;
+import mallowstall.core.kernel.EventClock;
+import mallowstall.core.kernel.ScaleOutResult;
+import mallowstall.core.kernel.TokenBucket;
+import mallowstall.core.kv.StateStore;
+import mallowstall.core.model.ScaleOutRequest;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Asks the cloud for machines of one type, zone and kind at a time (protocol, Cloud). One request
+ * is in flight at most; what was rejected isn't asked for again for a while. Mutable.
+ */
+public final class ScaleOutRequests {
+  private static final Logger LOG = LoggerFactory.getLogger("mallowstall.autoscaling");
+
+  private static final int HTTP_OK = 200;
+  private static final int HTTP_UNAVAILABLE = 503;
+
+  private final EventClock clock;
+  private final Effects effects;
+  private final StateStore store;
+  private final TokenBucket apiCallBucket;
+  private final PendingMachines pendingMachines;
+
+  /** Called when a request is answered. */
+  private final Runnable onResponse;
+
+  /** Until when types, zones and kinds that were rejected aren't asked for, in ms. */
+  private final Map<String, Long> backoffUntilMs = new HashMap<>();
+
+  private boolean requestInFlight;
+  private int requestCounter;
+
+  /** Machines that the cloud provides become pending; each answer calls {@code onResponse}. */
+  public ScaleOutRequests(
+      EventClock clock,
+      Effects effects,
+      StateStore store,
+      TokenBucket apiCallBucket,
+      PendingMachines pendingMachines,
+      Runnable onResponse) {
+    this.clock = clock;
+    this.effects = effects;
+    this.store = store;
+    this.apiCallBucket = apiCallBucket;
+    this.pendingMachines = pendingMachines;
+    this.onResponse = onResponse;
+  }
+
+  /** Whether a request may be sent now. */
+  boolean canRequest(long now) {
+    return !requestInFlight && apiCallBucket.canSpend(now, 1, 0);
+  }
+
+  /** Asks for spot machines, or else for on-demand ones; whether a request was sent. */
+  boolean requestSpotOrOnDemand(String type, String zone, int count, long now) {
+    return requestInZone(type, zone, true, count, now)
+        || requestInZone(type, zone, false, count, now);
+  }
+
+  /** Sends a request unless one like it was rejected lately; whether it was sent. */
+  boolean requestInZone(String type, String zone, boolean spot, int count, long now) {
+    String key = type + "/" + zone + "/" + spot;
+    if (backoffUntilMs.getOrDefault(key, 0L) > now) {
+      return false;
+    }
+    String name = "r-" + store.incarnation() + "-" + ++requestCounter;
+    send(
+        new ScaleOutRequest(
+            name, type, zone, spot, Math.min(Constants.SCALE_OUT_MACHINES_MAX, count)),
+        key);
+    return true;
+  }
+
+  private void send(ScaleOutRequest request, String key) {
+    requestInFlight = true;
+    apiCallBucket.spend(clock.now(), 1);
+    LOG.info(
+        "scale out requested request={} type={} zone={} spot={} machines={}",
+        request.name(),
+        request.type(),
+        request.zone(),
+        request.spot(),
+        request.count());
+    effects.scaleOut(
+        request,
+        reply -> {
+          requestInFlight = false;
+          handleResult(request, key, reply);
+          onResponse.run();
+        });
+  }
+
+  private void handleResult(ScaleOutRequest request, String key, ScaleOutResult reply) {
+    long now = clock.now();
+    if (reply.status() == HTTP_OK) {
+      for (String id : reply.machines()) {
+        pendingMachines.add(
+            id, new PendingMachine(request.type(), request.zone(), request.spot(), now));
+      }
+      int receivedCount = reply.machines().size();
+      LOG.info(
+          "scale out answered request={} machines={} requested={}",
+          request.name(),
+          receivedCount,
+          request.count());
+      if (receivedCount < request.count()) {
+        backoffUntilMs.put(key, now + Constants.SCALE_OUT_REJECTED_COOLDOWN_MS);
+      }
+    } else if (reply.status() == HTTP_UNAVAILABLE) {
+      backoffUntilMs.put(key, now + Constants.SCALE_OUT_REJECTED_COOLDOWN_MS);
+      LOG.info("scale out rejected request={} status={}", request.name(), reply.status());
+    } else {
+      LOG.debug("scale out failed request={} status={}", request.name(), reply.status());
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/mallowstall/core/autoscaling/ScalingPlanner.java
@@ -0,0 +1,88 @@
+package mallowstall.core.autoscaling;
+
+import java.util.List;
+import mallowstall.core.cluster.MachineTypeCatalog;
+import mallowstall.core.cluster.MachineView;
+import mallowstall.core.kv.StateStore;
+import mallowstall.core.model.JobEntry;
+import mallowstall.core.model.TaskState;
+import mallowstall.core.model.TaskStatus;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Plans which machines are requested and returned; by machine type, not by task. */
+public final class ScalingPlanner {
+  private static final Logger LOG = LoggerFactory.getLogger("mallowstall.autoscaling");
+
+  private final StateStore store;
+  private final MachineTypeCatalog types;
+  private final RegisteredMachines registeredMachines;
+  private final UnregisteredMachines unregisteredMachines;
+  private final TypePlanner typePlanner;
+  private final ScaleIn scaleIn;
+
+  /** Each plan counts the machines anew; it is run only by the leader of autoscaling. */
+  public ScalingPlanner(
+      StateStore store,
+      MachineTypeCatalog types,
+      RegisteredMachines registeredMachines,
+      UnregisteredMachines unregisteredMachines,
+      TypePlanner typePlanner,
+      ScaleIn scaleIn) {
+    this.store = store;
+    this.types = types;
+    this.registeredMachines = registeredMachines;
+    this.unregisteredMachines = unregisteredMachines;
+    this.typePlanner = typePlanner;
+    this.scaleIn = scaleIn;
+  }
+
+  /** Plans every type, and then returns machines that are lost, failed or faulty. */
+  void plan(long now) {
+    MachineCensus census = new MachineCensus();
+    registeredMachines.count(census, now);
+    scaleIn.expireReturned(now);
+    if (LOG.isDebugEnabled()) {
+      logUtilization(census.available());
+    }
+    unregisteredMachines.count(census, now);
+    for (String type : types.names()) {
+      typePlanner.plan(type, census.count(type), census.available(), now);
+    }
+    List<String> toReturn = scaleIn.withoutReturned(census.toReturn());
+    if (!toReturn.isEmpty()) {
+      scaleIn.returnMachines(toReturn, ScaleIn.Reason.LOST_OR_FAULTY);
+    }
+  }
+
+  /** What the machines' processors are used for: the first thing to look at when jobs wait. */
+  private void logUtilization(List<MachineView> available) {
+    double runningCpus = 0;
+    double fetchingCpus = 0;
+    double reservedCpus = 0;
+    double freeCpus = 0;
+    for (MachineView machine : available) {
+      freeCpus += machine.status().freeCpus();
+      for (TaskStatus task : machine.status().tasks()) {
+        JobEntry job = store.job(task.job());
+        if (job == null || task.state() == TaskState.EXITED) {
+          continue;
+        }
+        if (task.state() == null) {
+          reservedCpus += job.spec().cpus();
+        } else if (task.state() == TaskState.FETCHING) {
+          fetchingCpus += job.spec().cpus();
+        } else {
+          runningCpus += job.spec().cpus();
+        }
+      }
+    }
+    LOG.debug(
+        "machine utilization machines={} runningCpus={} fetchingCpus={} reservedCpus={} freeCpus={}",
+        available.size(),
+        runningCpus,
+        fetchingCpus,
+        reservedCpus,
+        freeCpus);
+  }
+}
--- a/src/main/java/mallowstall/core/autoscaling/TypeDemand.java
+++ b/src/main/java/mallowstall/core/autoscaling/TypeDemand.java
@@ -14,7 +14,7 @@
   /** Average machines' worth of urgent work. */
   double averageUrgentMachines;
 
-  /** Whether spot machines can serve some of it; what they can't is rented before the rest. */
+  /** Whether spot machines can serve some of it; what they can't is requested first. */
   boolean spotAllowed;
 
   /** The part that spot machines can't serve. */
@@ -23,7 +23,7 @@
   /** The part that only one zone can serve, by zone. */
   final Map<String, Double> pinnedByZone = new HashMap<>();
 
-  /** The part that only ordinary machines of one zone can serve, by zone. */
+  /** The part that only on-demand machines of one zone can serve, by zone. */
   final Map<String, Double> onDemandPinnedByZone = new HashMap<>();
 
   /** Forgets what is needed now; the averages stay. */
--- a/src/main/java/mallowstall/core/autoscaling/UnplaceableJobs.java
+++ b/src/main/java/mallowstall/core/autoscaling/UnplaceableJobs.java
@@ -19,9 +19,9 @@
 import mallowstall.core.model.TeamUsageEntry;
 
 /**
- * Open jobs with a task that no machine has room for, although by their number there are enough.
- * Replicas stand for good: what they leave free may be too little on each machine, or be in a zone
- * that the job doesn't allow. Mutable.
+ * Open jobs with a task that fits on no machine, although by their number there are enough: what
+ * replicas leave free may be too little on each machine, or in a zone that the job doesn't allow.
+ * Mutable.
  */
 public final class UnplaceableJobs {
   private final CoreSettings settings;
@@ -29,14 +29,14 @@
   private final ClusterView view;
   private final Map<String, Long> unplaceableSinceMs = new HashMap<>();
 
-  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  /** Remembers since when each job has fitted on no machine. */
   public UnplaceableJobs(CoreSettings settings, StateStore store, ClusterView view) {
     this.settings = settings;
     this.store = store;
     this.view = view;
   }
 
-  /** Drops what is remembered of jobs that are over. */
+  /** Forgets jobs that are terminal. */
   void retainOpen(Iterable<JobEntry> open) {
     Set<String> ids = new HashSet<>();
     for (JobEntry job : open) {
@@ -48,8 +48,8 @@
   }
 
   /**
-   * The zones of the type in which a machine would help the job; none while one may have room, or
-   * hasn't been missing for long.
+   * The zones of the type in which a machine would help the job; none while it may fit on one, or
+   * hasn't been unplaceable for long.
    */
   List<String> zonesNeedingMachines(
       JobEntry jobEntry, MachineType type, List<MachineView> available, long now) {
@@ -66,7 +66,7 @@
     return now - sinceMs > timeoutMs ? zones : List.of();
   }
 
-  /** A replica runs nowhere, or no task of a batch does, and not for its team's limit. */
+  /** A replica, or every task of a batch job, is on no machine, and not for its team's quota. */
   private boolean isWaitingForCapacity(JobEntry jobEntry) {
     JobSpec job = jobEntry.spec();
     int placed = view.placedTasks(job.id());
--- /dev/null
+++ b/src/main/java/mallowstall/core/autoscaling/UnregisteredMachines.java
@@ -0,0 +1,85 @@
+package mallowstall.core.autoscaling;
+
+import java.util.Map;
+import mallowstall.Constants;
+import mallowstall.core.autoscaling.PendingMachines.PendingMachine;
+import mallowstall.core.cluster.MachineTypeCatalog;
+import mallowstall.core.model.CoreSettings;
+import mallowstall.core.model.ListedMachine;
+import mallowstall.core.model.MachineType;
+
+/** Counts the machines that haven't registered yet, and gives up those that never will. */
+public final class UnregisteredMachines {
+  private final CoreSettings settings;
+  private final MachineTypeCatalog types;
+  private final CloudInventory cloudInventory;
+  private final ScaleIn scaleIn;
+  private final PendingMachines pendingMachines;
+
+  /** Adds to the pending machines what the cloud lists, and removes what is given up. */
+  public UnregisteredMachines(
+      CoreSettings settings,
+      MachineTypeCatalog types,
+      CloudInventory cloudInventory,
+      ScaleIn scaleIn,
+      PendingMachines pendingMachines) {
+    this.settings = settings;
+    this.types = types;
+    this.cloudInventory = cloudInventory;
+    this.scaleIn = scaleIn;
+    this.pendingMachines = pendingMachines;
+  }
+
+  /** Counts what is listed or pending; registered machines must have been counted before. */
+  void count(MachineCensus census, long now) {
+    countListed(census, now);
+    countPending(census, now);
+  }
+
+  /** Machines that the cloud lists and that have never registered are booting, or failed. */
+  private void countListed(MachineCensus census, long now) {
+    for (ListedMachine listed : cloudInventory.machines()) {
+      String id = listed.id();
+      if (census.isRegistered(id)
+          || scaleIn.isReturnInFlight(id)
+          || scaleIn.wasReturnedRecently(id, now)) {
+        continue;
+      }
+      MachineType type = types.find(listed.type());
+      double ageS = listed.ageS() + (now - cloudInventory.readAtMs()) / 1000.0;
+      if (listed.state().equals("failed") || type != null && ageS > bootTimeoutS(type)) {
+        census.addToReturn(id);
+      } else {
+        long requestedAtMs = now - (long) (ageS * 1000);
+        pendingMachines.addListed(
+            id, new PendingMachine(listed.type(), listed.zone(), listed.spot(), requestedAtMs));
+      }
+    }
+  }
+
+  /** Pending machines count unless they take too long or the cloud doesn't list them. */
+  private void countPending(MachineCensus census, long now) {
+    long inventoryLagMs = settings.inventoryLagMs();
+    for (Map.Entry<String, PendingMachine> entry : pendingMachines.snapshot()) {
+      String id = entry.getKey();
+      PendingMachine pending = entry.getValue();
+      MachineType type = types.find(pending.type());
+      double timeoutS = type == null ? Constants.BOOT_TIMEOUT_UNKNOWN_TYPE_S : bootTimeoutS(type);
+      boolean unlisted =
+          now - pending.requestedAtMs() > 4 * inventoryLagMs
+              && cloudInventory.readAtMs() > pending.requestedAtMs() + 3 * inventoryLagMs
+              && !cloudInventory.contains(id);
+      if (now - pending.requestedAtMs() > timeoutS * 1000 || unlisted) {
+        pendingMachines.remove(id);
+        census.addToReturn(id);
+      } else {
+        census.addExpected(pending.type());
+      }
+    }
+  }
+
+  /** After so many seconds a machine that hasn't registered is taken for one that never boots. */
+  private static double bootTimeoutS(MachineType type) {
+    return Math.max(Constants.BOOT_TIMEOUT_MIN_S, Constants.BOOT_TIMEOUT_FACTOR * type.bootS());
+  }
+}
--- a/src/main/java/mallowstall/core/placement/PolicyFacts.java
+++ b/src/main/java/mallowstall/core/placement/PolicyFacts.java
@@ -77,7 +77,7 @@
                 * (fetchingSameImage ? REMAINING_FETCH_FRACTION : 1 + fetching);
     facts.drainS = queuedWork.drainS(spec.image());
     facts.otherDrainS = queuedWork.maxOtherDrainS(spec.image(), machine.status().images());
-    facts.reservedForUrgent = demand.reserved(machine.id());
+    facts.reservedForUrgent = demand.isReserved(machine.id());
     facts.scarceType = demand.isScarce(spec, machine.status().type());
     facts.taskCpus = spec.cpus();
     facts.taskGpus = spec.gpus();
