--- a/src/main/java/mallowstall/core/ControllerCore.java
+++ b/src/main/java/mallowstall/core/ControllerCore.java
@@ -387,7 +387,7 @@
     StartSender startSender =
         new StartSender(clock, settings, metrics, store, view, messenger, jobLeader);
     Preemption preemption =
-        new Preemption(clock, store, view, machineDemand, guaranteedShares, policyFacts);
+        new Preemption(store, view, machineDemand, ranking, guaranteedShares, policyFacts);
     ReplicaRelocation relocation =
         new ReplicaRelocation(
             view, messenger, policies, jobLeader, quotaLedger, policyFacts, startSender);
--- a/src/main/java/mallowstall/core/autoscaling/MachineDemand.java
+++ b/src/main/java/mallowstall/core/autoscaling/MachineDemand.java
@@ -17,7 +17,6 @@
 import mallowstall.core.model.JobEntry;
 import mallowstall.core.model.JobSpec;
 import mallowstall.core.model.MachineType;
-import mallowstall.core.model.Priority;
 import mallowstall.core.model.Team;
 
 /**
@@ -150,7 +149,7 @@
       return;
     }
     double machines = tasks / slotsPerMachine;
-    if (spec.priority().ordinal() >= Priority.HIGH.ordinal()) {
+    if (spec.priority().isUrgent()) {
       urgentByType.merge(typeName, machines, Double::sum);
     }
     addToType(of(typeName), job, type, machines);
@@ -225,7 +224,7 @@
    */
   private double sequentialWaves(JobEntry job, MachineType type) {
     JobSpec spec = job.spec();
-    if (spec.deadlineS() == null || spec.priority().ordinal() >= Priority.HIGH.ordinal()) {
+    if (spec.deadlineS() == null || spec.priority().isUrgent()) {
       return 1;
     }
     double remainingS = spec.deadlineS() - (clock.wallClockMs() - job.submittedMs()) / 1000.0;
--- a/src/main/java/mallowstall/core/model/Priority.java
+++ b/src/main/java/mallowstall/core/model/Priority.java
@@ -5,5 +5,10 @@
   LOW,
   NORMAL,
   HIGH,
-  PRODUCTION
+  PRODUCTION;
+
+  /** Whether jobs of this priority may preempt others and have machines reserved for them. */
+  public boolean isUrgent() {
+    return compareTo(HIGH) >= 0;
+  }
 }
--- a/src/main/java/mallowstall/core/placement/JobRanking.java
+++ b/src/main/java/mallowstall/core/placement/JobRanking.java
@@ -14,8 +14,11 @@
 import mallowstall.core.model.MachineType;
 import mallowstall.core.model.Priority;
 
-/** In which order jobs are served: by starving, priority, hope of their deadline, slack and age. */
+/** The order of jobs: starving ones, then by priority, reachable deadline, slack and age. */
 public final class JobRanking {
+  /** s. The slack that a job without a deadline has when it is submitted. */
+  private static final double NO_DEADLINE_SLACK_S = 600;
+
   private final EventClock clock;
   private final CoreSettings settings;
   private final ClusterView view;
@@ -28,7 +31,7 @@
   /** The part of them that is free. */
   private final Object2DoubleOpenHashMap<String> freeCpusByType = new Object2DoubleOpenHashMap<>();
 
-  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  /** Slack is measured against the machines of the view that have a job's smallest type. */
   public JobRanking(
       EventClock clock,
       CoreSettings settings,
@@ -48,19 +51,27 @@
   }
 
   /**
-   * A job of which nothing is on a machine and nothing ran for so long: whatever its priority, size
-   * and hope, it is next, with a tenth of its tasks. Smaller and still hopeful jobs before it would
-   * otherwise keep it waiting as long as the overload lasts.
+   * Whether nothing of the job is on a machine and nothing has run for long: whatever its priority
+   * and size it comes next, with a tenth of its tasks, or it would wait as long as overload lasts.
    */
   boolean isStarving(LedJob ledJob) {
     return ledJob.activeAttempts().isEmpty()
         && ledJob.pending() > 0
-        && clock.wallClockMs() - ledJob.entry().submittedMs() > Constants.STARVATION_MS
-        // not since the last try: a start that an owner refused once cost the job another wait
+        && mayStarve(ledJob.entry())
+        // since the last run, not the last start: a machine leader may have rejected that
         && (ledJob.lastRunningMs() == 0
             || clock.now() - ledJob.lastRunningMs() > Constants.STARVATION_MS);
   }
 
+  /** Whether the job was submitted so long ago that it starves if it has no task running. */
+  boolean mayStarve(JobEntry job) {
+    return clock.wallClockMs() - job.submittedMs() > Constants.STARVATION_MS;
+  }
+
+  private double ageS(JobEntry job) {
+    return (clock.wallClockMs() - job.submittedMs()) / 1000.0;
+  }
+
   /**
    * Starving jobs first, the longest waiting before others. Then priority before deadline before
    * age. Jobs that can't meet their deadline any more come after those that can: serving them first
@@ -92,14 +103,12 @@
         : Long.compare(first.entry().submittedMs(), second.entry().submittedMs());
   }
 
-  /** 0: the deadline can be met; 1: only a later one that the operators count; 2: neither. */
+  /** 0: the deadline can be met; 1: only the later one that operators allow; 2: neither. */
   private int deadlineTier(JobEntry job, JobSpec spec) {
     if (spec.deadlineS() == null) {
       return 0;
     }
-    double expectedEndS =
-        (clock.wallClockMs() - job.submittedMs()) / 1000.0
-            + spec.estimatedRunS() * Constants.ESTIMATE_REMAINING_FRACTION;
+    double expectedEndS = ageS(job) + spec.estimatedRunS() * Constants.ESTIMATE_REMAINING_FRACTION;
     if (expectedEndS <= spec.deadlineS()) {
       return 0;
     }
@@ -107,6 +116,7 @@
     return expectedEndS <= spec.deadlineS() * deadlineFactor ? 1 : 2;
   }
 
+  /** Time to spare until the deadline, in s; larger for more work per machine. */
   private double weightedSlackS(LedJob ledJob) {
     JobSpec spec = ledJob.spec();
     double slots =
@@ -115,19 +125,17 @@
     double workS = ledJob.pending() * spec.estimatedRunS() / slots;
     double slackS =
         spec.deadlineS() == null
-            ? 600 + (ledJob.entry().submittedMs() - clock.wallClockMs()) / 1000.0
-            : spec.deadlineS()
-                - (clock.wallClockMs() - ledJob.entry().submittedMs()) / 1000.0
-                - spec.estimatedRunS();
+            ? NO_DEADLINE_SLACK_S - ageS(ledJob.entry())
+            : spec.deadlineS() - ageS(ledJob.entry()) - spec.estimatedRunS();
     return slackS + Constants.SLACK_PER_WORK_FACTOR * workS;
   }
 
-  /** Smaller for jobs that come first, whoever holds them; those that starve have 0. */
+  /** Smaller for jobs that come first, whoever leads them; 0 stands for starving ones. */
   int rank(JobEntry job, JobSpec spec) {
     return (Priority.values().length - spec.priority().ordinal()) * 4 + deadlineTier(job, spec);
   }
 
-  /** Processors of usable machines, all and free, by machine type. */
+  /** Renews the processors of usable machines, all and free, by machine type. */
   void recomputeCapacity() {
     totalCpusByType.clear();
     freeCpusByType.clear();
--- a/src/main/java/mallowstall/core/placement/Policy.java
+++ b/src/main/java/mallowstall/core/placement/Policy.java
@@ -4,7 +4,7 @@
 
 /** What a class of jobs may use and prefers: blocks tried in order (paper, section 2.2). */
 public interface Policy {
-  /** Facts on one pair of a machine and a group of like tasks. Mutable, reused between calls. */
+  /** Facts on one pair of a machine and a job, whose tasks are alike. Mutable, reused. */
   final class Facts {
     /** s. Stands for a time that never comes. */
     public static final double NEVER_S = 1e9;
@@ -32,7 +32,7 @@
     /** The longest such time among the images that this machine has. */
     public double otherDrainS;
 
-    /** The machine is kept for jobs of high priority. */
+    /** The machine is reserved for urgent jobs. */
     public boolean reservedForUrgent;
 
     public double imageFetches;
@@ -51,7 +51,7 @@
     public double pendingTasks;
     public double price;
 
-    /** The job is a service: its replicas stand until it is cancelled. */
+    /** The job is a service: its replicas run until it is cancelled. */
     public boolean service;
   }
 
@@ -80,7 +80,7 @@
   /** The steps, in the order in which they are tried. */
   List<Block> blocks();
 
-  /** Name under which the back-off is kept. */
+  /** The name under which the backoff is kept. */
   String name();
 
   /** Policies by class of jobs. */
--- a/src/main/java/mallowstall/core/placement/PolicyFacts.java
+++ b/src/main/java/mallowstall/core/placement/PolicyFacts.java
@@ -44,11 +44,18 @@
 
   /** The facts on this pair; they stand until the next call. */
   Policy.Facts evaluate(MachineView machine, LedJob ledJob, long now) {
-    JobSpec spec = ledJob.spec();
     MachineType type = types.find(machine.status().type());
+    evaluateMachine(machine, type);
+    evaluateImage(machine, type, ledJob.spec());
+    evaluateJob(ledJob, now);
+    facts.reservedForUrgent = demand.isReserved(machine.id());
+    facts.scarceType = demand.isScarce(ledJob.spec(), machine.status().type());
+    return facts;
+  }
+
+  private void evaluateMachine(MachineView machine, MachineType type) {
     facts.zone = machine.status().zone();
     facts.type = machine.status().type();
-    facts.image = spec.image();
     facts.spot = machine.status().spot();
     facts.locallyManaged = settings.node().equals(machine.leader());
     facts.freeCpus = machine.freeCpus();
@@ -56,6 +63,11 @@
     facts.freeMemoryGb = machine.freeMemoryGb();
     facts.cpuUtilization =
         type == null || type.cpus() <= 0 ? 0 : 1 - machine.freeCpus() / type.cpus();
+    facts.price = type == null ? 0 : machine.status().spot() ? type.spotPrice() : type.price();
+  }
+
+  private void evaluateImage(MachineView machine, MachineType type, JobSpec spec) {
+    facts.image = spec.image();
     facts.imagePresent = machine.status().images().contains(spec.image());
     int fetching = 0;
     boolean fetchingSameImage = false;
@@ -77,29 +89,27 @@
                 * (fetchingSameImage ? REMAINING_FETCH_FRACTION : 1 + fetching);
     facts.drainS = queuedWork.drainS(spec.image());
     facts.otherDrainS = queuedWork.maxOtherDrainS(spec.image(), machine.status().images());
-    facts.reservedForUrgent = demand.isReserved(machine.id());
-    facts.scarceType = demand.isScarce(spec, machine.status().type());
+  }
+
+  private void evaluateJob(LedJob ledJob, long now) {
+    JobSpec spec = ledJob.spec();
     facts.taskCpus = spec.cpus();
     facts.taskGpus = spec.gpus();
     facts.taskMemoryGb = spec.memoryGb();
-    facts.waitedS = waitedS(ledJob, now);
+    double ageS = (clock.wallClockMs() - ledJob.entry().submittedMs()) / 1000.0;
+    facts.waitedS = waitedS(ledJob, ageS, now);
     facts.slackS =
         spec.deadlineS() == null
             ? Policy.Facts.NEVER_S
-            : spec.deadlineS()
-                - spec.estimatedRunS()
-                - (clock.wallClockMs() - ledJob.entry().submittedMs()) / 1000.0;
+            : spec.deadlineS() - spec.estimatedRunS() - ageS;
     facts.estimateS = spec.estimatedRunS();
     facts.priority = spec.priority().ordinal();
     facts.pendingTasks = ledJob.pending();
     facts.service = spec.isService();
-    facts.price = type == null ? 0 : machine.status().spot() ? type.spotPrice() : type.price();
-    return facts;
   }
 
-  /** In s since the job was submitted, or since a task of it was last started: it progresses. */
-  private double waitedS(LedJob ledJob, long now) {
-    double ageS = (clock.wallClockMs() - ledJob.entry().submittedMs()) / 1000.0;
+  /** Since submission or, as the job progresses, since one of its tasks was last started; in s. */
+  private static double waitedS(LedJob ledJob, double ageS, long now) {
     return ledJob.lastStartMs() == 0 ? ageS : Math.min(ageS, (now - ledJob.lastStartMs()) / 1000.0);
   }
 
--- a/src/main/java/mallowstall/core/placement/Preemption.java
+++ b/src/main/java/mallowstall/core/placement/Preemption.java
@@ -8,12 +8,10 @@
 import mallowstall.core.cluster.ClusterView;
 import mallowstall.core.cluster.MachineView;
 import mallowstall.core.jobs.LedJob;
-import mallowstall.core.kernel.EventClock;
 import mallowstall.core.kv.StateStore;
 import mallowstall.core.model.Capacity;
 import mallowstall.core.model.JobEntry;
 import mallowstall.core.model.JobSpec;
-import mallowstall.core.model.Priority;
 import mallowstall.core.model.TaskRef;
 import mallowstall.core.model.TaskState;
 import mallowstall.core.model.TaskStatus;
@@ -32,24 +30,24 @@
     }
   }
 
-  private final EventClock clock;
   private final ClusterView view;
   private final MachineDemand demand;
+  private final JobRanking ranking;
   private final StateStore store;
   private final GuaranteedShares guaranteedShares;
   private final PolicyFacts policyFacts;
 
   /** Guaranteed shares say who is owed capacity; the policy's facts say where it would be used. */
   public Preemption(
-      EventClock clock,
       StateStore store,
       ClusterView view,
       MachineDemand demand,
+      JobRanking ranking,
       GuaranteedShares guaranteedShares,
       PolicyFacts policyFacts) {
-    this.clock = clock;
     this.view = view;
     this.demand = demand;
+    this.ranking = ranking;
     this.store = store;
     this.guaranteedShares = guaranteedShares;
     this.policyFacts = policyFacts;
@@ -63,7 +61,7 @@
   }
 
   private static boolean isUrgent(LedJob ledJob) {
-    return ledJob.spec().priority().ordinal() >= Priority.HIGH.ordinal();
+    return ledJob.spec().priority().isUrgent();
   }
 
   private boolean isOwedGuaranteedShare(LedJob ledJob, long now) {
@@ -159,7 +157,7 @@
 
   /** A job that has just begun after starving keeps its few tasks, or it would starve again. */
   private boolean isProtected(JobEntry job) {
-    return clock.wallClockMs() - job.submittedMs() > Constants.STARVATION_MS
+    return ranking.mayStarve(job)
         && view.placedTasks(job.spec().id()) <= job.spec().starvationTasks();
   }
 
--- a/src/main/java/mallowstall/core/placement/QueuedWork.java
+++ b/src/main/java/mallowstall/core/placement/QueuedWork.java
@@ -22,8 +22,8 @@
 import mallowstall.core.model.MachineType;
 
 /**
- * The waiting tasks of all open jobs, whoever holds them: by image, for the policies, and by rank,
- * so that free room is left to those that come first. Mutable.
+ * The tasks of all open jobs that wait for a machine, whoever leads them: by image, for the
+ * policies, and by rank, so that free capacity is left to those that come first. Mutable.
  */
 public final class QueuedWork {
   /** Waiting work of one job, as far as it matters to others. */
@@ -39,7 +39,7 @@
   private final StateStore store;
   private final JobRanking ranking;
 
-  /** Jobs that starve, whoever holds them, and since when that is known here. */
+  /** Starving jobs, whoever leads them, and since when that is known here. */
   private final Map<String, Long> starvingSinceMs = new HashMap<>();
 
   private final List<QueuedJob> queuedJobs = new ArrayList<>();
@@ -52,7 +52,7 @@
   private final Object2DoubleOpenHashMap<String> warmSlotsByImage =
       new Object2DoubleOpenHashMap<>();
 
-  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  /** Nothing waits until it is counted first. */
   public QueuedWork(
       EventClock clock,
       CoreSettings settings,
@@ -96,40 +96,19 @@
   }
 
   /**
-   * Whether the free room is owed to waiting tasks of other controllers' jobs that come first. It
-   * holds a job back only for a while, since those may have reasons of their own to wait.
+   * Whether free capacity is owed to other controllers' jobs that come first. It holds a job back
+   * only for a while, since those may have reasons of their own to wait.
    */
   boolean mustYield(LedJob ledJob, long now) {
     String type = demand.minimalType(ledJob.spec());
     if (type == null) {
       return false;
     }
-    int ownRank = ranking.rank(ledJob.entry(), ledJob.spec());
-    // by turns, since it may have reasons of its own to wait
-    double starvingCpus = 0;
-    for (QueuedJob starvingJob : queuedJobs) {
-      long sinceMs =
-          starvingJob.rank > 0 ? now : starvingSinceMs.getOrDefault(starvingJob.jobId, now);
-      boolean yieldTurn =
-          (now - sinceMs) % (4 * Constants.STARVATION_YIELD_MS) < Constants.STARVATION_YIELD_MS;
-      if (starvingJob.rank == 0
-          && yieldTurn
-          && type.equals(starvingJob.minimalType)
-          && !settings.node().equals(starvingJob.leader)) {
-        starvingCpus += starvingJob.cpus;
-      }
-    }
+    double starvingCpus = starvingCpus(type, now);
     if (starvingCpus > 0 && starvingCpus >= ranking.freeCpus(type)) {
       return true;
     }
-    double aheadCpus = 0;
-    for (QueuedJob queuedJob : queuedJobs) {
-      if (queuedJob.rank < ownRank
-          && type.equals(queuedJob.minimalType)
-          && !settings.node().equals(queuedJob.leader)) {
-        aheadCpus += queuedJob.cpus;
-      }
-    }
+    double aheadCpus = outrankingCpus(type, ranking.rank(ledJob.entry(), ledJob.spec()));
     if (aheadCpus <= 0 || aheadCpus < ranking.freeCpus(type)) {
       ledJob.setOutrankedSinceMs(0);
       return false;
@@ -140,9 +119,40 @@
     return now - ledJob.outrankedSinceMs() < Constants.OUTRANKED_YIELD_MS;
   }
 
-  /**
-   * Per image: tasks waiting for a machine, over all holders, and slots on machines that have it.
-   */
+  /** What other controllers' starving jobs wait for; they have their turns. */
+  private double starvingCpus(String type, long now) {
+    double cpus = 0;
+    for (QueuedJob starvingJob : queuedJobs) {
+      if (starvingJob.rank == 0 && isOthers(starvingJob, type) && hasTurn(starvingJob, now)) {
+        cpus += starvingJob.cpus;
+      }
+    }
+    return cpus;
+  }
+
+  /** A quarter of the time, since a starving job may have reasons of its own to wait. */
+  private boolean hasTurn(QueuedJob starvingJob, long now) {
+    long sinceMs = starvingSinceMs.getOrDefault(starvingJob.jobId, now);
+    return (now - sinceMs) % (4 * Constants.STARVATION_YIELD_MS) < Constants.STARVATION_YIELD_MS;
+  }
+
+  /** What other controllers' jobs of a smaller rank wait for. */
+  private double outrankingCpus(String type, int ownRank) {
+    double cpus = 0;
+    for (QueuedJob queuedJob : queuedJobs) {
+      if (queuedJob.rank < ownRank && isOthers(queuedJob, type)) {
+        cpus += queuedJob.cpus;
+      }
+    }
+    return cpus;
+  }
+
+  /** Whether another controller leads the job, and it waits for machines of the type. */
+  private boolean isOthers(QueuedJob queuedJob, String type) {
+    return type.equals(queuedJob.minimalType) && !settings.node().equals(queuedJob.leader);
+  }
+
+  /** Counts anew, by image, the work that waits and the slots on machines that have the image. */
   void recompute() {
     queuedSecondsByImage.clear();
     queuedJobs.clear();
@@ -175,8 +185,7 @@
     if (!store.isLive(job.leader(), job.incarnation())) {
       return;
     }
-    boolean starves =
-        placed == 0 && clock.wallClockMs() - job.submittedMs() > Constants.STARVATION_MS;
+    boolean starves = placed == 0 && ranking.mayStarve(job);
     if (starves) {
       starvingSinceMs.putIfAbsent(spec.id(), clock.now());
     } else {
--- a/src/main/java/mallowstall/core/placement/ReplicaRelocation.java
+++ b/src/main/java/mallowstall/core/placement/ReplicaRelocation.java
@@ -17,8 +17,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Moves replicas off machines that won't last: the place is chosen first and its room kept, then
- * the replica is stopped, and it starts there as soon as its end is proven.
+ * Relocates replicas from departing machines: a target is chosen and its capacity reserved, then
+ * the replica is stopped, and it starts on the target as soon as its end is proven.
  */
 public final class ReplicaRelocation {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.placement");
@@ -31,7 +31,7 @@
   private final PolicyFacts policyFacts;
   private final StartSender startSender;
 
-  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  /** Only replicas of services that this controller leads are relocated. */
   public ReplicaRelocation(
       ClusterView view,
       PeerMessenger messenger,
@@ -49,55 +49,60 @@
     this.startSender = startSender;
   }
 
-  /**
-   * Moves replicas off machines that won't last: the place is chosen first and its room kept, then
-   * the replica is stopped, and it starts there as soon as its end is proven.
-   */
+  /** Starts replicas whose relocation has come so far, and relocates others. */
   void runPass(List<MachineView> machines, long now) {
     for (LedJob ledJob : jobLeader.jobs()) {
       if (!ledJob.spec().isService() || !ledJob.recovered() || ledJob.finished()) {
         continue;
       }
       for (int replica : ledJob.relocations().replicas()) {
-        startRelocated(ledJob, replica, now);
+        startRelocated(ledJob, replica);
       }
-      if (ledJob.writeOutcomeUnknown()) {
+      if (!ledJob.writeOutcomeUnknown()) {
+        relocateFromDeparting(ledJob, machines, now);
+      }
+    }
+  }
+
+  private void relocateFromDeparting(LedJob ledJob, List<MachineView> machines, long now) {
+    for (ActiveAttempt active : new ArrayList<>(ledJob.activeAttempts().values())) {
+      if (!active.observedOnMachine() || ledJob.relocations().inProgress(active.task())) {
         continue;
       }
-      for (ActiveAttempt active : new ArrayList<>(ledJob.activeAttempts().values())) {
-        if (!active.observedOnMachine() || ledJob.relocations().inProgress(active.task())) {
-          continue;
-        }
-        MachineView source = view.machines.get(active.machine());
-        if (source == null || !source.isDeparting()) {
-          continue;
-        }
-        MachineView target = selectTarget(ledJob, active, machines, now);
-        if (target == null) {
-          continue;
-        }
-        LOG.info(
-            "replica {}/{} moves from {} to {}",
-            ledJob.id(),
-            active.task(),
-            active.machine(),
-            target.id());
-        ledJob.relocations().begin(active.task(), target.id(), now);
-        target.reserve(ledJob.spec(), 1);
-        messenger.sendStop(
-            source.leader(),
-            new StopRequest(
-                active.machine(),
-                ledJob.id(),
-                active.task(),
-                active.attempt(),
-                ledJob.spec().checkpointSaveS() + 1));
+      MachineView source = view.machines.get(active.machine());
+      if (source == null || !source.isDeparting()) {
+        continue;
+      }
+      MachineView target = selectTarget(ledJob, active, machines, now);
+      if (target != null) {
+        relocate(ledJob, active, source, target, now);
       }
     }
   }
 
-  /** Starts a replica where its move leads, once it is proven to run nowhere. */
-  private void startRelocated(LedJob ledJob, int replica, long now) {
+  private void relocate(
+      LedJob ledJob, ActiveAttempt active, MachineView source, MachineView target, long now) {
+    LOG.info(
+        "replica relocation started job={} task={} attempt={} machine={} target={}",
+        ledJob.id(),
+        active.task(),
+        active.attempt(),
+        active.machine(),
+        target.id());
+    ledJob.relocations().begin(active.task(), target.id(), now);
+    target.reserve(ledJob.spec(), 1);
+    messenger.sendStop(
+        source.leader(),
+        new StopRequest(
+            active.machine(),
+            ledJob.id(),
+            active.task(),
+            active.attempt(),
+            ledJob.spec().checkpointSaveS() + 1));
+  }
+
+  /** Starts a replica on its target, once it is proven to run nowhere. */
+  private void startRelocated(LedJob ledJob, int replica) {
     if (ledJob.activeAttempts().containsKey(replica)
         || ledJob.quotaWriteInFlight()
         || ledJob.writeOutcomeUnknown()) {
@@ -118,6 +123,7 @@
     }
   }
 
+  /** The machine that a replica fits on and reaches soonest; null if there is none. */
   private MachineView selectTarget(
       LedJob ledJob, ActiveAttempt moving, List<MachineView> machines, long now) {
     Map<String, Integer> replicasByMachine = new HashMap<>();
--- a/src/main/java/mallowstall/core/placement/StartSender.java
+++ b/src/main/java/mallowstall/core/placement/StartSender.java
@@ -22,7 +22,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Sends starts to the owners of machines, those of one round together. Mutable. */
+/** Sends start requests to the leaders of machines, those of one pass together. Mutable. */
 public final class StartSender {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.placement");
 
@@ -34,10 +34,10 @@
   private final StateStore store;
   private final JobLeader jobLeader;
 
-  /** Starts that have gathered, by owner. */
+  /** Start requests to be sent, by machine leader. */
   private final Map<String, List<StartRequest>> queuedByLeader = new LinkedHashMap<>();
 
-  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  /** Attempts are tracked by the job leader from the moment they are queued here. */
   public StartSender(
       EventClock clock,
       CoreSettings settings,
@@ -55,7 +55,11 @@
     this.jobLeader = jobLeader;
   }
 
-  /** Starts a task on the machine, in the place of these others. */
+  /**
+   * Queues the start of a task on the machine, where these victims are preempted for it.
+   *
+   * @param victims tasks on the machine that its leader stops first; empty: none
+   */
   void enqueue(LedJob ledJob, int task, MachineView machine, List<TaskRef> victims) {
     PeerState peer = view.peer(machine.leader());
     long attempt = (ledJob.entry().epoch() << Constants.ATTEMPT_BITS) + ledJob.takeAttemptNumber();
@@ -90,16 +94,16 @@
                 expiryMs,
                 victims));
     LOG.debug(
-        "start {}/{} attempt {} on {} through {}, image {}",
+        "start requested job={} task={} attempt={} machine={} peer={} imagePresent={}",
         ledJob.id(),
         task,
         attempt,
         machine.id(),
         machine.leader(),
-        machine.status().images().contains(ledJob.spec().image()) ? "there" : "missing");
+        machine.status().images().contains(ledJob.spec().image()));
   }
 
-  /** Sends the starts that have gathered, through the owners of their machines. */
+  /** Sends what is queued, one batch to each machine leader. */
   void flush() {
     for (Map.Entry<String, List<StartRequest>> entry : queuedByLeader.entrySet()) {
       PeerState peer = view.peer(entry.getKey());
