--- a/src/main/java/mallowstall/core/placement/PreemptingPlacer.java
+++ b/src/main/java/mallowstall/core/placement/PreemptingPlacer.java
@@ -71,7 +71,7 @@
         return started;
       }
       startSender.enqueue(
-          placement.ledJob(), task, machine, started == 0 ? candidate.victimRefs() : List.of());
+          placement.ledJob(), task, machine, started == 0 ? candidate.victimAttempts() : List.of());
       placement.recordPreemptingStart(zone);
       started++;
     }
--- a/src/main/java/mallowstall/core/placement/Preemption.java
+++ b/src/main/java/mallowstall/core/placement/Preemption.java
@@ -12,7 +12,7 @@
 import mallowstall.core.model.Capacity;
 import mallowstall.core.model.JobEntry;
 import mallowstall.core.model.JobSpec;
-import mallowstall.core.model.TaskRef;
+import mallowstall.core.model.TaskAttempt;
 import mallowstall.core.model.TaskState;
 import mallowstall.core.model.TaskStatus;
 import mallowstall.core.quota.GuaranteedShares;
@@ -24,9 +24,9 @@
 public final class Preemption {
   /** A machine, the tasks to be preempted there, and the seconds of work that this costs. */
   record PreemptionCandidate(MachineView machine, List<TaskStatus> victims, double costS) {
-    /** The victims as a start request names them. */
-    List<TaskRef> victimRefs() {
-      return victims.stream().map(Preemption::taskRef).toList();
+    /** The attempts that a start request names as victims. */
+    List<TaskAttempt> victimAttempts() {
+      return victims.stream().map(TaskAttempt::of).toList();
     }
   }
 
@@ -109,7 +109,9 @@
     MachineView machine = candidate.machine;
     for (TaskStatus victim : candidate.victims) {
       machine.reserve(store.job(victim.job()).spec(), -1);
-      machine.preemptedUntilMs().put(taskRef(victim), now + Constants.PREEMPTION_INTERVAL_MIN_MS);
+      machine
+          .preemptedUntilMs()
+          .put(TaskAttempt.of(victim), now + Constants.PREEMPTION_INTERVAL_MIN_MS);
     }
   }
 
@@ -126,7 +128,7 @@
           || task.state() == TaskState.CHECKPOINTING) {
         continue;
       }
-      if (machine.preemptedUntilMs().containsKey(taskRef(task)) || isProtected(job)) {
+      if (machine.preemptedUntilMs().containsKey(TaskAttempt.of(task)) || isProtected(job)) {
         continue;
       }
       boolean lowerPriority =
@@ -161,10 +163,6 @@
         && view.placedTasks(job.spec().id()) <= job.spec().starvationTasks();
   }
 
-  private static TaskRef taskRef(TaskStatus task) {
-    return new TaskRef(task.job(), task.task(), task.attempt());
-  }
-
   /** Estimated work lost when the task is stopped, in s; little while it fetches its image. */
   private double lostWorkS(TaskStatus task) {
     if (task.state() == TaskState.FETCHING) {
