--- a/src/main/java/mallowstall/core/placement/GroupPlacer.java
+++ b/src/main/java/mallowstall/core/placement/GroupPlacer.java
@@ -76,10 +76,10 @@
   private void finish(JobPlacement placement, long now) {
     LedJob ledJob = placement.ledJob();
     if (placement.isQuotaBlocked()) {
-      ledJob.setRequestedQuota(Math.max(ledJob.requestedQuota(), placement.quotaBlockedTasks()));
+      ledJob.requestQuota(placement.quotaBlockedTasks());
     }
     if (placement.startedTasks() > 0) {
-      ledJob.setQuotaIdleSinceMs(0);
+      ledJob.recordQuotaUse();
       backoffs.reset(ledJob);
     } else if (placement.quotaBlockedTasks() == 0) {
       if (LOG.isDebugEnabled()) {
--- a/src/main/java/mallowstall/core/placement/PreemptingPlacer.java
+++ b/src/main/java/mallowstall/core/placement/PreemptingPlacer.java
@@ -24,13 +24,10 @@
       return;
     }
     if (placement.freeQuotaTasks() <= 0) {
-      ledJob.setRequestedQuota(
-          Math.max(
-              ledJob.requestedQuota(),
-              Math.min(placement.pendingTasks(), Constants.PREEMPTIONS_PER_PASS_MAX)));
+      ledJob.requestQuota(Math.min(placement.pendingTasks(), Constants.PREEMPTIONS_PER_PASS_MAX));
       return;
     }
-    ledJob.setLastPreemptionMs(now);
+    ledJob.recordPreemption(now);
     int remainingStarts = Constants.PREEMPTIONS_PER_PASS_MAX;
     for (Preemption.PreemptionCandidate candidate :
         preemption.findCandidates(ledJob, placement.policy(), placement.chosenZone(), now)) {
--- a/src/main/java/mallowstall/core/placement/QueuedWork.java
+++ b/src/main/java/mallowstall/core/placement/QueuedWork.java
@@ -110,13 +110,10 @@
     }
     double aheadCpus = outrankingCpus(type, ranking.rank(ledJob.entry(), ledJob.spec()));
     if (aheadCpus <= 0 || aheadCpus < ranking.freeCpus(type)) {
-      ledJob.setOutrankedSinceMs(0);
+      ledJob.clearOutranked();
       return false;
     }
-    if (ledJob.outrankedSinceMs() == 0) {
-      ledJob.setOutrankedSinceMs(now);
-    }
-    return now - ledJob.outrankedSinceMs() < Constants.OUTRANKED_YIELD_MS;
+    return ledJob.recordOutranked(now) < Constants.OUTRANKED_YIELD_MS;
   }
 
   /** What other controllers' starving jobs wait for; they have their turns. */
--- a/src/main/java/mallowstall/core/placement/ReplicaRelocation.java
+++ b/src/main/java/mallowstall/core/placement/ReplicaRelocation.java
@@ -134,7 +134,7 @@
     MachineView best = null;
     double bestCost = Double.MAX_VALUE;
     for (MachineView machine : machines) {
-      if (ledJob.isOnCooldown(machine.id(), now) || !mayRunOn(ledJob, moving.task(), machine)) {
+      if (ledJob.isCoolingDown(machine.id(), now) || !mayRunOn(ledJob, moving.task(), machine)) {
         continue;
       }
       // infinite where the policy rejects the machine
