--- a/src/main/java/mallowstall/core/autoscaling/IdleScaleIn.java
+++ b/src/main/java/mallowstall/core/autoscaling/IdleScaleIn.java
@@ -34,32 +34,54 @@
       int keepOnDemand,
       List<MachineView> available,
       long now) {
+    List<String> drained = drainedMachines(type, available);
+    if (drained.isEmpty()) {
+      drain(idleMachines(type, available, now), current, keepTotal, keepOnDemand);
+    } else {
+      scaleIn.returnMachines(drained, ScaleIn.Reason.IDLE);
+    }
+  }
+
+  private List<String> drainedMachines(String type, List<MachineView> available) {
+    List<String> drained = new ArrayList<>();
+    for (MachineView machine : available) {
+      if (isEmpty(machine, type) && machine.status().draining()) {
+        drained.add(machine.id());
+      }
+    }
+    return drained;
+  }
+
+  /** Machines of the type that have been idle for long, in the order in which they are drained. */
+  private List<MachineView> idleMachines(String type, List<MachineView> available, long now) {
     List<MachineView> idle = new ArrayList<>();
-    List<String> drainedMachines = new ArrayList<>();
     for (MachineView machine : available) {
-      if (!machine.status().type().equals(type)
-          || !machine.status().tasks().isEmpty()
-          || scaleIn.isReturnInFlight(machine.id())) {
+      if (!isEmpty(machine, type) || machine.status().draining()) {
         continue;
       }
       long idleTimeoutMs =
           machine.status().spot()
               ? Constants.SCALE_IN_IDLE_MS
               : Constants.SCALE_IN_IDLE_ON_DEMAND_MS;
-      if (machine.status().draining()) {
-        drainedMachines.add(machine.id());
-      } else if (machine.idleMs(now) > idleTimeoutMs) {
+      if (machine.idleMs(now) > idleTimeoutMs) {
         idle.add(machine);
       }
     }
-    if (!drainedMachines.isEmpty()) {
-      scaleIn.returnMachines(drainedMachines, ScaleIn.Reason.IDLE);
-      return;
-    }
     // on-demand machines first, then the longest idle
     idle.sort(
         Comparator.comparing((MachineView machine) -> machine.status().spot())
             .thenComparing(machine -> -machine.idleMs(now)));
+    return idle;
+  }
+
+  /** Whether the machine is of the type, has no tasks and isn't being returned. */
+  private boolean isEmpty(MachineView machine, String type) {
+    return machine.status().type().equals(type)
+        && machine.status().tasks().isEmpty()
+        && !scaleIn.isReturnInFlight(machine.id());
+  }
+
+  private void drain(List<MachineView> idle, int current, int keepTotal, int keepOnDemand) {
     int maxDrains = Math.max(1, current / Constants.DRAIN_BATCH_DIVISOR);
     int remaining = current;
     Map<String, List<String>> drainsByLeader = new HashMap<>();
--- a/src/main/java/mallowstall/core/model/JobSpec.java
+++ b/src/main/java/mallowstall/core/model/JobSpec.java
@@ -19,7 +19,7 @@
  * @param machineTypes machine types that are allowed; null: all
  * @param zone zone that is demanded; null: any
  * @param singleZone whether all tasks must run in one zone
- * @param spread whether tasks should run on different machines
+ * @param spread whether at most half of the tasks, rounded up, may run in one zone
  * @param spot whether tasks may run on spot machines
  * @param estimatedRunS s that one task runs by the user's estimate
  * @param checkpointIntervalS s between two checkpoints of a task; 0: it takes none
--- a/src/main/java/mallowstall/core/placement/Preemption.java
+++ b/src/main/java/mallowstall/core/placement/Preemption.java
@@ -117,6 +117,25 @@
 
   /** The fewest lower tasks on the machine that make room for one of the job; empty: none do. */
   private List<TaskStatus> selectVictims(LedJob ledJob, MachineView machine, long now) {
+    List<TaskStatus> preemptible = preemptibleTasks(ledJob, machine, now);
+    preemptible.sort(Comparator.comparingDouble(this::lostWorkS));
+    double cpus = machine.freeCpus();
+    double gpus = machine.freeGpus();
+    double memoryGb = machine.freeMemoryGb();
+    for (int i = 0; i < preemptible.size(); i++) {
+      JobSpec spec = store.job(preemptible.get(i).job()).spec();
+      cpus += spec.cpus();
+      gpus += spec.gpus();
+      memoryGb += spec.memoryGb();
+      if (Capacity.fittingTasks(cpus, gpus, memoryGb, ledJob.spec()) > 0) {
+        return preemptible.subList(0, i + 1);
+      }
+    }
+    return List.of();
+  }
+
+  /** Tasks on the machine that the job may preempt. */
+  private List<TaskStatus> preemptibleTasks(LedJob ledJob, MachineView machine, long now) {
     boolean urgent = isUrgent(ledJob);
     boolean owedShare = isOwedGuaranteedShare(ledJob, now);
     machine.preemptedUntilMs().values().removeIf(untilMs -> untilMs <= now);
@@ -141,20 +160,7 @@
         preemptible.add(task);
       }
     }
-    preemptible.sort(Comparator.comparingDouble(this::lostWorkS));
-    double cpus = machine.freeCpus();
-    double gpus = machine.freeGpus();
-    double memoryGb = machine.freeMemoryGb();
-    for (int i = 0; i < preemptible.size(); i++) {
-      JobSpec spec = store.job(preemptible.get(i).job()).spec();
-      cpus += spec.cpus();
-      gpus += spec.gpus();
-      memoryGb += spec.memoryGb();
-      if (Capacity.fittingTasks(cpus, gpus, memoryGb, ledJob.spec()) > 0) {
-        return preemptible.subList(0, i + 1);
-      }
-    }
-    return List.of();
+    return preemptible;
   }
 
   /** A job that has just begun after starving keeps its few tasks, or it would starve again. */
--- a/src/main/java/mallowstall/core/placement/StartSender.java
+++ b/src/main/java/mallowstall/core/placement/StartSender.java
@@ -61,24 +61,13 @@
    * @param victims tasks on the machine that its leader stops first; empty: none
    */
   void enqueue(LedJob ledJob, int task, MachineView machine, List<TaskAttempt> victims) {
-    PeerState peer = view.peer(machine.leader());
     long attempt = (ledJob.entry().epoch() << Constants.ATTEMPT_BITS) + ledJob.takeAttemptNumber();
     long lifetimeMs = Math.min(Constants.START_EXPIRY_MS, store.sessionRemainingMs());
     long expiryMs = clock.wallClockMs() + lifetimeMs - 2 * settings.maxClockSkewMs();
     if (ledJob.activeAttempts().isEmpty() && ledJob.completedCount() == 0) {
       metrics.recordDuration("job_wait", clock.wallClockMs() - ledJob.entry().submittedMs());
     }
-    jobLeader.trackAttempt(
-        new ActiveAttempt(
-            ledJob,
-            task,
-            attempt,
-            machine.id(),
-            machine.status().zone(),
-            machine.leader(),
-            machine.leaderIncarnation(),
-            peer.connection(),
-            peer.nextSequence()));
+    track(ledJob, task, attempt, machine);
     ledJob.recordStart(clock.now());
     machine.reserve(ledJob.spec(), 1);
     queuedByLeader
@@ -102,6 +91,21 @@
         machine.status().images().contains(ledJob.spec().image()));
   }
 
+  private void track(LedJob ledJob, int task, long attempt, MachineView machine) {
+    PeerState peer = view.peer(machine.leader());
+    jobLeader.trackAttempt(
+        new ActiveAttempt(
+            ledJob,
+            task,
+            attempt,
+            machine.id(),
+            machine.status().zone(),
+            machine.leader(),
+            machine.leaderIncarnation(),
+            peer.connection(),
+            peer.nextSequence()));
+  }
+
   /** Sends what is queued, one batch to each machine leader. */
   void flush() {
     for (Map.Entry<String, List<StartRequest>> entry : queuedByLeader.entrySet()) {
