--- a/src/main/java/mallowstall/core/PlacementModules.java
+++ b/src/main/java/mallowstall/core/PlacementModules.java
@@ -3,10 +3,18 @@
 import java.util.SplittableRandom;
 import mallowstall.core.autoscaling.MachineDemand;
 import mallowstall.core.jobs.JobLeader;
+import mallowstall.core.placement.BlockPlacer;
+import mallowstall.core.placement.CapacitySnapshot;
+import mallowstall.core.placement.GroupPlacer;
+import mallowstall.core.placement.JobPlacements;
 import mallowstall.core.placement.JobRanking;
+import mallowstall.core.placement.MachineScoring;
+import mallowstall.core.placement.PendingJobs;
+import mallowstall.core.placement.PlacementBackoffs;
 import mallowstall.core.placement.PlacementScheduler;
 import mallowstall.core.placement.Policy;
 import mallowstall.core.placement.PolicyFacts;
+import mallowstall.core.placement.PreemptingPlacer;
 import mallowstall.core.placement.Preemption;
 import mallowstall.core.placement.QueuedWork;
 import mallowstall.core.placement.ReplicaRelocation;
@@ -61,12 +69,7 @@
     StartSender startSender = newStartSender();
     Preemption preemption =
         new Preemption(
-            cluster.clock,
-            cluster.store,
-            cluster.view,
-            machineDemand,
-            guaranteedShares,
-            policyFacts);
+            cluster.store, cluster.view, machineDemand, ranking, guaranteedShares, policyFacts);
     ReplicaRelocation relocation =
         new ReplicaRelocation(
             cluster.view,
@@ -76,24 +79,26 @@
             quotaLedger,
             policyFacts,
             startSender);
+    PlacementBackoffs backoffs =
+        new PlacementBackoffs(cluster.metrics, cluster.placementTrigger, policies);
+    GroupPlacer groupPlacer =
+        new GroupPlacer(
+            ranking,
+            queuedWork,
+            backoffs,
+            new JobPlacements(policies, ranking, quotaLedger),
+            new BlockPlacer(new MachineScoring(policyFacts, random), queuedWork, startSender),
+            new PreemptingPlacer(preemption, startSender));
     return new PlacementScheduler(
         cluster.clock,
-        cluster.metrics,
         cluster.store,
-        cluster.view,
         cluster.machineTypes,
-        cluster.placementTrigger,
-        policies,
         jobLeader,
-        quotaLedger,
-        ranking,
-        guaranteedShares,
-        queuedWork,
-        policyFacts,
-        startSender,
-        preemption,
+        new CapacitySnapshot(cluster.view, jobLeader, ranking, guaranteedShares, queuedWork),
+        new PendingJobs(jobLeader, ranking, backoffs),
         relocation,
-        random);
+        groupPlacer,
+        startSender);
   }
 
   private QueuedWork newQueuedWork() {
--- a/src/main/java/mallowstall/core/autoscaling/package-info.java
+++ b/src/main/java/mallowstall/core/autoscaling/package-info.java
@@ -1,11 +1,13 @@
 /**
- * How many machines of which type to rent and which to return. {@link
+ * How many machines of which type to request and which to return. {@link
  * mallowstall.core.autoscaling.MachineDemand} is computed by every controller, since placement asks
- * it too; scaling out and in is done only by the controller named in the key {@code c/cloud}, whose
- * {@link mallowstall.core.autoscaling.Autoscaler} holds that leadership and plans.
+ * it too; scaling out and in is done only by the controller named in the key {@code c/cloud}:
+ * {@link mallowstall.core.autoscaling.AutoscalerLeadership} holds that leadership, {@link
+ * mallowstall.core.autoscaling.Autoscaler} runs what is due, and {@link
+ * mallowstall.core.autoscaling.ScalingPlanner} plans.
  *
- * <p>It owns the requests to the cloud under way, the cloud's inventory as last read, and the
- * machines that were rented but aren't registered. One event at a time; no I/O, clock or threads.
- * May depend on model, kernel, kv and cluster. See docs/design.md, "Renting".
+ * <p>The package owns the requests to the cloud under way, the cloud's inventory as last read, and
+ * the machines that are pending: provided, and not registered yet. One event at a time; no I/O,
+ * clock or threads. May depend on model, kernel, kv and cluster. See docs/design.md, "Renting".
  */
 package mallowstall.core.autoscaling;
--- a/src/main/java/mallowstall/core/model/JobSpec.java
+++ b/src/main/java/mallowstall/core/model/JobSpec.java
@@ -19,7 +19,7 @@
  * @param machineTypes machine types that are allowed; null: all
  * @param zone zone that is demanded; null: any
  * @param singleZone whether all tasks must run in one zone
- * @param spread whether tasks should run on different machines
+ * @param spread whether at most half of the tasks, rounded up, may run in one zone
  * @param spot whether tasks may run on spot machines
  * @param estimatedRunS s that one task runs by the user's estimate
  * @param checkpointIntervalS s between two checkpoints of a task; 0: it takes none
@@ -60,6 +60,16 @@
     return kind == JobKind.SERVICE;
   }
 
+  /** The most tasks that may be in one zone: half of a spread job's, rounded up. */
+  public int maxTasksPerZone() {
+    return spread ? (tasks + 1) / 2 : Integer.MAX_VALUE;
+  }
+
+  /** Tasks that are placed first once the job starves: a tenth, at least one. */
+  public int starvationTasks() {
+    return Math.max(1, tasks / 10);
+  }
+
   /** Whether one task fits on an empty machine of this type, and the job allows the type. */
   public boolean fits(MachineType type) {
     return allowsType(type.name())
--- a/src/main/java/mallowstall/core/placement/Preemption.java
+++ b/src/main/java/mallowstall/core/placement/Preemption.java
@@ -8,53 +8,52 @@
 import mallowstall.core.cluster.ClusterView;
 import mallowstall.core.cluster.MachineView;
 import mallowstall.core.jobs.LedJob;
-import mallowstall.core.kernel.EventClock;
 import mallowstall.core.kv.StateStore;
 import mallowstall.core.model.Capacity;
 import mallowstall.core.model.JobEntry;
 import mallowstall.core.model.JobSpec;
-import mallowstall.core.model.Priority;
 import mallowstall.core.model.TaskAttempt;
 import mallowstall.core.model.TaskState;
 import mallowstall.core.model.TaskStatus;
 import mallowstall.core.quota.GuaranteedShares;
 
 /**
- * Finds tasks whose places a job may take: lower ones for urgent jobs, borrowed ones for jobs that
- * their team's guarantee covers.
+ * Finds tasks that a job may preempt: lower ones for urgent jobs, and for jobs covered by their
+ * team's guaranteed share those of other teams that aren't.
  */
 public final class Preemption {
-  /** A machine, the tasks to be stopped there, and the seconds of work that this costs. */
+  /** A machine, the tasks to be preempted there, and the seconds of work that this costs. */
   record PreemptionCandidate(MachineView machine, List<TaskStatus> victims, double costS) {
+    /** The attempts that a start request names as victims. */
     List<TaskAttempt> victimAttempts() {
       return victims.stream().map(TaskAttempt::of).toList();
     }
   }
 
-  private final EventClock clock;
   private final ClusterView view;
   private final MachineDemand demand;
+  private final JobRanking ranking;
   private final StateStore store;
   private final GuaranteedShares guaranteedShares;
   private final PolicyFacts policyFacts;
 
-  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  /** Guaranteed shares say who is owed capacity; the policy's facts say where it would be used. */
   public Preemption(
-      EventClock clock,
       StateStore store,
       ClusterView view,
       MachineDemand demand,
+      JobRanking ranking,
       GuaranteedShares guaranteedShares,
       PolicyFacts policyFacts) {
-    this.clock = clock;
     this.view = view;
     this.demand = demand;
+    this.ranking = ranking;
     this.store = store;
     this.guaranteedShares = guaranteedShares;
     this.policyFacts = policyFacts;
   }
 
-  /** Whether the job may take others' places, and has waited long enough for it. */
+  /** Whether the job may preempt others, and has waited long enough for it. */
   boolean mayPreempt(LedJob ledJob, long now) {
     return (isUrgent(ledJob) || isOwedGuaranteedShare(ledJob, now))
         && now - ledJob.leaderSinceMs() >= Constants.PREEMPTION_DELAY_MS
@@ -62,7 +61,7 @@
   }
 
   private static boolean isUrgent(LedJob ledJob) {
-    return ledJob.spec().priority().ordinal() >= Priority.HIGH.ordinal();
+    return ledJob.spec().priority().isUrgent();
   }
 
   private boolean isOwedGuaranteedShare(LedJob ledJob, long now) {
@@ -71,8 +70,8 @@
   }
 
   /**
-   * Machines that a block of the job's policy takes and where stopping lower tasks makes room, the
-   * least loss first. Stopping work elsewhere once freed room that nobody used, over and over.
+   * Machines that a block of the job's policy accepts and where preempting lower tasks makes room,
+   * the least loss first. Capacity freed on a machine that the policy rejects would go unused.
    */
   List<PreemptionCandidate> findCandidates(
       LedJob ledJob, Policy policy, String chosenZone, long now) {
@@ -90,8 +89,11 @@
         continue;
       }
       List<TaskStatus> victims = selectVictims(ledJob, machine, now);
-      if (!victims.isEmpty() && policyFacts.accepts(policy, machine, ledJob, now)) {
-        double costS = policyFacts.evaluate(machine, ledJob, now).fetchS;
+      if (victims.isEmpty()) {
+        continue;
+      }
+      double costS = policyFacts.acceptedFetchS(policy, machine, ledJob, now);
+      if (costS != PolicyFacts.REJECTED) {
         for (TaskStatus victim : victims) {
           costS += lostWorkS(victim);
         }
@@ -102,8 +104,8 @@
     return candidates;
   }
 
-  /** Counts the room of what is to be stopped as free. */
-  void reserveVictimCapacity(PreemptionCandidate candidate, long now) {
+  /** Counts the capacity of the victims as free until they have stopped. */
+  void releaseVictimCapacity(PreemptionCandidate candidate, long now) {
     MachineView machine = candidate.machine;
     for (TaskStatus victim : candidate.victims) {
       machine.reserve(store.job(victim.job()).spec(), -1);
@@ -113,8 +115,27 @@
     }
   }
 
-  /** The fewest lower tasks on the machine that make room for one of this job; none: empty. */
+  /** The fewest lower tasks on the machine that make room for one of the job; empty: none do. */
   private List<TaskStatus> selectVictims(LedJob ledJob, MachineView machine, long now) {
+    List<TaskStatus> preemptible = preemptibleTasks(ledJob, machine, now);
+    preemptible.sort(Comparator.comparingDouble(this::lostWorkS));
+    double cpus = machine.freeCpus();
+    double gpus = machine.freeGpus();
+    double memoryGb = machine.freeMemoryGb();
+    for (int i = 0; i < preemptible.size(); i++) {
+      JobSpec spec = store.job(preemptible.get(i).job()).spec();
+      cpus += spec.cpus();
+      gpus += spec.gpus();
+      memoryGb += spec.memoryGb();
+      if (Capacity.fittingTasks(cpus, gpus, memoryGb, ledJob.spec()) > 0) {
+        return preemptible.subList(0, i + 1);
+      }
+    }
+    return List.of();
+  }
+
+  /** Tasks on the machine that the job may preempt. */
+  private List<TaskStatus> preemptibleTasks(LedJob ledJob, MachineView machine, long now) {
     boolean urgent = isUrgent(ledJob);
     boolean owedShare = isOwedGuaranteedShare(ledJob, now);
     machine.preemptedUntilMs().values().removeIf(untilMs -> untilMs <= now);
@@ -139,29 +160,16 @@
         preemptible.add(task);
       }
     }
-    preemptible.sort(Comparator.comparingDouble(this::lostWorkS));
-    double cpus = machine.freeCpus();
-    double gpus = machine.freeGpus();
-    double memoryGb = machine.freeMemoryGb();
-    for (int i = 0; i < preemptible.size(); i++) {
-      JobSpec spec = store.job(preemptible.get(i).job()).spec();
-      cpus += spec.cpus();
-      gpus += spec.gpus();
-      memoryGb += spec.memoryGb();
-      if (Capacity.fittingTasks(cpus, gpus, memoryGb, ledJob.spec()) > 0) {
-        return preemptible.subList(0, i + 1);
-      }
-    }
-    return List.of();
+    return preemptible;
   }
 
-  /** What has just begun after starving keeps its few tasks, or it would starve on. */
+  /** A job that has just begun after starving keeps its few tasks, or it would starve again. */
   private boolean isProtected(JobEntry job) {
-    return clock.wallClockMs() - job.submittedMs() > Constants.STARVATION_MS
-        && view.placedTasks(job.spec().id()) <= Math.max(1, job.spec().tasks() / 10);
+    return ranking.mayStarve(job)
+        && view.placedTasks(job.spec().id()) <= job.spec().starvationTasks();
   }
 
-  /** Seconds of work that are about lost when the task is stopped; little while it fetches. */
+  /** Estimated work lost when the task is stopped, in s; little while it fetches its image. */
   private double lostWorkS(TaskStatus task) {
     if (task.state() == TaskState.FETCHING) {
       return 1;
