--- a/src/main/java/mallowstall/core/ControllerCore.java
+++ b/src/main/java/mallowstall/core/ControllerCore.java
@@ -4,7 +4,10 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import mallowstall.Constants;
+import mallowstall.core.api.HeartbeatReceiver;
 import mallowstall.core.api.JobApi;
+import mallowstall.core.api.PeerEvents;
+import mallowstall.core.api.UserRequests;
 import mallowstall.core.autoscaling.Autoscaler;
 import mallowstall.core.autoscaling.CloudInventory;
 import mallowstall.core.autoscaling.MachineDemand;
@@ -80,7 +83,7 @@
  * <p>Modules get what they use through their constructors, those of a lower layer first. Where a
  * lower layer calls a higher one, it takes a function that ends in one of the private methods here.
  */
-public final class ControllerCore {
+public final class ControllerCore implements UserRequests, HeartbeatReceiver, PeerEvents {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.core");
 
   private final CoreSettings settings;
@@ -456,31 +459,31 @@
     runDueWork();
   }
 
-  /** A worker has reported. */
+  @Override
   public void handleHeartbeat(Heartbeat heartbeat, Consumer<HeartbeatResponse> reply) {
     heartbeats.route(heartbeat, reply);
     runDueWork();
   }
 
-  /** A user has submitted a job. */
+  @Override
   public void submit(JobSpec spec, Consumer<ApiResponse> reply) {
     jobApi.submit(spec, reply);
     runDueWork();
   }
 
-  /** A submission that is wrong by itself, unless a controller of another version accepted it. */
+  @Override
   public void rejectSubmission(String id, String reason, Consumer<ApiResponse> reply) {
     jobApi.rejectSubmission(id, 400, reason, reply);
     runDueWork();
   }
 
-  /** A user asks for a job's state. */
+  @Override
   public void query(String id, Consumer<ApiResponse> reply) {
     jobApi.query(id, reply);
     runDueWork();
   }
 
-  /** A user cancels a job. */
+  @Override
   public void cancel(String id, Consumer<ApiResponse> reply) {
     jobApi.cancel(id, reply);
     runDueWork();
@@ -491,12 +494,12 @@
     return jobApi.isReady();
   }
 
-  /** A new connection to a peer stands; numbers only grow within a process. */
+  @Override
   public void peerConnected(String node, long connection) {
     messenger.peerConnected(node, connection);
   }
 
-  /** A peer has sent a message. */
+  @Override
   public void handleMessage(PeerMessage message) {
     if (message instanceof StatusUpdate statusUpdate) {
       receiveStatusUpdate(statusUpdate);
--- a/src/main/java/mallowstall/core/model/JobEntry.java
+++ b/src/main/java/mallowstall/core/model/JobEntry.java
@@ -1,10 +1,8 @@
 package mallowstall.core.model;
 
-import mallowstall.core.kv.JobBitmaps;
-
 /**
  * A job's entry. {@code done} holds the first bits of the bitmap, further ones are {@link
- * CompletionBitsEntry}: see {@link JobBitmaps}.
+ * CompletionBitsEntry}: see {@code core.kv.JobBitmaps}.
  */
 public record JobEntry(
     JobSpec spec,
--- a/src/main/java/mallowstall/peers/PeerConnections.java
+++ b/src/main/java/mallowstall/peers/PeerConnections.java
@@ -21,7 +21,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import mallowstall.Constants;
-import mallowstall.core.ControllerCore;
+import mallowstall.core.api.PeerEvents;
 import mallowstall.core.model.PeerMessage;
 import mallowstall.core.model.StatusUpdate;
 import mallowstall.net.TcpBootstraps;
@@ -46,7 +46,7 @@
           Constants.PEER_BACKLOG_MAX_BYTES / 2, Constants.PEER_BACKLOG_MAX_BYTES);
 
   private final EventLoop loop;
-  private final ControllerCore core;
+  private final PeerEvents core;
   private final Consumer<Runnable> events;
   private final Map<String, OutboundConnection> outbound = new HashMap<>();
   private final int maxInbound;
@@ -57,7 +57,7 @@
 
   /** Connects to peers and accepts so many connections of theirs at most. */
   public PeerConnections(
-      EventLoop loop, ControllerCore core, Consumer<Runnable> events, int maxInbound) {
+      EventLoop loop, PeerEvents core, Consumer<Runnable> events, int maxInbound) {
     this.loop = loop;
     this.core = core;
     this.events = events;
--- a/src/main/java/mallowstall/users/UserApiHandler.java
+++ b/src/main/java/mallowstall/users/UserApiHandler.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
-import mallowstall.core.ControllerCore;
+import mallowstall.core.api.UserRequests;
 import mallowstall.core.model.ApiResponse;
 import mallowstall.core.model.JobSpec;
 import mallowstall.json.JsonWriter;
@@ -12,10 +12,10 @@
 
 /** Submissions, queries and cancellations of users (protocol, Users). Runs on the event loop. */
 public final class UserApiHandler {
-  private final ControllerCore core;
+  private final UserRequests core;
 
   /** Turns users' requests into events of the core. */
-  public UserApiHandler(ControllerCore core) {
+  public UserApiHandler(UserRequests core) {
     this.core = core;
   }
 
--- a/src/main/java/mallowstall/workers/WorkerHttpAdapter.java
+++ b/src/main/java/mallowstall/workers/WorkerHttpAdapter.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 import mallowstall.Constants;
-import mallowstall.core.ControllerCore;
+import mallowstall.core.api.HeartbeatReceiver;
 import mallowstall.core.kernel.CommandResult;
 import mallowstall.core.kernel.ResultCode;
 import mallowstall.core.model.HeartbeatResponse;
@@ -32,7 +32,7 @@
   /** Connections kept to workers' own addresses; beyond it they are opened anew. */
   private final int maxClients;
 
-  private final ControllerCore core;
+  private final HeartbeatReceiver core;
   private final EventLoop loop;
   private final Consumer<Runnable> events;
   private final Object2ObjectLinkedOpenHashMap<String, HttpClient> clients =
@@ -40,7 +40,7 @@
 
   /** Turns reports into events of the core, and its commands into requests. */
   public WorkerHttpAdapter(
-      ControllerCore core, EventLoop loop, Consumer<Runnable> events, int maxClients) {
+      HeartbeatReceiver core, EventLoop loop, Consumer<Runnable> events, int maxClients) {
     this.maxClients = maxClients;
     this.core = core;
     this.loop = loop;
