--- a/src/main/java/mallowstall/core/autoscaling/Autoscaler.java
+++ b/src/main/java/mallowstall/core/autoscaling/Autoscaler.java
@@ -291,7 +291,7 @@
       }
       MachineType type = types.find(listed.type());
       double ageS = listed.ageS() + (now - cloudInventory.readAtMs()) / 1000.0;
-      if (listed.state().equals("failed") || type != null && ageS > bootTimeoutS(type)) {
+      if (listed.state().equals("failed") || (type != null && ageS > bootTimeoutS(type))) {
         fleetState.toReturn.add(id);
       } else {
         long requestedAtMs = now - (long) (ageS * 1000);
--- a/src/main/java/mallowstall/core/autoscaling/UnplaceableJobs.java
+++ b/src/main/java/mallowstall/core/autoscaling/UnplaceableJobs.java
@@ -81,8 +81,8 @@
       return false;
     }
     TeamUsageEntry usage = (TeamUsageEntry) storedUsage.value();
-    return team.cpuQuota() > 0 && usage.reservedCpus() + job.cpus() > team.cpuQuota() + 1e-9
-        || team.gpuQuota() > 0 && usage.reservedGpus() + job.gpus() > team.gpuQuota() + 1e-9;
+    return (team.cpuQuota() > 0 && usage.reservedCpus() + job.cpus() > team.cpuQuota() + 1e-9)
+        || (team.gpuQuota() > 0 && usage.reservedGpus() + job.gpus() > team.gpuQuota() + 1e-9);
   }
 
   private static List<String> allowedZones(
--- a/src/main/java/mallowstall/core/cluster/CancellationExchange.java
+++ b/src/main/java/mallowstall/core/cluster/CancellationExchange.java
@@ -61,7 +61,7 @@
 
   /** Whether nothing of the job may be started and all of it must be stopped. */
   public boolean isOver(String id, JobEntry job) {
-    return job != null && job.isTerminal() || isReportedByPeer(id);
+    return (job != null && job.isTerminal()) || isReportedByPeer(id);
   }
 
   /** The mirror has learnt of it. */
--- a/src/main/java/mallowstall/core/cluster/ClusterView.java
+++ b/src/main/java/mallowstall/core/cluster/ClusterView.java
@@ -163,6 +163,7 @@
   }
 
   /** Brings what follows from the machine's tasks up to date with what its owner told last. */
+  @SuppressWarnings("ReferenceEquality") // a new status object is a new status
   public void updateDerivedState(MachineView machine) {
     if (machine.derivedFrom == machine.status) {
       return;
--- a/src/main/java/mallowstall/core/cluster/MachineView.java
+++ b/src/main/java/mallowstall/core/cluster/MachineView.java
@@ -14,7 +14,7 @@
   public String leader;
   public long leaderIncarnation;
 
-  /** When {@link #m} was told. */
+  /** When {@link #status} was told. */
   public long updatedAtMs;
 
   public MachineStatus status;
@@ -25,7 +25,7 @@
   double reservedGpus;
   double reservedMemoryGb;
 
-  /** Images that are there or that a task there needs, as of {@link #m}. */
+  /** Images that are there or that a task there needs, as of {@link #status}. */
   public String[] images = {};
 
   /** For each task there that waits for its image, or was only accepted, that image. */
--- a/src/main/java/mallowstall/core/jobs/JobLeader.java
+++ b/src/main/java/mallowstall/core/jobs/JobLeader.java
@@ -249,6 +249,7 @@
 
   // ---- rosters ------------------------------------------------------------------------------
   /** An owner has told of its machines: brings what is known of the jobs held here up to date. */
+  @SuppressWarnings("ReferenceEquality") // whether the view took over this very status
   public void applyStatusUpdate(StatusUpdate update) {
     for (StartRejection rejection : update.rejections()) {
       handleStartRejection(rejection);
@@ -605,7 +606,6 @@
         store.entriesUnder(StateStore.MACHINE_PREFIX).entrySet()) {
       MachineEntry machineEntry = (MachineEntry) entry.getValue().value();
       String id = entry.getKey().substring(StateStore.MACHINE_PREFIX.length());
-      MachineView machine = view.machines.get(id);
       PeerState peer = view.peer(machineEntry.node());
       long revision = view.isFullyReported(id, machineEntry) ? peer.replicaRevision : -1;
       if (revision >= 0) {
--- a/src/main/java/mallowstall/core/jobs/ReplicaRestarts.java
+++ b/src/main/java/mallowstall/core/jobs/ReplicaRestarts.java
@@ -1,5 +1,6 @@
 package mallowstall.core.jobs;
 
+import it.unimi.dsi.fastutil.ints.Int2ObjectMap;
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap;
 import it.unimi.dsi.fastutil.objects.ObjectIterator;
 import java.util.function.IntConsumer;
@@ -54,10 +55,9 @@
     if (waitingCount == 0) {
       return;
     }
-    ObjectIterator<Int2ObjectOpenHashMap.Entry<Delay>> entries =
-        delays.int2ObjectEntrySet().fastIterator();
+    ObjectIterator<Int2ObjectMap.Entry<Delay>> entries = delays.int2ObjectEntrySet().fastIterator();
     while (entries.hasNext()) {
-      Int2ObjectOpenHashMap.Entry<Delay> entry = entries.next();
+      Int2ObjectMap.Entry<Delay> entry = entries.next();
       Delay delay = entry.getValue();
       if (!delay.waiting || delay.backoff.isWaiting(now)) {
         continue;
--- a/src/main/java/mallowstall/core/kv/StateStore.java
+++ b/src/main/java/mallowstall/core/kv/StateStore.java
@@ -3,7 +3,9 @@
 import it.unimi.dsi.fastutil.objects.Object2ObjectOpenHashMap;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
+import java.util.HashSet;
 import java.util.List;
+import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import mallowstall.Constants;
@@ -475,11 +477,11 @@
       return;
     }
     syncing = true;
-    listPage(null, 0, new java.util.HashSet<>(), clock.now());
+    listPage(null, 0, new HashSet<>(), clock.now());
   }
 
   private void listPage(
-      String afterKey, long firstRevision, java.util.HashSet<String> listedKeys, long startedMs) {
+      String afterKey, long firstRevision, Set<String> listedKeys, long startedMs) {
     requestBucket.spend(clock.now(), 1);
     effects.list(
         afterKey,
--- a/src/main/java/mallowstall/core/machines/DirectCommands.java
+++ b/src/main/java/mallowstall/core/machines/DirectCommands.java
@@ -79,7 +79,7 @@
     machinesWithPendingCommands.clear();
     for (ManagedMachine machine : batch) {
       if (!machines.isCurrent(machine)
-          || machine.pendingStops.isEmpty() && machine.reservations.isEmpty()) {
+          || (machine.pendingStops.isEmpty() && machine.reservations.isEmpty())) {
         continue;
       }
       if (clock.now() - machine.commandSentAtMs < Constants.COMMAND_REQUEST_INTERVAL_MIN_MS) {
--- a/src/main/java/mallowstall/core/machines/HeartbeatHandler.java
+++ b/src/main/java/mallowstall/core/machines/HeartbeatHandler.java
@@ -128,7 +128,7 @@
   private static boolean changesBeyondTasks(ManagedMachine machine, Heartbeat heartbeat) {
     return machine.leaseExpired
         || heartbeat.session() != machine.workerSession
-        || heartbeat.fencingToken() >= machine.fencingToken && !machine.tokenAcknowledged
+        || (heartbeat.fencingToken() >= machine.fencingToken && !machine.tokenAcknowledged)
         || (heartbeat.interruptionNoticeS() == null)
             != (machine.terminationDeadlineMs == Long.MAX_VALUE)
         || !Objects.equals(heartbeat.address(), machine.address);
@@ -209,7 +209,7 @@
       if (machine.tasks.containsKey(new TaskAttempt(key.job(), key.task(), start.attempt()))) {
         iterator.remove();
       } else if (!sentByWorker || machine.unacknowledgedStarts.containsKey(key)) {
-        continue; // may still arrive at the worker
+        // may still arrive at the worker
       } else if (clock.wallClockMs() > start.expiryWallMs()) {
         // sent or not: a response is never executed once a later report was sent, and this is one
         iterator.remove();
@@ -273,15 +273,15 @@
     }
     return cancellations.isOver(task.job(), job)
         || jobBitmaps.isRecordedCompleted(job, task.task())
-        || machines.restartsAfterExit(task)
-            && machine.publishedExits.getLong(key) == task.attempt();
+        || (machines.restartsAfterExit(task)
+            && machine.publishedExits.getLong(key) == task.attempt());
   }
 
   /** Seconds that the task gets to save before it is stopped; none: it goes on. */
   private OptionalDouble stopGraceSeconds(ManagedMachine machine, TaskReport task) {
     JobEntry job = store.job(task.job());
     if (cancellations.isOver(task.job(), job)
-        || job != null && jobBitmaps.isRecordedCompleted(job, task.task())) {
+        || (job != null && jobBitmaps.isRecordedCompleted(job, task.task()))) {
       return OptionalDouble.of(0);
     }
     StopRequest stop = machine.pendingStops.get(TaskAttempt.of(task).key());
@@ -317,7 +317,7 @@
       JobEntry job = store.job(start.job());
       boolean noLongerNeeded =
           cancellations.isOver(start.job(), job)
-              || job != null && jobBitmaps.isRecordedCompleted(job, start.task());
+              || (job != null && jobBitmaps.isRecordedCompleted(job, start.task()));
       if (noLongerNeeded
           || machine.pendingStops.containsKey(key)
           || clock.wallClockMs() > start.expiryWallMs()) {
--- a/src/main/java/mallowstall/core/placement/PlacementScheduler.java
+++ b/src/main/java/mallowstall/core/placement/PlacementScheduler.java
@@ -170,7 +170,7 @@
       Try jobPlacement = new Try(ledJob, machines);
       boolean mayYield = !ranking.isStarving(ledJob) && !ledJob.spec.isService();
       if (jobPlacement.backoff.isWaiting(now, placementTrigger.capacityVersion())
-          || mayYield && queuedWork.mustYield(ledJob, now)) {
+          || (mayYield && queuedWork.mustYield(ledJob, now))) {
         continue;
       }
       jobPlacements.add(jobPlacement);
--- a/src/main/java/mallowstall/core/placement/ReplicaRelocation.java
+++ b/src/main/java/mallowstall/core/placement/ReplicaRelocation.java
@@ -59,7 +59,7 @@
         continue;
       }
       for (int replica : ledJob.relocations.replicas()) {
-        startRelocated(ledJob, replica, now);
+        startRelocated(ledJob, replica);
       }
       if (ledJob.writeOutcomeUnknown) {
         continue;
@@ -93,7 +93,7 @@
   }
 
   /** Starts a replica where its move leads, once it is proven to run nowhere. */
-  private void startRelocated(LedJob ledJob, int replica, long now) {
+  private void startRelocated(LedJob ledJob, int replica) {
     if (ledJob.activeAttempts.containsKey(replica)
         || ledJob.quotaWriteInFlight
         || ledJob.writeOutcomeUnknown) {
--- a/src/main/java/mallowstall/core/quota/QuotaLedger.java
+++ b/src/main/java/mallowstall/core/quota/QuotaLedger.java
@@ -172,7 +172,7 @@
     boolean writeAlone = !jobBitmaps.fitsAsStored(ledJob.entry);
     if (tasks == 0
         || change.jobs.size() >= change.maxJobs
-        || writeAlone && !change.jobs.isEmpty()) {
+        || (writeAlone && !change.jobs.isEmpty())) {
       return;
     }
     change.add(ledJob, tasks);
