--- a/src/main/java/mallowstall/json/JsonReader.java
+++ b/src/main/java/mallowstall/json/JsonReader.java
@@ -199,7 +199,7 @@
 
   /** True or false; null counts as false. */
   public boolean booleanOrFalse() throws IOException {
-    return booleanOrNull() == Boolean.TRUE;
+    return Boolean.TRUE.equals(booleanOrNull());
   }
 
   /** A number, or null. */
--- a/src/main/java/mallowstall/net/HttpClient.java
+++ b/src/main/java/mallowstall/net/HttpClient.java
@@ -69,7 +69,6 @@
     final byte[] body;
     final Callback then;
     final long deadline;
-    boolean sent;
     boolean over;
 
     Call(HttpMethod method, String path, byte[] body, long deadline, Callback then) {
@@ -176,7 +175,6 @@
 
     void send(Call call) {
       current = call;
-      call.sent = true;
       ByteBuf body = call.body == null ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(call.body);
       DefaultFullHttpRequest request =
           new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, call.method, call.path, body);
--- a/src/test/java/mallowstall/LoopbackServer.java
+++ b/src/test/java/mallowstall/LoopbackServer.java
@@ -71,7 +71,7 @@
       try (Socket socket = listening.accept()) {
         serve(socket);
       } catch (IOException | InterruptedException ended) {
-        continue;
+        // the next connection is served all the same
       }
     }
   }
--- a/src/test/java/mallowstall/core/IdleWorkloadTest.java
+++ b/src/test/java/mallowstall/core/IdleWorkloadTest.java
@@ -53,7 +53,7 @@
     long restatements = 1 + IDLE_PERIOD_S * 1_000 / Constants.MACHINE_STATUS_REFRESH_MS;
     // each is told in two statements at most before the peer has acknowledged it
     assertTrue(
-        statusesSent <= 2 * peers * machines * restatements, statusesSent + " of " + machines);
+        statusesSent <= 2L * peers * machines * restatements, statusesSent + " of " + machines);
   }
 
   /**
--- a/src/test/java/mallowstall/core/MachineLeadershipTest.java
+++ b/src/test/java/mallowstall/core/MachineLeadershipTest.java
@@ -362,6 +362,7 @@
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
+  @SuppressWarnings("ReferenceEquality") // until another value is stored
   void machineLedByAnotherUnknownToReplicaIsNotExpired(boolean inFlight) {
     Simulation sim = new Simulation(78);
     sim.runUntil(8_000);
@@ -469,7 +470,7 @@
     long from = worker.leaseStartMs;
     for (int i = 0; i < 4; i++) {
       // the last one comes in the next session, which the answer tells
-      sim.runUntil(i < 3 ? from + 3_000 * (i + 1) : from + Simulation.LEASE_MS + 150);
+      sim.runUntil(i < 3 ? from + 3_000L * (i + 1) : from + Simulation.LEASE_MS + 150);
       StopRequest stop = stops.get(i);
       node.enqueueEvent(() -> node.core.sendStop(node.name, stop));
       if (i == 1) {
--- a/src/test/java/mallowstall/core/RandomFaults.java
+++ b/src/test/java/mallowstall/core/RandomFaults.java
@@ -89,7 +89,7 @@
               sim.healPartitions();
             });
       }
-      case 11 -> node.pauseMs = 2_000 + sim.random.nextInt(28_000);
+      case 11 -> node.pauseMs = 2_000L + sim.random.nextInt(28_000);
       case 12 -> {
         if (sim.partitionedZone != null) {
           return;
--- a/src/test/java/mallowstall/core/RandomizedUpgradeTest.java
+++ b/src/test/java/mallowstall/core/RandomizedUpgradeTest.java
@@ -157,7 +157,7 @@
    */
   private static void scheduleUpgrades(Simulation sim) {
     List<String> waiting = new ArrayList<>(Simulation.NODES);
-    long turn = 12_000 + sim.random.nextInt(28_000);
+    long turn = 12_000L + sim.random.nextInt(28_000);
     while (!waiting.isEmpty()) {
       SimulatedController node =
           sim.controllers.get(waiting.remove(sim.random.nextInt(waiting.size())));
@@ -250,7 +250,7 @@
       JobSpec service = randomService(sim, String.format("wk-7%05d", i));
       int cpus = (int) (service.tasks() * service.cpus());
       boolean tight = service.team().equals("tight");
-      if (cpus > cpusLeft || tight && cpus > tightLeft) {
+      if (cpus > cpusLeft || (tight && cpus > tightLeft)) {
         continue;
       }
       cpusLeft -= cpus;
--- a/src/test/java/mallowstall/core/SimulatedController.java
+++ b/src/test/java/mallowstall/core/SimulatedController.java
@@ -108,7 +108,7 @@
     this.name = name;
     this.installedVersion = programVersion;
     this.clockDrift = sim.random.nextDouble() * 0.0004;
-    this.clockSkewMs = sim.random.nextInt(40) - 20;
+    this.clockSkewMs = sim.random.nextInt(40) - 20L;
     boot();
   }
 
@@ -380,6 +380,7 @@
         });
   }
 
+  @SuppressWarnings("ReturnValueIgnored") // requests are executed whose answers are lost
   private <T> void callStateService(
       java.util.function.Supplier<T> exec, T refused, T unknown, Consumer<T> then) {
     if (sendDelayMs > 0) {
--- a/src/test/java/mallowstall/core/SimulatedWorker.java
+++ b/src/test/java/mallowstall/core/SimulatedWorker.java
@@ -66,7 +66,7 @@
   private final java.util.Set<String> completedTasks = new java.util.HashSet<>();
 
   /** A task on the machine. */
-  final class SimulatedTask {
+  static final class SimulatedTask {
     String job;
     int task;
     long attempt;
@@ -316,9 +316,9 @@
 
   boolean isPartitionedFrom(SimulatedController node) {
     return partitioned
-        || simulation.partitionedZone != null
+        || (simulation.partitionedZone != null
             && zone.equals(simulation.partitionedZone)
-                != node.zone().equals(simulation.partitionedZone);
+                != node.zone().equals(simulation.partitionedZone));
   }
 
   private void switchController() {
--- a/src/test/java/mallowstall/core/ValueSizeTest.java
+++ b/src/test/java/mallowstall/core/ValueSizeTest.java
@@ -20,7 +20,7 @@
     List<FreeCapacity> out = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       String name = "m".repeat(nameLength - 6) + String.format("%06d", i);
-      out.add(new FreeCapacity(name, 12.300000000000001, 0.30000000000000004, 119.19999999999999));
+      out.add(new FreeCapacity(name, 12.3, 0.30000000000000004, 119.19999999999999));
     }
     return out;
   }
