--- a/src/test/java/mallowstall/LoopbackServer.java
+++ b/src/test/java/mallowstall/LoopbackServer.java
@@ -8,6 +8,7 @@
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
+import java.util.Locale;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.LinkedBlockingQueue;
@@ -102,7 +103,7 @@
 
   private static int length(String head) {
     String name = "content-length: ";
-    int at = head.toLowerCase(java.util.Locale.ROOT).indexOf(name) + name.length();
+    int at = head.toLowerCase(Locale.ROOT).indexOf(name) + name.length();
     return Integer.parseInt(head.substring(at, head.indexOf('\r', at)));
   }
 
--- a/src/test/java/mallowstall/config/SettingsTest.java
+++ b/src/test/java/mallowstall/config/SettingsTest.java
@@ -20,8 +20,8 @@
         "cloud":{"rps":1.5,"list_lag_s":10.0},"machine_limits":{"fd_limit":600},"skew_ms":25.0}}
       """;
 
-  private static Settings parse(String s) throws Settings.Invalid {
-    return Settings.parse(s.getBytes(StandardCharsets.UTF_8));
+  private static Settings parse(String json) throws Settings.Invalid {
+    return Settings.parse(json.getBytes(StandardCharsets.UTF_8));
   }
 
   @Test
--- a/src/test/java/mallowstall/core/RandomizedSimulationTest.java
+++ b/src/test/java/mallowstall/core/RandomizedSimulationTest.java
@@ -90,7 +90,7 @@
 
   private static final int HISTORIES = 10;
   private static int historiesRun;
-  private static final Map<String, Integer> faultCounts = new TreeMap<>();
+  private static final Map<String, Integer> FAULT_COUNTS = new TreeMap<>();
 
   /**
    * The newer troubles meet the older ones, and each other. Seed 1753 once broke ran_twice: a
@@ -101,7 +101,7 @@
   @ValueSource(longs = {101, 102, 103, 104, 105, 106, 107, 108, 1188, 1753})
   void invariantsHoldUnderCombinedFaults(long seed) {
     Simulation sim = runCombinedFaults(seed);
-    sim.faultCounts.forEach((k, v) -> faultCounts.merge(k, v, Integer::sum));
+    sim.faultCounts.forEach((k, v) -> FAULT_COUNTS.merge(k, v, Integer::sum));
     historiesRun++;
     assertEquals(List.of(), sim.checker.violations);
     assertFinishedForUsers(sim);
@@ -114,7 +114,7 @@
       return; // only some of the seeds were asked for
     }
     Set<String> missing = new TreeSet<>(FAULTS);
-    missing.removeAll(faultCounts.keySet());
+    missing.removeAll(FAULT_COUNTS.keySet());
     assertEquals(Set.of(), missing, "never struck in any of the histories");
   }
 
--- a/src/test/java/mallowstall/core/RandomizedUpgradeTest.java
+++ b/src/test/java/mallowstall/core/RandomizedUpgradeTest.java
@@ -42,7 +42,7 @@
 
   private static final int HISTORIES = 4;
   private static int historiesRun;
-  private static final Map<String, Integer> faultCounts = new TreeMap<>();
+  private static final Map<String, Integer> FAULT_COUNTS = new TreeMap<>();
 
   private static final Set<String> FAULT_COMBINATIONS =
       Set.of(
@@ -62,7 +62,7 @@
   @ValueSource(longs = {1, 2, 3, 4})
   void upgradeUnderFaultsKeepsInvariants(long seed) {
     Simulation sim = runHistory(seed);
-    sim.faultCounts.forEach((trouble, times) -> faultCounts.merge(trouble, times, Integer::sum));
+    sim.faultCounts.forEach((trouble, times) -> FAULT_COUNTS.merge(trouble, times, Integer::sum));
     historiesRun++;
     assertInvariants(sim);
   }
@@ -73,7 +73,7 @@
       return; // only some of the seeds were asked for
     }
     Set<String> missing = new TreeSet<>(FAULT_COMBINATIONS);
-    missing.removeAll(faultCounts.keySet());
+    missing.removeAll(FAULT_COUNTS.keySet());
     assertEquals(Set.of(), missing, "took place in none of the histories");
   }
 
@@ -236,8 +236,6 @@
     sim.crashBusiestLeaders();
   }
 
-  // ---- services -----------------------------------------------------------------------------
-
   /** Asked for only when all controllers are of the present version. */
   private static void submitServices(Simulation sim) {
     if (!sim.allUpgraded()) {
@@ -327,8 +325,6 @@
         : sim.workers.get(machines.get(sim.random.nextInt(machines.size())));
   }
 
-  // ---- what must hold -----------------------------------------------------------------------
-
   private static void assertInvariants(Simulation sim) {
     assertEquals(List.of(), sim.checker.violations);
     assertTrue(sim.checker.startCount > 40, "starts " + sim.checker.startCount);
--- a/src/test/java/mallowstall/core/SimulatedController.java
+++ b/src/test/java/mallowstall/core/SimulatedController.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
+import java.util.function.Supplier;
 import mallowstall.Constants;
 import mallowstall.core.kernel.CommandResult;
 import mallowstall.core.kernel.Effects;
@@ -381,8 +382,7 @@
   }
 
   @SuppressWarnings("ReturnValueIgnored") // requests are executed whose answers are lost
-  private <T> void callStateService(
-      java.util.function.Supplier<T> exec, T refused, T unknown, Consumer<T> then) {
+  private <T> void callStateService(Supplier<T> exec, T refused, T unknown, Consumer<T> then) {
     if (sendDelayMs > 0) {
       // executed when it wakes, with the answer long given up on
       simulation.schedule(sendDelayMs, exec::get);
@@ -422,7 +422,7 @@
   }
 
   /** Executed at some moment of the delay; what takes too long is given up on. */
-  private <T> void callSlowly(java.util.function.Supplier<T> exec, T unknown, Consumer<T> then) {
+  private <T> void callSlowly(Supplier<T> exec, T unknown, Consumer<T> then) {
     simulation.countFault("slowState");
     int totalDelayMs = randomSlowDelayMs();
     int startedProcess = processNumber;
--- a/src/test/java/mallowstall/core/SimulatedWorker.java
+++ b/src/test/java/mallowstall/core/SimulatedWorker.java
@@ -2,9 +2,11 @@
 
 import java.util.ArrayList;
 import java.util.HashMap;
+import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import mallowstall.core.kernel.CommandResult;
 import mallowstall.core.kernel.ResultCode;
 import mallowstall.core.model.ExitReason;
@@ -63,7 +65,7 @@
   final Map<String, SimulatedTask> tasks = new LinkedHashMap<>();
 
   /** Tasks that completed here: their results are kept. */
-  private final java.util.Set<String> completedTasks = new java.util.HashSet<>();
+  private final Set<String> completedTasks = new HashSet<>();
 
   /** A task on the machine. */
   static final class SimulatedTask {
--- a/src/test/java/mallowstall/core/Simulation.java
+++ b/src/test/java/mallowstall/core/Simulation.java
@@ -7,8 +7,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.PriorityQueue;
+import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
+import java.util.TreeSet;
 import java.util.function.Consumer;
 import mallowstall.core.cluster.MachineView;
 import mallowstall.core.kv.JobBitmaps;
@@ -232,14 +234,11 @@
     return random.nextInt(100) < 3 ? 100 + random.nextInt(300) : 1 + random.nextInt(8);
   }
 
-  // ---- state service ------------------------------------------------------------------------
   /** Bytes of the value as the real state service gets it. */
   static int encodedSize(StoredEntry value) {
     return StoredEntries.encode(value).length;
   }
 
-  // ---- nodes --------------------------------------------------------------------------------
-
   static JobEntry asBatch(JobEntry job) {
     return new JobEntry(
         withKind(job.spec(), JobKind.BATCH),
@@ -268,7 +267,6 @@
         .allMatch(node -> node.running && node.runningVersion == ProgramVersion.CURRENT);
   }
 
-  // ---- workers ------------------------------------------------------------------------------
   String addMachine(String typeName, String zone, boolean spot, long bootMs) {
     String id = String.format("m-%06d", nextMachineNumber++);
     SimulatedWorker worker = new SimulatedWorker(this, id, zone, spot);
@@ -403,7 +401,6 @@
     checker.onMachineTerminated(id);
   }
 
-  // ---- users --------------------------------------------------------------------------------
   final List<String> jobs = new ArrayList<>();
 
   JobSpec batchSpec(
@@ -606,7 +603,7 @@
   /** Calls off up that many jobs that run, within 200 ms; up to eight of their machines hang. */
   void cancelRunningJobs(int count, long hangMs) {
     List<String> ids = new ArrayList<>(checker.runningJobs());
-    java.util.Set<String> machines = new java.util.TreeSet<>();
+    Set<String> machines = new TreeSet<>();
     for (int i = 0; i < count && !ids.isEmpty(); i++) {
       String id = ids.remove(random.nextInt(ids.size()));
       countFault("cancelNow");
--- a/src/test/java/mallowstall/peers/GoldenMessagesTest.java
+++ b/src/test/java/mallowstall/peers/GoldenMessagesTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.io.IOException;
+import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HexFormat;
 import java.util.LinkedHashMap;
@@ -78,7 +79,7 @@
 
   private static Map<String, PeerMessage> messages() {
     Map<String, PeerMessage> all = new LinkedHashMap<>();
-    List<MachineStatus> full = new java.util.ArrayList<>();
+    List<MachineStatus> full = new ArrayList<>();
     full.add(machine("m-none", null, 0));
     for (int bit = 1; bit < 128; bit *= 2) {
       full.add(machine("m-" + bit, "10.0.0.1:9000", bit));
--- a/src/test/java/mallowstall/peers/PeerCodecTest.java
+++ b/src/test/java/mallowstall/peers/PeerCodecTest.java
@@ -6,6 +6,7 @@
 
 import java.io.IOException;
 import java.io.InputStream;
+import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
 import mallowstall.core.model.ExitReason;
@@ -125,8 +126,7 @@
   @Test
   void cutOffBytesAreRefused() {
     byte[] b = PeerCodec.encode(ROSTER);
-    assertThrows(
-        IOException.class, () -> PeerCodec.decode(java.util.Arrays.copyOf(b, b.length / 2)));
+    assertThrows(IOException.class, () -> PeerCodec.decode(Arrays.copyOf(b, b.length / 2)));
   }
 
   /**
--- a/src/test/java/mallowstall/users/SubmissionTest.java
+++ b/src/test/java/mallowstall/users/SubmissionTest.java
@@ -21,8 +21,8 @@
        "despacho_s":900.0,"later":[1]}
       """;
 
-  private static JobSpec parse(String s) throws MalformedSubmissionException {
-    return Submission.parse(s.getBytes(StandardCharsets.UTF_8));
+  private static JobSpec parse(String json) throws MalformedSubmissionException {
+    return Submission.parse(json.getBytes(StandardCharsets.UTF_8));
   }
 
   @Test
