--- a/src/main/java/mallowstall/core/ControllerCore.java
+++ b/src/main/java/mallowstall/core/ControllerCore.java
@@ -3,7 +3,10 @@
 import java.util.List;
 import java.util.function.Consumer;
 import mallowstall.Constants;
+import mallowstall.core.api.HeartbeatReceiver;
 import mallowstall.core.api.JobApi;
+import mallowstall.core.api.PeerEvents;
+import mallowstall.core.api.UserRequests;
 import mallowstall.core.cluster.ClusterView;
 import mallowstall.core.cluster.DigestPublisher;
 import mallowstall.core.cluster.StatusUpdateReceiver;
@@ -36,7 +39,7 @@
  * <p>Modules get what they use through their constructors, those of a lower layer first. Where a
  * lower layer calls a higher one, it takes a function that ends in one of the private methods here.
  */
-public final class ControllerCore {
+public final class ControllerCore implements UserRequests, HeartbeatReceiver, PeerEvents {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.core");
 
   private final ClusterModules cluster;
@@ -182,31 +185,31 @@
     runDueWork();
   }
 
-  /** Handles a heartbeat of a worker (protocol, Workers). */
+  @Override
   public void handleHeartbeat(Heartbeat heartbeat, Consumer<HeartbeatResponse> reply) {
     machines.heartbeats.route(heartbeat, reply);
     runDueWork();
   }
 
-  /** Accepts or rejects a submission (protocol, Users). */
+  @Override
   public void submit(JobSpec spec, Consumer<ApiResponse> reply) {
     jobApi.submit(spec, reply);
     runDueWork();
   }
 
-  /** Rejects a malformed submission, unless a controller of another version accepted the job. */
+  @Override
   public void rejectSubmission(String id, String reason, Consumer<ApiResponse> reply) {
     jobApi.rejectSubmission(id, ApiResponse.invalid(reason), reply);
     runDueWork();
   }
 
-  /** Responds with the state of a job. */
+  @Override
   public void query(String id, Consumer<ApiResponse> reply) {
     jobApi.query(id, reply);
     runDueWork();
   }
 
-  /** Cancels a job. */
+  @Override
   public void cancel(String id, Consumer<ApiResponse> reply) {
     jobApi.cancel(id, reply);
     runDueWork();
@@ -217,12 +220,12 @@
     return jobApi.isReady();
   }
 
-  /** A new connection to a peer is open; its number must be larger than all before. */
+  @Override
   public void peerConnected(String node, long connection) {
     cluster.messenger.peerConnected(node, connection);
   }
 
-  /** Handles a message of a peer. */
+  @Override
   public void handleMessage(PeerMessage message) {
     if (message instanceof StatusUpdate statusUpdate) {
       receiveStatusUpdate(statusUpdate);
--- a/src/main/java/mallowstall/core/cluster/MachineView.java
+++ b/src/main/java/mallowstall/core/cluster/MachineView.java
@@ -14,7 +14,7 @@
   private String leader;
   private long leaderIncarnation;
 
-  /** When {@link #m} was told. */
+  /** When {@link #status} was told. */
   private long updatedAtMs;
 
   private MachineStatus status;
@@ -25,7 +25,7 @@
   private double reservedGpus;
   private double reservedMemoryGb;
 
-  /** Images that are there or that a task there needs, as of {@link #m}. */
+  /** Images that are there or that a task there needs, as of {@link #status}. */
   private String[] images = {};
 
   /** For each task there that waits for its image, or was only accepted, that image. */
@@ -127,7 +127,7 @@
     this.leaderIncarnation = newValue;
   }
 
-  /** When {@link #m} was told. */
+  /** When {@link #status} was told. */
   public long updatedAtMs() {
     return updatedAtMs;
   }
@@ -162,7 +162,7 @@
     return reservedMemoryGb;
   }
 
-  /** Images that are there or that a task there needs, as of {@link #m}. */
+  /** Images that are there or that a task there needs, as of {@link #status}. */
   public String[] images() {
     return images;
   }
