--- a/src/main/java/mallowstall/core/autoscaling/MachineDemand.java
+++ b/src/main/java/mallowstall/core/autoscaling/MachineDemand.java
@@ -157,20 +157,15 @@
 
   private void addToType(TypeDemand demand, JobEntry job, MachineType type, double machines) {
     JobSpec spec = job.spec();
-    demand.machines += machines * bootTimeShare(spec, type) / sequentialWaves(job, type);
-    demand.spotAllowed |= spec.spot();
-    if (!spec.spot()) {
-      demand.onDemandMachines += machines;
-    }
-    Map<String, Double> pinnedZones =
-        spec.spot() ? demand.pinnedByZone : demand.onDemandPinnedByZone;
+    double worth = machines * bootTimeShare(spec, type) / sequentialWaves(job, type);
+    demand.add(worth, machines, spec.spot());
     if (spec.zone() != null) {
-      pinnedZones.merge(spec.zone(), machines, Double::sum);
+      demand.addPinned(spec.zone(), machines, spec.spot());
     }
     // at most half of a spread job may be in one zone: it needs another
     if (spec.spread()) {
       for (String zone : type.zones()) {
-        pinnedZones.merge(zone, Constants.DEMAND_MIN_MACHINES, Double::sum);
+        demand.addPinned(zone, Constants.DEMAND_MIN_MACHINES, spec.spot());
       }
     }
   }
@@ -194,11 +189,7 @@
             : 1 - Math.exp(-(now - computedAtMs) / Constants.USAGE_TIME_CONSTANT_MS);
     computedAtMs = now;
     demandByType.forEach(
-        (type, demand) -> {
-          demand.averageMachines += (demand.machines - demand.averageMachines) * weight;
-          demand.averageUrgentMachines +=
-              (urgentByType.getOrDefault(type, 0.0) - demand.averageUrgentMachines) * weight;
-        });
+        (type, demand) -> demand.updateAverages(urgentByType.getOrDefault(type, 0.0), weight));
   }
 
   /**
@@ -256,7 +247,7 @@
               .count();
       long remaining =
           Math.min(
-              (long) Math.ceil(entry.getValue().averageUrgentMachines * Constants.RESERVE_FACTOR),
+              (long) Math.ceil(entry.getValue().averageUrgentMachines() * Constants.RESERVE_FACTOR),
               (long) (total * Constants.RESERVE_MAX_FRACTION));
       for (MachineView machineView : available) {
         if (remaining <= 0) {
--- a/src/main/java/mallowstall/core/autoscaling/ScaleOut.java
+++ b/src/main/java/mallowstall/core/autoscaling/ScaleOut.java
@@ -101,7 +101,7 @@
    * use to them.
    */
   private boolean scaleOutPinned(String type, TypeDemand typeDemand, ZoneCounts counts, long now) {
-    for (Map.Entry<String, Double> pinned : typeDemand.pinnedByZone.entrySet()) {
+    for (Map.Entry<String, Double> pinned : typeDemand.pinnedByZone().entrySet()) {
       String zone = pinned.getKey();
       int missing = (int) Math.ceil(pinned.getValue()) - counts.inZone(zone);
       if (missing > 0 && requests.requestSpotOrOnDemand(type, zone, missing, now)) {
@@ -109,7 +109,7 @@
       }
     }
     // a spot machine in the zone and an on-demand one elsewhere don't make one for such a job
-    for (Map.Entry<String, Double> pinned : typeDemand.onDemandPinnedByZone.entrySet()) {
+    for (Map.Entry<String, Double> pinned : typeDemand.onDemandPinnedByZone().entrySet()) {
       String zone = pinned.getKey();
       int missing = (int) Math.ceil(pinned.getValue()) - counts.onDemandInZone(zone);
       if (missing > 0 && requests.requestInZone(type, zone, false, missing, now)) {
@@ -122,7 +122,7 @@
   /** Asks for machines for jobs that spot machines can't serve. */
   private boolean scaleOutOnDemand(
       String type, TypeDemand typeDemand, ZoneCounts counts, long now) {
-    int missing = (int) Math.ceil(typeDemand.onDemandMachines) - counts.onDemand();
+    int missing = (int) Math.ceil(typeDemand.onDemandMachines()) - counts.onDemand();
     if (missing <= 0) {
       return false;
     }
--- a/src/main/java/mallowstall/core/autoscaling/TypePlanner.java
+++ b/src/main/java/mallowstall/core/autoscaling/TypePlanner.java
@@ -32,7 +32,7 @@
     int target = targetCount(typeDemand);
     if (target > current) {
       if (scaleOut.canRequest(now)) {
-        scaleOut.scaleOut(type, target - current, target, typeDemand.spotAllowed, now);
+        scaleOut.scaleOut(type, target - current, target, typeDemand.spotAllowed(), now);
       }
       return;
     }
@@ -49,7 +49,9 @@
   private static int targetCount(TypeDemand typeDemand) {
     return (int)
         Math.ceil(
-            Math.max(typeDemand.machines * Constants.SCALE_OUT_FACTOR, typeDemand.averageMachines)
+            Math.max(
+                    typeDemand.machines() * Constants.SCALE_OUT_FACTOR,
+                    typeDemand.averageMachines())
                 - Constants.SCALE_OUT_ROUNDING);
   }
 
@@ -57,17 +59,17 @@
     return (int)
         Math.ceil(
             Math.max(
-                typeDemand.machines * Constants.RETENTION_FACTOR,
-                typeDemand.averageMachines * Constants.RETENTION_AVERAGE_FACTOR));
+                typeDemand.machines() * Constants.RETENTION_FACTOR,
+                typeDemand.averageMachines() * Constants.RETENTION_AVERAGE_FACTOR));
   }
 
   /** On-demand machines cost more, and are kept for present demand more than for past demand. */
   private static int keepOnDemand(TypeDemand typeDemand) {
     double onDemandFloor =
         Math.max(
-            typeDemand.averageUrgentMachines * Constants.RESERVE_FACTOR,
-            typeDemand.averageMachines * Constants.ON_DEMAND_FLOOR_FRACTION);
+            typeDemand.averageUrgentMachines() * Constants.RESERVE_FACTOR,
+            typeDemand.averageMachines() * Constants.ON_DEMAND_FLOOR_FRACTION);
     return (int)
-        Math.ceil(Math.max(typeDemand.machines * Constants.RETENTION_FACTOR, onDemandFloor));
+        Math.ceil(Math.max(typeDemand.machines() * Constants.RETENTION_FACTOR, onDemandFloor));
   }
 }
--- a/src/main/java/mallowstall/core/autoscaling/UnplaceableJobs.java
+++ b/src/main/java/mallowstall/core/autoscaling/UnplaceableJobs.java
@@ -81,8 +81,10 @@
       return false;
     }
     TeamUsageEntry usage = (TeamUsageEntry) storedUsage.value();
-    return team.cpuQuota() > 0 && usage.reservedCpus() + job.cpus() > team.cpuQuota() + 1e-9
-        || team.gpuQuota() > 0 && usage.reservedGpus() + job.gpus() > team.gpuQuota() + 1e-9;
+    return team.cpuQuota() > 0
+            && usage.reservedCpus() + job.cpus() > team.cpuQuota() + Constants.ROUNDING_EPSILON
+        || team.gpuQuota() > 0
+            && usage.reservedGpus() + job.gpus() > team.gpuQuota() + Constants.ROUNDING_EPSILON;
   }
 
   private static List<String> allowedZones(
@@ -130,9 +132,9 @@
         continue;
       }
       boolean fits =
-          machine.status().freeCpus() >= job.cpus() - 1e-9
-              && machine.status().freeGpus() >= job.gpus() - 1e-9
-              && machine.status().freeMemoryGb() >= job.memoryGb() - 1e-9;
+          machine.status().freeCpus() >= job.cpus() - Constants.ROUNDING_EPSILON
+              && machine.status().freeGpus() >= job.gpus() - Constants.ROUNDING_EPSILON
+              && machine.status().freeMemoryGb() >= job.memoryGb() - Constants.ROUNDING_EPSILON;
       if (fits && zones.contains(machine.status().zone())) {
         return true;
       }
