--- a/src/main/java/mallowstall/core/MachineModules.java
+++ b/src/main/java/mallowstall/core/MachineModules.java
@@ -5,19 +5,26 @@
 import mallowstall.core.jobs.JobLeader;
 import mallowstall.core.machines.DirectCommands;
 import mallowstall.core.machines.FencingTokens;
+import mallowstall.core.machines.HeartbeatApplier;
 import mallowstall.core.machines.HeartbeatHandler;
+import mallowstall.core.machines.HeartbeatResponder;
 import mallowstall.core.machines.HeartbeatRouter;
+import mallowstall.core.machines.LeaderRedirects;
 import mallowstall.core.machines.LeadershipChanges;
 import mallowstall.core.machines.LeaseExpiryMonitor;
 import mallowstall.core.machines.MachineEntryWriter;
 import mallowstall.core.machines.MachineFailover;
 import mallowstall.core.machines.MachineMaintenance;
 import mallowstall.core.machines.MachineRegistration;
+import mallowstall.core.machines.MachineStatuses;
+import mallowstall.core.machines.MachineTakeover;
 import mallowstall.core.machines.ManagedMachines;
 import mallowstall.core.machines.RestartRecovery;
+import mallowstall.core.machines.StaleHeartbeats;
 import mallowstall.core.machines.StartAdmission;
 import mallowstall.core.machines.StartRequestHandler;
 import mallowstall.core.machines.StatusPublisher;
+import mallowstall.core.machines.StatusUpdateSequence;
 import mallowstall.core.machines.StopRequestHandler;
 import mallowstall.core.model.StatusUpdate;
 
@@ -27,6 +34,8 @@
  */
 final class MachineModules {
   final ManagedMachines machines;
+  final MachineStatuses machineStatuses;
+  final StatusUpdateSequence statusUpdateSequence;
   final StatusPublisher statusPublisher;
   final DirectCommands commands;
   final RestartRecovery restartRecovery;
@@ -39,7 +48,10 @@
   private final ClusterModules cluster;
   private final MachineEntryWriter entryWriter;
   private final FencingTokens fencingTokens;
+  private final HeartbeatApplier heartbeatApplier;
   private final HeartbeatHandler heartbeatHandler;
+  private final StaleHeartbeats staleHeartbeats;
+  private final LeaderRedirects redirects;
   private final MachineRegistration registration;
 
   /**
@@ -52,10 +64,18 @@
     this.cluster = cluster;
     machines = new ManagedMachines(cluster.clock, cluster.settings, cluster.store, cluster.view);
     entryWriter = new MachineEntryWriter(cluster.settings, cluster.effects, cluster.store);
+    machineStatuses = new MachineStatuses(cluster.clock, machines);
+    statusUpdateSequence =
+        new StatusUpdateSequence(
+            cluster.settings, cluster.store, cluster.cancellations, machines, machineStatuses);
     statusPublisher = newStatusPublisher(ownStatusUpdates);
     fencingTokens = new FencingTokens(machines, entryWriter, statusPublisher);
-    heartbeatHandler = newHeartbeatHandler(jobLeader);
+    heartbeatApplier = newHeartbeatApplier(jobLeader);
+    heartbeatHandler = newHeartbeatHandler();
     commands = newDirectCommands();
+    staleHeartbeats = new StaleHeartbeats(cluster.store, cluster.view);
+    redirects =
+        new LeaderRedirects(cluster.settings, cluster.store, cluster.view, cluster.membership);
     registration = newRegistration();
     restartRecovery = newRestartRecovery();
     heartbeats = newHeartbeatRouter();
@@ -72,27 +92,34 @@
         cluster.settings,
         cluster.effects,
         cluster.metrics,
-        cluster.store,
         cluster.view,
-        cluster.cancellations,
-        ownStatusUpdates,
-        machines);
+        statusUpdateSequence,
+        ownStatusUpdates);
   }
 
-  private HeartbeatHandler newHeartbeatHandler(JobLeader jobLeader) {
-    return new HeartbeatHandler(
+  private HeartbeatApplier newHeartbeatApplier(JobLeader jobLeader) {
+    return new HeartbeatApplier(
         cluster.clock,
         cluster.settings,
         cluster.store,
-        cluster.jobBitmaps,
         cluster.imageSizes,
-        cluster.cancellations,
         jobLeader::atFault,
-        machines,
         statusPublisher,
         fencingTokens);
   }
 
+  private HeartbeatHandler newHeartbeatHandler() {
+    HeartbeatResponder responder =
+        new HeartbeatResponder(
+            cluster.clock,
+            cluster.store,
+            cluster.jobBitmaps,
+            cluster.cancellations,
+            machines,
+            statusPublisher);
+    return new HeartbeatHandler(heartbeatApplier, responder);
+  }
+
   private DirectCommands newDirectCommands() {
     return new DirectCommands(
         cluster.clock,
@@ -100,7 +127,7 @@
         cluster.store,
         cluster.connectivity,
         cluster.cancellations,
-        heartbeatHandler,
+        heartbeatApplier,
         machines,
         fencingTokens);
   }
@@ -110,9 +137,9 @@
         cluster.clock,
         cluster.settings,
         cluster.store,
-        cluster.view,
         cluster.machineTypes,
-        cluster.membership,
+        staleHeartbeats,
+        redirects,
         machines,
         entryWriter,
         heartbeatHandler);
@@ -142,22 +169,33 @@
 
   private LeadershipChanges newLeadershipChanges() {
     return new LeadershipChanges(
-        cluster.settings, cluster.store, machines, statusPublisher, registration, restartRecovery);
+        cluster.settings,
+        cluster.store,
+        machines,
+        statusPublisher,
+        statusUpdateSequence,
+        staleHeartbeats,
+        restartRecovery);
   }
 
   private MachineMaintenance newMaintenance() {
+    MachineTakeover takeover =
+        new MachineTakeover(
+            cluster.clock,
+            cluster.effects,
+            cluster.machineTypes,
+            machines,
+            entryWriter,
+            heartbeatApplier);
     MachineFailover failover =
         new MachineFailover(
-            cluster.clock,
             cluster.settings,
             cluster.effects,
             cluster.store,
             cluster.view,
-            cluster.machineTypes,
             cluster.membership,
-            machines,
             entryWriter,
-            heartbeatHandler);
+            takeover);
     LeaseExpiryMonitor leaseExpiry =
         new LeaseExpiryMonitor(
             cluster.settings, cluster.store, machines, fencingTokens, statusPublisher);
@@ -167,7 +205,7 @@
         entryWriter,
         statusPublisher,
         commands,
-        registration,
+        redirects,
         failover,
         leaseExpiry);
   }
--- a/src/main/java/mallowstall/core/machines/StopRequestHandler.java
+++ b/src/main/java/mallowstall/core/machines/StopRequestHandler.java
@@ -2,7 +2,6 @@
 
 import mallowstall.Constants;
 import mallowstall.core.kernel.EventClock;
-import mallowstall.core.machines.ManagedMachine.Reservation;
 import mallowstall.core.model.StopBatch;
 import mallowstall.core.model.StopRequest;
 import mallowstall.core.model.TaskAttempt;
@@ -14,14 +13,14 @@
 
 /** Stops tasks on machines led here: as job leaders ask, or since their job is cancelled. */
 public final class StopRequestHandler {
-  private static final Logger LOG = LoggerFactory.getLogger("mallowstall.owner");
+  private static final Logger LOG = LoggerFactory.getLogger("mallowstall.machines");
 
   private final EventClock clock;
   private final ManagedMachines machines;
   private final StatusPublisher statusPublisher;
   private final DirectCommands commands;
 
-  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  /** Handles stops by noting them on the machine and sending a command. */
   public StopRequestHandler(
       EventClock clock,
       ManagedMachines machines,
@@ -33,7 +32,7 @@
     this.commands = commands;
   }
 
-  /** Stops and drains from holders and from the fleet. */
+  /** Handles stops from job leaders and drains from the autoscaler. */
   public void handle(StopBatch stopBatch) {
     for (StopRequest stop : stopBatch.stops()) {
       ManagedMachine machine = machines.get(stop.machine());
@@ -41,46 +40,44 @@
         continue;
       }
       TaskKey key = new TaskKey(stop.job(), stop.task());
-      Reservation reservation = machine.reservations().get(key);
-      if (machine.tasks().containsKey(new TaskAttempt(stop.job(), stop.task(), stop.attempt()))
-          || (reservation != null && reservation.request.attempt() == stop.attempt())) {
+      Reservation reservation = machine.tasks().reservation(key);
+      if (machine.tasks().isReported(new TaskAttempt(stop.job(), stop.task(), stop.attempt()))
+          || (reservation != null && reservation.request().attempt() == stop.attempt())) {
         LOG.info(
-            "stop {}/{} attempt {} on {} asked by {}",
+            "stop requested job={} task={} attempt={} machine={} peer={}",
             stop.job(),
             stop.task(),
             stop.attempt(),
             stop.machine(),
             stopBatch.node());
-        machine.pendingStops().put(key, stop);
+        machine.tasks().requestStop(stop);
         commands.enqueue(machine);
       }
     }
     for (String id : stopBatch.machinesToDrain()) {
       ManagedMachine machine = machines.get(id);
       if (machine != null) {
-        machine.setDrainUntilMs(clock.now() + Constants.DRAIN_EXPIRY_MS);
+        machine.drainUntil(clock.now() + Constants.DRAIN_EXPIRY_MS);
         statusPublisher.requestPublish();
       }
     }
   }
 
   /**
-   * The job is cancelled: its tasks that wait for their image are stopped at once, at the worker's
-   * own address, since they would begin before the next report's answer. Those that run are stopped
-   * by that answer, as are these if the command goes astray.
+   * The job is cancelled: its tasks that fetch their image are stopped by a direct command, since
+   * they would begin to run before the next heartbeat is answered. That answer stops those that
+   * run, and these if the command is lost.
    */
   public void stopCancelled(String job) {
-    statusPublisher.requestPublish(); // peers hear of it soon
+    statusPublisher.requestPublish(); // it carries the cancellation to peers
     for (ManagedMachine machine : machines.all()) {
-      for (TaskReport task : machine.tasks().values()) {
+      for (TaskReport task : machine.tasks().reports()) {
         if (task.state() != TaskState.FETCHING || !task.job().equals(job)) {
           continue;
         }
         machine
-            .pendingStops()
-            .put(
-                new TaskKey(job, task.task()),
-                new StopRequest(machine.id(), job, task.task(), task.attempt(), 0));
+            .tasks()
+            .requestStop(new StopRequest(machine.id(), job, task.task(), task.attempt(), 0));
         commands.enqueue(machine);
       }
     }
--- a/src/main/java/mallowstall/core/placement/MachineScoring.java
+++ b/src/main/java/mallowstall/core/placement/MachineScoring.java
@@ -30,7 +30,7 @@
       if (!machine.allows(spec)
           || !placement.allowsZoneOf(machine)
           || machine.fittingTasks(spec) <= 0
-          || placement.ledJob().isCoolingDown(machine.id(), now)) {
+          || placement.ledJob().isOnCooldown(machine.id(), now)) {
         continue;
       }
       Policy.Facts facts = policyFacts.evaluate(machine, placement.ledJob(), now);
--- a/src/test/java/mallowstall/core/RandomizedUpgradeTest.java
+++ b/src/test/java/mallowstall/core/RandomizedUpgradeTest.java
@@ -1,5 +1,6 @@
 package mallowstall.core;
 
+import static mallowstall.core.model.JobSpecBuilder.service;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -20,7 +21,7 @@
 
 /**
  * Seeded random histories of an upgrade: they begin with controllers of the version without
- * services, which change to the present one amid all troubles; then services are asked for.
+ * services, which change to the present one amid all faults; then services are submitted.
  */
 class RandomizedUpgradeTest {
   private static final long FIRST_FAULT_MS = 10_000;
@@ -29,7 +30,7 @@
   /** Whatever goes on by then by chance alone ends. */
   private static final long RANDOM_FAULTS_END_MS = 200_000;
 
-  /** The last trouble has begun by 180 s and lasts up to a minute. */
+  /** The last fault has begun by 180 s and lasts up to a minute. */
   private static final long FAULTS_END_MS = 245_000;
 
   private static final long END_MS = 440_000;
@@ -37,7 +38,7 @@
   /** All services of the team with a limit together; a batch task needs up to 4 of the 24. */
   private static final int LIMITED_TEAM_CPUS = 16;
 
-  /** What the machines that can be rented have for services beside batch jobs. */
+  /** What the machines of a full cluster have for services beside batch jobs. */
   private static final int SERVICE_CPUS = 40;
 
   private static final int HISTORIES = 4;
@@ -62,7 +63,7 @@
   @ValueSource(longs = {1, 2, 3, 4})
   void upgradeUnderFaultsKeepsInvariants(long seed) {
     Simulation sim = runHistory(seed);
-    sim.faultCounts.forEach((trouble, times) -> faultCounts.merge(trouble, times, Integer::sum));
+    sim.faultCounts.forEach((fault, times) -> faultCounts.merge(fault, times, Integer::sum));
     historiesRun++;
     assertInvariants(sim);
   }
@@ -106,10 +107,7 @@
   /** Plays the history of the seed; what leaves the cores goes to the recorder. */
   static Simulation runHistory(long seed, Recorder recorder) {
     Simulation sim = new Simulation(seed, ProgramVersion.UNKNOWN, recorder);
-    sim.messageLossRate = seed % 4 == 0 ? 0.02 : 0;
-    sim.statusUpdateFaultRate = seed % 2 == 0 ? 0.2 : 0;
-    sim.duplicateHeartbeatRate = seed % 3 == 0 ? 0.2 : 0;
-    sim.delayedTransactionRate = seed % 5 == 0 ? 0.1 : 0.01;
+    RandomFaults.setMessageFaultRates(sim, seed);
     sim.cancelAtEndRate = 0.1;
     sim.replicaExitRate = 0.2;
     sim.checker.reorderedAnswersViolate =
@@ -228,7 +226,7 @@
             : 1_000 + sim.random.nextInt(8_000));
   }
 
-  /** A holder ends; whoever claims its jobs ends in the middle of that. */
+  /** A job leader crashes; whoever takes over its jobs crashes in the middle of that. */
   private static void crashRandomDuringFailover(Simulation sim) {
     for (SimulatedController node : sim.controllers.values()) {
       crashDuringFailover(sim, node, () -> crash(sim, node));
@@ -236,8 +234,6 @@
     sim.crashBusiestLeaders();
   }
 
-  // ---- services -----------------------------------------------------------------------------
-
   /** Asked for only when all controllers are of the present version. */
   private static void submitServices(Simulation sim) {
     if (!sim.allUpgraded()) {
@@ -259,27 +255,27 @@
       }
       sim.schedule(sim.random.nextInt(50_000), () -> submit(sim, service));
     }
-    sim.schedule(sim.random.nextInt(50_000), sim::submitUnplaceableService);
+    sim.schedule(sim.random.nextInt(50_000), sim.users::submitUnplaceableService);
   }
 
   private static JobSpec randomService(Simulation sim, String id) {
     boolean oneZone = sim.random.nextInt(5) == 0;
     boolean spread = !oneZone && sim.random.nextInt(4) == 0;
     String zone = !oneZone && !spread && sim.random.nextInt(6) == 0 ? "a" : null;
-    return sim.serviceSpec(
-        id,
-        1 + sim.random.nextInt(5),
-        1 + sim.random.nextInt(3),
-        Priority.values()[sim.random.nextInt(4)],
-        sim.random.nextInt(3) == 0 ? "tight" : "free",
-        oneZone,
-        spread,
-        sim.random.nextInt(3) > 0,
-        zone);
+    return service(id)
+        .tasks(1 + sim.random.nextInt(5))
+        .cpus(1 + sim.random.nextInt(3))
+        .priority(Priority.values()[sim.random.nextInt(4)])
+        .team(sim.random.nextInt(3) == 0 ? "tight" : "free")
+        .singleZone(oneZone)
+        .spread(spread)
+        .spot(sim.random.nextInt(3) > 0)
+        .zone(zone)
+        .build();
   }
 
   private static void submit(Simulation sim, JobSpec service) {
-    sim.submit(service);
+    sim.users.submit(service);
     if (sim.random.nextInt(4) > 0) {
       return;
     }
@@ -288,7 +284,7 @@
 
   private static void cancel(Simulation sim, String service) {
     sim.countFault("service cancelled");
-    sim.cancel(service);
+    sim.users.cancel(service);
   }
 
   private static void killMachineOfService(Simulation sim) {
@@ -317,7 +313,7 @@
   /** A machine with replicas; null: there is none. */
   private static SimulatedWorker findServiceMachine(Simulation sim) {
     List<String> machines = new ArrayList<>();
-    for (String id : sim.jobs) {
+    for (String id : sim.users.jobs) {
       if (sim.checker.isService(id)) {
         machines.addAll(sim.checker.machinesOf(id));
       }
@@ -327,12 +323,10 @@
         : sim.workers.get(machines.get(sim.random.nextInt(machines.size())));
   }
 
-  // ---- what must hold -----------------------------------------------------------------------
-
   private static void assertInvariants(Simulation sim) {
     assertEquals(List.of(), sim.checker.violations);
     assertTrue(sim.checker.startCount > 40, "starts " + sim.checker.startCount);
-    for (String id : sim.jobs) {
+    for (String id : sim.users.jobs) {
       if (!sim.checker.isService(id)) {
         assertFinished(sim, id);
       }
@@ -342,7 +336,9 @@
     }
   }
 
-  /** A user may have given up before any controller could take the job: then it was never told. */
+  /**
+   * A user may have given up before any controller could accept the job: then there is no answer.
+   */
   private static void assertFinished(Simulation sim, String batch) {
     String last = sim.checker.lastState(batch);
     boolean over = last == null || last.equals("done") || last.equals("cancelled");
@@ -358,7 +354,7 @@
   /** The services that were accepted and that nobody has asked to cancel. */
   private static List<String> acceptedServices(Simulation sim) {
     List<String> kept = new ArrayList<>();
-    for (String id : sim.jobs) {
+    for (String id : sim.users.jobs) {
       boolean accepted = sim.checker.lastState(id) != null && !sim.checker.isCancelRequested(id);
       if (sim.checker.isService(id) && accepted) {
         kept.add(id);
--- a/src/test/java/mallowstall/core/ServiceInvariantsTest.java
+++ b/src/test/java/mallowstall/core/ServiceInvariantsTest.java
@@ -1,5 +1,6 @@
 package mallowstall.core;
 
+import static mallowstall.core.model.JobSpecBuilder.service;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -7,7 +8,6 @@
 import mallowstall.core.model.CommandKind;
 import mallowstall.core.model.ExitReason;
 import mallowstall.core.model.JobSpec;
-import mallowstall.core.model.Priority;
 import mallowstall.core.model.WorkerCommand;
 import org.junit.jupiter.api.Test;
 
@@ -25,8 +25,7 @@
   }
 
   private static JobSpec serviceSpec(int replicas, String team) {
-    return new Simulation(5)
-        .serviceSpec(SERVICE, replicas, 4, Priority.NORMAL, team, false, false, true, null);
+    return service(SERVICE).tasks(replicas).cpus(4).team(team).build();
   }
 
   private static InvariantChecker.Machine machine(String id, String zone) {
@@ -95,9 +94,7 @@
     rules.check(1_006);
     assertTrue(rules.violations.get(0).contains("ran_cancelled"), rules.violations.toString());
     InvariantChecker placed =
-        checkerFor(
-            new Simulation(5)
-                .serviceSpec(SERVICE, 3, 1, Priority.NORMAL, "free", false, false, false, "b"));
+        checkerFor(service(SERVICE).tasks(3).cpus(1).spot(false).zone("b").build());
     placed.onStarted(2, replicaOn(machine("m1", "a"), 0));
     assertViolation(placed, "wrong_place");
   }
@@ -160,9 +157,7 @@
     checkPastTimeout(atLimit, FAULTS_ENDED_MS);
     assertEquals(List.of(), atLimit.violations, "the team is at its limit");
 
-    JobSpec pinned =
-        new Simulation(5)
-            .serviceSpec(SERVICE, 1, 4, Priority.NORMAL, "free", false, false, false, "b");
+    JobSpec pinned = service(SERVICE).tasks(1).cpus(4).spot(false).zone("b").build();
     InvariantChecker elsewhere = checkerFor(pinned);
     elsewhere.onMachineUp(machine("m1", "a"));
     elsewhere.onMachineUp(new InvariantChecker.Machine("m2", "t8", "b", true, 8));
@@ -175,12 +170,8 @@
 
   @Test
   void capacityCountsOnlyInAllowedZones() {
-    JobSpec oneZone =
-        new Simulation(5)
-            .serviceSpec(SERVICE, 2, 8, Priority.NORMAL, "free", true, false, true, null);
-    JobSpec spread =
-        new Simulation(5)
-            .serviceSpec(SERVICE, 2, 8, Priority.NORMAL, "free", false, true, true, null);
+    JobSpec oneZone = service(SERVICE).tasks(2).cpus(8).singleZone(true).build();
+    JobSpec spread = service(SERVICE).tasks(2).cpus(8).spread(true).build();
     for (JobSpec service : List.of(oneZone, spread)) {
       String allowed = service.singleZone() ? "a" : "b";
       String forbidden = service.singleZone() ? "b" : "a";
@@ -230,12 +221,12 @@
     sim.runUntil(5_000);
     sim.checker.onSubmitted(serviceSpec(2, "free"));
     SimulatedWorker worker = List.copyOf(sim.workers.values()).get(0);
-    worker.execute(new WorkerCommand(CommandKind.START, SERVICE, 0, 1, 0));
-    worker.execute(new WorkerCommand(CommandKind.START, SERVICE, 1, 1, 0));
+    worker.taskRunner.execute(new WorkerCommand(CommandKind.START, SERVICE, 0, 1, 0));
+    worker.taskRunner.execute(new WorkerCommand(CommandKind.START, SERVICE, 1, 1, 0));
     sim.runUntil(8_000);
     assertEquals(2, sim.checker.runningReplicas(SERVICE));
     sim.runUntil(9_000);
-    worker.execute(new WorkerCommand(CommandKind.STOP, SERVICE, 1, 1, 0));
+    worker.taskRunner.execute(new WorkerCommand(CommandKind.STOP, SERVICE, 1, 1, 0));
     assertEquals(1, sim.checker.runningReplicas(SERVICE));
     assertTrue(sim.exitReplica(SERVICE, 0, ExitReason.DONE));
     assertEquals(0, sim.checker.runningReplicas(SERVICE));
@@ -248,14 +239,14 @@
     sim.runUntil(5_000);
     sim.checker.onSubmitted(serviceSpec(1, "free"));
     List<SimulatedWorker> workers = List.copyOf(sim.workers.values());
-    workers.get(0).execute(new WorkerCommand(CommandKind.START, SERVICE, 0, 1, 0));
+    workers.get(0).taskRunner.execute(new WorkerCommand(CommandKind.START, SERVICE, 0, 1, 0));
     sim.runUntil(8_000);
     assertTrue(sim.exitReplica(SERVICE, 0, ExitReason.DONE));
-    workers.get(0).execute(new WorkerCommand(CommandKind.START, SERVICE, 0, 2, 0));
+    workers.get(0).taskRunner.execute(new WorkerCommand(CommandKind.START, SERVICE, 0, 2, 0));
     sim.runUntil(8_100);
     assertEquals(0, sim.checker.runningReplicas(SERVICE));
     assertEquals(1, sim.faultCounts.get("result kept"));
-    workers.get(1).execute(new WorkerCommand(CommandKind.START, SERVICE, 0, 3, 0));
+    workers.get(1).taskRunner.execute(new WorkerCommand(CommandKind.START, SERVICE, 0, 3, 0));
     sim.runUntil(12_000);
     assertEquals(1, sim.checker.runningReplicas(SERVICE));
   }
@@ -267,8 +258,8 @@
     sim.checker.onSubmitted(serviceSpec(1, "free"));
     SimulatedWorker worker = List.copyOf(sim.workers.values()).get(0);
     worker.faulty = true;
-    worker.execute(new WorkerCommand(CommandKind.START, SERVICE, 0, 1, 0));
-    SimulatedWorker.SimulatedTask replica = worker.tasks.values().iterator().next();
+    worker.taskRunner.execute(new WorkerCommand(CommandKind.START, SERVICE, 0, 1, 0));
+    SimulatedTask replica = worker.tasks.values().iterator().next();
     sim.runUntil(8_000);
     assertEquals(0, sim.checker.runningReplicas(SERVICE));
     assertEquals(ExitReason.ERROR, replica.exitReason);
