--- a/src/main/java/mallowstall/core/PlacementModules.java
+++ b/src/main/java/mallowstall/core/PlacementModules.java
@@ -67,15 +67,7 @@
             machineDemand,
             guaranteedShares,
             policyFacts);
-    ReplicaRelocation relocation =
-        new ReplicaRelocation(
-            cluster.view,
-            cluster.messenger,
-            policies,
-            jobLeader,
-            quotaLedger,
-            policyFacts,
-            startSender);
+    ReplicaRelocation relocation = newRelocation(policies, policyFacts, startSender);
     return new PlacementScheduler(
         cluster.clock,
         cluster.metrics,
@@ -128,4 +120,16 @@
         cluster.messenger,
         jobLeader);
   }
+
+  private ReplicaRelocation newRelocation(
+      Policy.PolicyRegistry policies, PolicyFacts policyFacts, StartSender startSender) {
+    return new ReplicaRelocation(
+        cluster.view,
+        cluster.messenger,
+        policies,
+        jobLeader,
+        quotaLedger,
+        policyFacts,
+        startSender);
+  }
 }
--- a/src/main/java/mallowstall/workers/HeartbeatCodec.java
+++ b/src/main/java/mallowstall/workers/HeartbeatCodec.java
@@ -47,7 +47,7 @@
     long session = 0;
     long sequence = 0;
     long fencingToken = 0;
-    Double interruptionNoticeS = null;
+    Double noticeS = null;
     List<TaskReport> tasks = List.of();
     if (!in.enterObjectIfPresent()) {
       return null;
@@ -62,22 +62,13 @@
         case WorkerProtocol.SESSION -> session = in.longOrZero();
         case WorkerProtocol.SEQUENCE -> sequence = in.longOrZero();
         case WorkerProtocol.FENCING_TOKEN -> fencingToken = in.longOrZero();
-        case WorkerProtocol.INTERRUPTION_NOTICE_S -> interruptionNoticeS = in.doubleOrNull();
+        case WorkerProtocol.INTERRUPTION_NOTICE_S -> noticeS = in.doubleOrNull();
         case WorkerProtocol.TASKS -> tasks = readTasks(in);
         default -> in.skip();
       }
     }
     return new Heartbeat(
-        machine,
-        address,
-        type,
-        zone,
-        spot,
-        session,
-        sequence,
-        fencingToken,
-        interruptionNoticeS,
-        tasks);
+        machine, address, type, zone, spot, session, sequence, fencingToken, noticeS, tasks);
   }
 
   private static List<TaskReport> readTasks(JsonReader in) throws IOException {
