--- a/src/main/java/mallowstall/core/ControllerCore.java
+++ b/src/main/java/mallowstall/core/ControllerCore.java
@@ -104,7 +104,7 @@
         cluster.store,
         cluster.view,
         cluster.cancellations,
-        machines.statusPublisher::statusUpdateSentAtMs,
+        machines.statusUpdateSequence::composedMs,
         jobLeader::applyStatusUpdate,
         cluster.placementTrigger);
   }
@@ -131,7 +131,7 @@
             cluster.cancellations::jobChanged,
             jobApi::jobChanged,
             machines.leadershipChanges::jobChanged,
-            jobLeader::applyJobEntry),
+            (before, entry) -> jobLeader.applyJobEntry(entry)),
         jobLeader::reloadCompletionBits,
         machines.leadershipChanges::machineChanged,
         List.of(cluster.view::removeMachine, jobLeader::removeMachineAttempts),
@@ -262,7 +262,7 @@
 
   /** Ids of the machines whose published status is outdated without being marked so: a fault. */
   List<String> unpublishedChanges() {
-    return machines.statusPublisher.unpublishedChanges();
+    return machines.machineStatuses.unpublishedChanges();
   }
 
   /** Asks a machine leader to stop a task. */
--- a/src/test/java/mallowstall/core/InvariantChecker.java
+++ b/src/test/java/mallowstall/core/InvariantChecker.java
@@ -12,7 +12,8 @@
 import mallowstall.core.model.Team;
 
 /**
- * The slow plain model: what is on which machine and what users were told, checked at each step.
+ * The slow plain model: what is on which machine and what users were answered, checked at each
+ * step.
  */
 final class InvariantChecker {
   /** A task that is on a machine. */
@@ -25,18 +26,18 @@
   /** A machine that is up, with all its processors. */
   record Machine(String id, String type, String zone, boolean spot, double cpus) {}
 
-  /** How long a job may wait beside room for it once no trouble is left. */
+  /** How long a job may wait beside room for it once no fault is left. */
   static final long MAX_PENDING_MS = 90_000;
 
-  /** How long a replica may be on no machine beside room for it once no trouble is left. */
+  /** How long a replica may be on no machine beside room for it once no fault is left. */
   static final long MAX_REPLICA_MISSING_MS = 30_000;
 
   /** How long a user waits for the answer to a question. */
   static final long QUERY_TIMEOUT_MS = 2_000;
 
   /**
-   * Answers that were overtaken by a final state or an acceptance told elsewhere: both questions
-   * were under way at once, and the older answer's read was made before.
+   * Answers that were overtaken by a final state or an acceptance reported elsewhere: both
+   * questions were under way at once, and the older answer's read was made before.
    */
   final List<String> reorderedAnswers = new ArrayList<>();
 
@@ -64,10 +65,10 @@
 
   int startCount;
 
-  /** Starts after a cancellation was told, soon enough to have been under way then. */
+  /** Starts after a cancellation was confirmed, soon enough to have been under way then. */
   int startsAfterCancelCount;
 
-  /** From here on no trouble is left: every accepted job's questions must be answered. */
+  /** From here on no fault is left: every accepted job's questions must be answered. */
   long faultsEndedMs = Long.MAX_VALUE;
 
   InvariantChecker(Map<String, Team> teams, long cancelMs) {
@@ -179,9 +180,7 @@
 
   void check(long now) {
     for (Map.Entry<String, Long> entry : lastAnswerMs.entrySet()) {
-      String last = lastReportedState.get(entry.getKey());
-      boolean over = "done".equals(last) || "cancelled".equals(last);
-      if (!over && now - 75_000 > Math.max(faultsEndedMs, entry.getValue())) {
+      if (!isOver(entry.getKey()) && now - 75_000 > Math.max(faultsEndedMs, entry.getValue())) {
         violations.add(now + " forgotten: no question about " + entry.getKey() + " is answered");
         entry.setValue(now);
       }
@@ -266,11 +265,8 @@
 
   /** Accepted, not over, and nobody has asked to cancel it. */
   private boolean shouldRun(String job) {
-    String last = lastReportedState.get(job);
-    if (last == null || last.equals("done") || last.equals("cancelled")) {
-      return false;
-    }
-    return !cancelRequested.contains(job);
+    boolean accepted = lastReportedState.containsKey(job);
+    return accepted && !isOver(job) && !cancelRequested.contains(job);
   }
 
   /** Whether the team is under its limit and some other machine may take one more of the tasks. */
@@ -332,7 +328,7 @@
     return jobs.get(job);
   }
 
-  /** Jobs of which something is on a machine and that nobody has called off. */
+  /** Jobs of which something is on a machine and that nobody has cancelled. */
   Set<String> runningJobs() {
     Set<String> out = new TreeSet<>();
     for (RunningTask task : runningTasks) {
@@ -381,8 +377,7 @@
       return;
     }
     lastAnswerMs.put(job, now);
-    boolean terminal = "done".equals(before) || "cancelled".equals(before);
-    if (terminal && !before.equals(state)) {
+    if (isOver(job) && !before.equals(state)) {
       String what = now + " went_back: " + job + " " + before + " " + state;
       what += " since " + terminalStateMs.get(job) + ", asked at " + asked;
       boolean crossing = asked < terminalStateMs.get(job) && now - asked <= QUERY_TIMEOUT_MS;
@@ -415,6 +410,12 @@
     lastReportedState.put(job, state);
   }
 
+  /** Whether a user was answered that the job is done or cancelled. */
+  boolean isOver(String job) {
+    String last = lastReportedState.get(job);
+    return "done".equals(last) || "cancelled".equals(last);
+  }
+
   String lastState(String job) {
     return lastReportedState.get(job);
   }
--- a/src/test/java/mallowstall/core/RandomFaults.java
+++ b/src/test/java/mallowstall/core/RandomFaults.java
@@ -1,12 +1,22 @@
 package mallowstall.core;
 
+import static mallowstall.core.model.JobSpecBuilder.batchJob;
+
 import java.util.List;
 import mallowstall.core.model.Priority;
 
-/** Random work and random troubles for seeded histories. */
+/** Random work and random faults for seeded histories. */
 final class RandomFaults {
   private RandomFaults() {}
 
+  /** How many messages are lost, late or repeated, by the remainders of the history's seed. */
+  static void setMessageFaultRates(Simulation sim, long seed) {
+    sim.messageLossRate = seed % 4 == 0 ? 0.02 : 0;
+    sim.statusUpdateFaultRate = seed % 2 == 0 ? 0.2 : 0;
+    sim.duplicateHeartbeatRate = seed % 3 == 0 ? 0.2 : 0;
+    sim.delayedTransactionRate = seed % 5 == 0 ? 0.1 : 0.01;
+  }
+
   /** So many random batch jobs within 70 s, some of them cancelled. */
   static void scheduleRandomJobs(Simulation sim, int jobs) {
     scheduleRandomJobs(sim, jobs, 70_000);
@@ -24,28 +34,28 @@
             boolean oneZone = sim.random.nextInt(5) == 0;
             boolean spread = !oneZone && sim.random.nextInt(5) == 0;
             String zone = sim.random.nextInt(8) == 0 ? "a" : null;
-            sim.submit(
-                sim.batchSpec(
-                    id,
-                    1 + sim.random.nextInt(9),
-                    1 + sim.random.nextInt(4),
-                    priority,
-                    sim.random.nextBoolean() ? "free" : "tight",
-                    oneZone,
-                    spread && zone == null,
-                    sim.random.nextInt(3) > 0,
-                    zone));
+            sim.users.submit(
+                batchJob(id)
+                    .tasks(1 + sim.random.nextInt(9))
+                    .cpus(1 + sim.random.nextInt(4))
+                    .priority(priority)
+                    .team(sim.random.nextBoolean() ? "free" : "tight")
+                    .singleZone(oneZone)
+                    .spread(spread && zone == null)
+                    .spot(sim.random.nextInt(3) > 0)
+                    .zone(zone)
+                    .build());
             if (sim.random.nextInt(5) == 0) {
-              sim.schedule(1_000 + sim.random.nextInt(15_000), () -> sim.cancel(id));
+              sim.schedule(1_000 + sim.random.nextInt(15_000), () -> sim.users.cancel(id));
             }
           });
     }
     for (int i = 0; i < 20; i++) {
-      sim.schedule(sim.random.nextInt(120_000), sim::queryUnknownJob);
+      sim.schedule(sim.random.nextInt(120_000), sim.users::queryUnknownJob);
     }
   }
 
-  /** One of the older troubles at random. */
+  /** One of the basic faults at random. */
   static void injectBasicFault(Simulation sim) {
     SimulatedController node = sim.controllers.get(Simulation.NODES.get(sim.random.nextInt(3)));
     switch (sim.random.nextInt(13)) {
@@ -119,7 +129,7 @@
     }
   }
 
-  /** One of the newer troubles at random; none of them begins anything new later than then. */
+  /** One of the combined faults at random; none of them begins anything new later than then. */
   static void injectCombinedFault(Simulation sim, long until) {
     SimulatedController node = sim.controllers.get(Simulation.NODES.get(sim.random.nextInt(3)));
     List<SimulatedWorker> workers = List.copyOf(sim.workers.values());
@@ -145,10 +155,11 @@
           }
         }
       }
-      case 3 -> sim.cancelRunningJobs(1 + sim.random.nextInt(6), 0);
+      case 3 -> sim.users.cancelRunningJobs(1 + sim.random.nextInt(6), 0);
       case 4 ->
-          sim.cancelRunningJobs(1 + sim.random.nextInt(6), 1_000 + sim.random.nextInt(12_000));
-      case 5 -> sim.scheduleInvalidRequests(10 + sim.random.nextInt(30));
+          sim.users.cancelRunningJobs(
+              1 + sim.random.nextInt(6), 1_000 + sim.random.nextInt(12_000));
+      case 5 -> sim.users.scheduleInvalidRequests(10 + sim.random.nextInt(30));
       case 6 -> {
         // ten times in two minutes, or as many as there is time for
         long every = 12_000;
@@ -162,7 +173,7 @@
             3_000 + sim.random.nextInt(7_000),
             Simulation.CANCEL_MS + 2_000 + sim.random.nextInt(8_000));
         if (sim.random.nextBoolean()) {
-          sim.schedule(sim.random.nextInt(9_000), () -> sim.cancelRunningJobs(3, 0));
+          sim.schedule(sim.random.nextInt(9_000), () -> sim.users.cancelRunningJobs(3, 0));
         }
         if (sim.random.nextBoolean()) {
           sim.schedule(12_000 + sim.random.nextInt(20_000), sim::crashBusiestLeaders);
@@ -173,7 +184,7 @@
         sim.isolate(node);
         sim.schedule(
             sim.random.nextInt(4_000),
-            () -> sim.cancelRunningJobs(3, sim.random.nextBoolean() ? 0 : 6_000));
+            () -> sim.users.cancelRunningJobs(3, sim.random.nextBoolean() ? 0 : 6_000));
         sim.schedule(
             3_000 + sim.random.nextInt(45_000),
             () -> {
