--- a/src/main/java/mallowstall/core/PlacementModules.java
+++ b/src/main/java/mallowstall/core/PlacementModules.java
@@ -70,15 +70,7 @@
     Preemption preemption =
         new Preemption(
             cluster.store, cluster.view, machineDemand, ranking, guaranteedShares, policyFacts);
-    ReplicaRelocation relocation =
-        new ReplicaRelocation(
-            cluster.view,
-            cluster.messenger,
-            policies,
-            jobLeader,
-            quotaLedger,
-            policyFacts,
-            startSender);
+    ReplicaRelocation relocation = newRelocation(policies, policyFacts, startSender);
     PlacementBackoffs backoffs =
         new PlacementBackoffs(cluster.metrics, cluster.placementTrigger, policies);
     GroupPlacer groupPlacer =
@@ -133,4 +125,16 @@
         cluster.messenger,
         jobLeader);
   }
+
+  private ReplicaRelocation newRelocation(
+      Policy.PolicyRegistry policies, PolicyFacts policyFacts, StartSender startSender) {
+    return new ReplicaRelocation(
+        cluster.view,
+        cluster.messenger,
+        policies,
+        jobLeader,
+        quotaLedger,
+        policyFacts,
+        startSender);
+  }
 }
--- a/src/main/java/mallowstall/core/autoscaling/UnplaceableJobs.java
+++ b/src/main/java/mallowstall/core/autoscaling/UnplaceableJobs.java
@@ -81,8 +81,10 @@
       return false;
     }
     TeamUsageEntry usage = (TeamUsageEntry) storedUsage.value();
-    return (team.cpuQuota() > 0 && usage.reservedCpus() + job.cpus() > team.cpuQuota() + Constants.ROUNDING_EPSILON)
-        || (team.gpuQuota() > 0 && usage.reservedGpus() + job.gpus() > team.gpuQuota() + Constants.ROUNDING_EPSILON);
+    return (team.cpuQuota() > 0
+            && usage.reservedCpus() + job.cpus() > team.cpuQuota() + Constants.ROUNDING_EPSILON)
+        || (team.gpuQuota() > 0
+            && usage.reservedGpus() + job.gpus() > team.gpuQuota() + Constants.ROUNDING_EPSILON);
   }
 
   private static List<String> allowedZones(
--- a/src/main/java/mallowstall/core/jobs/StatusReconciliation.java
+++ b/src/main/java/mallowstall/core/jobs/StatusReconciliation.java
@@ -61,14 +61,19 @@
     }
     for (MachineStatus status : update.machines()) {
       MachineView machine = view.machines.get(status.machine());
-      // any other status there is of a higher fencing token
-      if (machine != null && machine.status() == status) {
+      if (machine != null && isCurrentStatus(machine, status)) {
         applyMachineStatus(update, status);
       }
     }
     releaseUndeliveredStarts(update);
   }
 
+  /** Whether the view took in this very status; any other there is of a higher fencing token. */
+  @SuppressWarnings("ReferenceEquality")
+  private static boolean isCurrentStatus(MachineView machine, MachineStatus status) {
+    return machine.status() == status;
+  }
+
   /**
    * Ends the attempts whose start is proven not to have arrived. An acknowledgement of the start
    * proves it, and comes without a new status of the machine.
--- a/src/main/java/mallowstall/core/machines/HeartbeatApplier.java
+++ b/src/main/java/mallowstall/core/machines/HeartbeatApplier.java
@@ -88,7 +88,7 @@
   private static boolean changesBeyondTasks(ManagedMachine machine, Heartbeat heartbeat) {
     return machine.leaseExpired()
         || heartbeat.session() != machine.workerSession()
-        || heartbeat.fencingToken() >= machine.fencingToken() && !machine.tokenAcknowledged()
+        || (heartbeat.fencingToken() >= machine.fencingToken() && !machine.tokenAcknowledged())
         || (heartbeat.interruptionNoticeS() == null) == machine.terminationAnnounced()
         || !Objects.equals(heartbeat.address(), machine.address());
   }
@@ -159,9 +159,9 @@
       StartRequest start = reservation.request();
       if (tasks.isReported(reservation.attempt())) {
         iterator.remove();
-      } else if (!sentByWorker || machine.commands().isUnacknowledged(reservation.key())) {
-        continue; // may still arrive at the worker
-      } else if (clock.wallClockMs() > start.expiryWallMs()) {
+      } else if (sentByWorker
+          && !machine.commands().isUnacknowledged(reservation.key()) // else it may still arrive
+          && clock.wallClockMs() > start.expiryWallMs()) {
         // sent or not: the worker ignores responses from before this heartbeat
         iterator.remove();
       }
--- a/src/main/java/mallowstall/core/machines/HeartbeatResponder.java
+++ b/src/main/java/mallowstall/core/machines/HeartbeatResponder.java
@@ -81,7 +81,7 @@
     }
     return cancellations.isOver(task.job(), job)
         || jobBitmaps.isRecordedCompleted(job, task.task())
-        || machines.restartsAfterExit(task) && machine.published().isExitPublished(attempt);
+        || (machines.restartsAfterExit(task) && machine.published().isExitPublished(attempt));
   }
 
   /** Seconds that the task gets to checkpoint before it is stopped; empty: it goes on. */
@@ -103,7 +103,7 @@
 
   private boolean noLongerNeeded(String id, JobEntry job, int task) {
     return cancellations.isOver(id, job)
-        || job != null && jobBitmaps.isRecordedCompleted(job, task);
+        || (job != null && jobBitmaps.isRecordedCompleted(job, task));
   }
 
   /** Whether the cloud takes the machine so soon that the task has just the time to checkpoint. */
--- a/src/main/java/mallowstall/core/machines/ManagedMachine.java
+++ b/src/main/java/mallowstall/core/machines/ManagedMachine.java
@@ -171,7 +171,7 @@
   /** Whether the heartbeat is newer than all that is known of the machine. */
   boolean isNewer(Heartbeat heartbeat) {
     return heartbeat.session() > workerSession
-        || heartbeat.session() == workerSession && heartbeat.sequence() > latestHeartbeatSequence;
+        || (heartbeat.session() == workerSession && heartbeat.sequence() > latestHeartbeatSequence);
   }
 
   /** The worker's tasks of earlier sessions are gone, and it refuses commands for those. */
--- a/src/main/java/mallowstall/core/placement/GroupPlacer.java
+++ b/src/main/java/mallowstall/core/placement/GroupPlacer.java
@@ -64,7 +64,7 @@
     List<JobPlacement> due = new ArrayList<>();
     for (LedJob ledJob : group) {
       boolean mayYield = !ranking.isStarving(ledJob) && !ledJob.spec().isService();
-      if (backoffs.isWaiting(ledJob, now) || mayYield && queuedWork.mustYield(ledJob, now)) {
+      if (backoffs.isWaiting(ledJob, now) || (mayYield && queuedWork.mustYield(ledJob, now))) {
         continue;
       }
       due.add(placements.begin(ledJob, machines));
--- a/src/main/java/mallowstall/core/quota/QuotaTransaction.java
+++ b/src/main/java/mallowstall/core/quota/QuotaTransaction.java
@@ -36,7 +36,7 @@
    *     other jobs
    */
   void add(LedJob ledJob, int tasks, boolean alone) {
-    if (tasks == 0 || jobs.size() >= maxJobs || alone && !jobs.isEmpty()) {
+    if (tasks == 0 || jobs.size() >= maxJobs || (alone && !jobs.isEmpty())) {
       return;
     }
     reservedCpus += tasks * ledJob.spec().cpus();
--- a/src/test/java/mallowstall/core/HeartbeatSafetyTest.java
+++ b/src/test/java/mallowstall/core/HeartbeatSafetyTest.java
@@ -184,7 +184,7 @@
     long from = worker.leaseStartMs;
     for (int i = 0; i < 4; i++) {
       // the last one comes in the next session, which the answer names
-      sim.runUntil(i < 3 ? from + 3_000 * (i + 1) : from + Simulation.LEASE_MS + 150);
+      sim.runUntil(i < 3 ? from + 3_000L * (i + 1) : from + Simulation.LEASE_MS + 150);
       StopRequest stop = stops.get(i);
       node.enqueueEvent(() -> node.core.sendStop(node.name, stop));
       if (i == 1) {
--- a/src/test/java/mallowstall/core/MachineLeadershipTest.java
+++ b/src/test/java/mallowstall/core/MachineLeadershipTest.java
@@ -195,6 +195,7 @@
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
+  @SuppressWarnings("ReferenceEquality") // until another value is stored
   void machineLedByAnotherUnknownToReplicaIsNotExpired(boolean inFlight) {
     Simulation sim = new Simulation(78);
     sim.runUntil(8_000);
--- a/src/test/java/mallowstall/core/RandomizedUpgradeTest.java
+++ b/src/test/java/mallowstall/core/RandomizedUpgradeTest.java
@@ -43,7 +43,7 @@
 
   private static final int HISTORIES = 4;
   private static int historiesRun;
-  private static final Map<String, Integer> faultCounts = new TreeMap<>();
+  private static final Map<String, Integer> FAULT_COUNTS = new TreeMap<>();
 
   private static final Set<String> FAULT_COMBINATIONS =
       Set.of(
@@ -63,7 +63,7 @@
   @ValueSource(longs = {1, 2, 3, 4})
   void upgradeUnderFaultsKeepsInvariants(long seed) {
     Simulation sim = runHistory(seed);
-    sim.faultCounts.forEach((fault, times) -> faultCounts.merge(fault, times, Integer::sum));
+    sim.faultCounts.forEach((fault, times) -> FAULT_COUNTS.merge(fault, times, Integer::sum));
     historiesRun++;
     assertInvariants(sim);
   }
@@ -74,7 +74,7 @@
       return; // only some of the seeds were asked for
     }
     Set<String> missing = new TreeSet<>(FAULT_COMBINATIONS);
-    missing.removeAll(faultCounts.keySet());
+    missing.removeAll(FAULT_COUNTS.keySet());
     assertEquals(Set.of(), missing, "took place in none of the histories");
   }
 
@@ -155,7 +155,7 @@
    */
   private static void scheduleUpgrades(Simulation sim) {
     List<String> waiting = new ArrayList<>(Simulation.NODES);
-    long turn = 12_000 + sim.random.nextInt(28_000);
+    long turn = 12_000L + sim.random.nextInt(28_000);
     while (!waiting.isEmpty()) {
       SimulatedController node =
           sim.controllers.get(waiting.remove(sim.random.nextInt(waiting.size())));
@@ -246,7 +246,7 @@
       JobSpec service = randomService(sim, String.format("wk-7%05d", i));
       int cpus = (int) (service.tasks() * service.cpus());
       boolean tight = service.team().equals("tight");
-      if (cpus > cpusLeft || tight && cpus > tightLeft) {
+      if (cpus > cpusLeft || (tight && cpus > tightLeft)) {
         continue;
       }
       cpusLeft -= cpus;
--- a/src/test/java/mallowstall/core/SimulatedController.java
+++ b/src/test/java/mallowstall/core/SimulatedController.java
@@ -110,7 +110,7 @@
     this.name = name;
     this.installedVersion = programVersion;
     this.clockDrift = sim.random.nextDouble() * 0.0004;
-    this.clockSkewMs = sim.random.nextInt(40) - 20;
+    this.clockSkewMs = sim.random.nextInt(40) - 20L;
     boot();
   }
 
--- a/src/test/java/mallowstall/core/SimulatedWorker.java
+++ b/src/test/java/mallowstall/core/SimulatedWorker.java
@@ -313,9 +313,9 @@
 
   boolean isPartitionedFrom(SimulatedController node) {
     return partitioned
-        || simulation.partitionedZone != null
+        || (simulation.partitionedZone != null
             && zone.equals(simulation.partitionedZone)
-                != node.zone().equals(simulation.partitionedZone);
+                != node.zone().equals(simulation.partitionedZone));
   }
 
   private void switchController() {
--- a/src/test/java/mallowstall/core/StateServiceLink.java
+++ b/src/test/java/mallowstall/core/StateServiceLink.java
@@ -36,6 +36,7 @@
     this.node = node;
   }
 
+  @SuppressWarnings("ReturnValueIgnored") // requests are executed whose answers are lost
   private <T> void callStateService(Supplier<T> exec, T refused, T unknown, Consumer<T> then) {
     if (node.sendDelayMs > 0) {
       // executed when it wakes, with the answer long given up on
