--- a/src/main/java/mallowstall/core/api/JobApi.java
+++ b/src/main/java/mallowstall/core/api/JobApi.java
@@ -19,6 +19,8 @@
 import mallowstall.core.kernel.ResultCode;
 import mallowstall.core.kernel.Transaction;
 import mallowstall.core.kv.JobBitmaps;
+import mallowstall.core.kv.RequestPriority;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.kv.StateStore;
 import mallowstall.core.model.ApiResponse;
 import mallowstall.core.model.CoreSettings;
@@ -121,11 +123,11 @@
       replyUnlessAccepted(spec.id(), unsupported, reply);
       return;
     }
-    String key = StateStore.JOB_PREFIX + spec.id();
+    String key = StateKeys.job(spec.id());
     long submittedAtMs = clock.now();
     boolean queued =
         store.transact(
-            StateStore.Urgency.USER,
+            RequestPriority.USER,
             new Transaction(
                 List.of(new Condition(key, 0)), List.of(new PutOperation(key, job, 0)), List.of()),
             result -> submissionRecorded(spec.id(), result.code(), submittedAtMs, reply));
@@ -243,8 +245,8 @@
           pendingReads.remove(id);
           boolean queued =
               store.read(
-                  StateStore.Urgency.USER,
-                  StateStore.JOB_PREFIX + id,
+                  RequestPriority.USER,
+                  StateKeys.job(id),
                   reply -> {
                     // A controller that stood still would tell what it read before: a job that
                     // others had called done meanwhile was called running again.
@@ -313,7 +315,7 @@
               jobBitmaps.writePreservingBits(cancelled, read.item().modRevision());
           boolean queued =
               store.transact(
-                  StateStore.Urgency.USER,
+                  RequestPriority.USER,
                   new Transaction(write.conditions(), write.puts(), List.of()),
                   result -> {
                     if (result.code() == ResultCode.OK) {
--- a/src/main/java/mallowstall/core/autoscaling/Autoscaler.java
+++ b/src/main/java/mallowstall/core/autoscaling/Autoscaler.java
@@ -19,7 +19,10 @@
 import mallowstall.core.kernel.ResultCode;
 import mallowstall.core.kernel.RetryDelay;
 import mallowstall.core.kernel.Transaction;
+import mallowstall.core.kv.RequestPriority;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.kv.StateStore;
+import mallowstall.core.kv.StoredValue;
 import mallowstall.core.model.AutoscalerLeaderEntry;
 import mallowstall.core.model.CoreSettings;
 import mallowstall.core.model.JobEntry;
@@ -115,7 +118,7 @@
   }
 
   boolean isLeader() {
-    StateStore.Held stored = store.entry(StateStore.AUTOSCALER_LEADER_KEY);
+    StoredValue stored = store.entry(StateKeys.AUTOSCALER_LEADER_KEY);
     if (stored == null || !store.isSessionValid()) {
       return false;
     }
@@ -137,7 +140,7 @@
     if (!store.isSessionValid()) {
       return;
     }
-    if (store.entry(StateStore.AUTOSCALER_LEADER_KEY) == null
+    if (store.entry(StateKeys.AUTOSCALER_LEADER_KEY) == null
         && !leadershipRequestInFlight
         && leadershipRetry.isDue(now)) {
       requestLeadership();
@@ -158,12 +161,12 @@
     boolean accepted =
         store.transact(
             // behind the adoptions of a fleet it waited for a minute, and jobs for its returns
-            StateStore.Urgency.MACHINE,
+            RequestPriority.MACHINE,
             new Transaction(
-                List.of(new Condition(StateStore.AUTOSCALER_LEADER_KEY, 0)),
+                List.of(new Condition(StateKeys.AUTOSCALER_LEADER_KEY, 0)),
                 List.of(
                     new PutOperation(
-                        StateStore.AUTOSCALER_LEADER_KEY,
+                        StateKeys.AUTOSCALER_LEADER_KEY,
                         new AutoscalerLeaderEntry(settings.node(), store.incarnation()),
                         store.leaseId())),
                 List.of()),
@@ -181,9 +184,9 @@
 
   private void plan(long now) {
     FleetState fleetState = new FleetState();
-    for (Map.Entry<String, StateStore.Held> entry :
-        store.entriesUnder(StateStore.MACHINE_PREFIX).entrySet()) {
-      String id = entry.getKey().substring(StateStore.MACHINE_PREFIX.length());
+    for (Map.Entry<String, StoredValue> entry :
+        store.entriesUnder(StateKeys.MACHINE_PREFIX).entrySet()) {
+      String id = StateKeys.machineOf(entry.getKey());
       countRegistered(id, (MachineEntry) entry.getValue().value(), fleetState, now);
     }
     // Its owner is gone and it has turned to nobody: while it is unaccounted for, jobs taken over
--- a/src/main/java/mallowstall/core/autoscaling/ScaleIn.java
+++ b/src/main/java/mallowstall/core/autoscaling/ScaleIn.java
@@ -16,6 +16,8 @@
 import mallowstall.core.kernel.RetryDelay;
 import mallowstall.core.kernel.TokenBucket;
 import mallowstall.core.kernel.Transaction;
+import mallowstall.core.kv.RequestPriority;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.kv.StateStore;
 import mallowstall.core.model.CoreSettings;
 import mallowstall.core.model.MachineEntry;
@@ -136,7 +138,7 @@
     List<PutOperation> tombstones = new ArrayList<>();
     List<String> deletedKeys = new ArrayList<>();
     for (String id : machines) {
-      String key = StateStore.MACHINE_PREFIX + id;
+      String key = StateKeys.machine(id);
       if (store.isInMachineGroup(id)) {
         tombstones.add(new PutOperation(key, MachineEntry.tombstone(), 0));
       } else {
@@ -146,7 +148,7 @@
     machines.forEach(entriesToDelete::remove);
     boolean accepted =
         store.transact(
-            StateStore.Urgency.MACHINE,
+            RequestPriority.MACHINE,
             new Transaction(List.of(), tombstones, deletedKeys),
             reply -> {
               deleteRetry.recordResult(clock.now(), reply.code());
--- a/src/main/java/mallowstall/core/autoscaling/UnplaceableJobs.java
+++ b/src/main/java/mallowstall/core/autoscaling/UnplaceableJobs.java
@@ -8,7 +8,9 @@
 import mallowstall.Constants;
 import mallowstall.core.cluster.ClusterView;
 import mallowstall.core.cluster.MachineView;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.kv.StateStore;
+import mallowstall.core.kv.StoredValue;
 import mallowstall.core.model.CoreSettings;
 import mallowstall.core.model.JobEntry;
 import mallowstall.core.model.JobSpec;
@@ -76,7 +78,7 @@
 
   private boolean isTeamAtQuota(JobSpec job) {
     Team team = settings.teams().get(job.team());
-    StateStore.Held storedUsage = store.entry(StateStore.TEAM_PREFIX + job.team());
+    StoredValue storedUsage = store.entry(StateKeys.team(job.team()));
     if (team == null || storedUsage == null) {
       return false;
     }
--- a/src/main/java/mallowstall/core/cluster/CancellationExchange.java
+++ b/src/main/java/mallowstall/core/cluster/CancellationExchange.java
@@ -7,6 +7,7 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 import mallowstall.Constants;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.kv.StateStore;
 import mallowstall.core.model.JobEntry;
 import mallowstall.core.model.JobOutcome;
@@ -54,7 +55,7 @@
     if (after.outcome() == JobOutcome.CANCELLED
         && (before == null || before.outcome() != JobOutcome.CANCELLED)) {
       String id = after.spec().id();
-      recordCancellation(id, store.modRevision(StateStore.JOB_PREFIX + id));
+      recordCancellation(id, store.modRevision(StateKeys.job(id)));
       cancelled.accept(id);
     }
   }
--- a/src/main/java/mallowstall/core/cluster/ClusterVersion.java
+++ b/src/main/java/mallowstall/core/cluster/ClusterVersion.java
@@ -1,6 +1,8 @@
 package mallowstall.core.cluster;
 
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.kv.StateStore;
+import mallowstall.core.kv.StoredValue;
 import mallowstall.core.model.CoreSettings;
 import mallowstall.core.model.ProgramVersion;
 import mallowstall.core.model.SessionEntry;
@@ -44,12 +46,12 @@
    * the node is down and comes back with the version it had.
    */
   private int publishedVersion(String node) {
-    StateStore.Held stored = store.entry(StateStore.VERSION_PREFIX + node);
+    StoredValue stored = store.entry(StateKeys.version(node));
     if (stored == null) {
       return ProgramVersion.UNKNOWN;
     }
     VersionEntry versionEntry = (VersionEntry) stored.value();
-    StateStore.Held session = store.entry(StateStore.SESSION_PREFIX + node);
+    StoredValue session = store.entry(StateKeys.session(node));
     boolean isCurrent =
         session == null
             || ((SessionEntry) session.value()).incarnation() == versionEntry.incarnation();
--- a/src/main/java/mallowstall/core/cluster/DigestPublisher.java
+++ b/src/main/java/mallowstall/core/cluster/DigestPublisher.java
@@ -9,6 +9,8 @@
 import mallowstall.core.kernel.PutOperation;
 import mallowstall.core.kernel.RetryDelay;
 import mallowstall.core.kernel.Transaction;
+import mallowstall.core.kv.RequestPriority;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.kv.StateStore;
 import mallowstall.core.kv.ValueSize;
 import mallowstall.core.model.CoreSettings;
@@ -49,12 +51,10 @@
     }
     nextPublishMs = clock.now() + Constants.DIGEST_INTERVAL_MS;
     store.transact(
-        StateStore.Urgency.BACKGROUND,
+        RequestPriority.BACKGROUND,
         new Transaction(
             List.of(),
-            List.of(
-                new PutOperation(
-                    StateStore.DIGEST_PREFIX + settings.node(), digest(), store.leaseId())),
+            List.of(new PutOperation(StateKeys.digest(settings.node()), digest(), store.leaseId())),
             List.of()),
         reply -> {
           retry.recordResult(clock.now(), reply.code());
--- a/src/main/java/mallowstall/core/cluster/Membership.java
+++ b/src/main/java/mallowstall/core/cluster/Membership.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.kv.StateStore;
 import mallowstall.core.model.CoreSettings;
 
@@ -19,8 +20,8 @@
   /** Controllers with a session, sorted; this one is among them once its own stands. */
   public List<String> liveNodes() {
     List<String> live = new ArrayList<>();
-    for (String key : store.entriesUnder(StateStore.SESSION_PREFIX).keySet()) {
-      live.add(key.substring(StateStore.SESSION_PREFIX.length()));
+    for (String key : store.entriesUnder(StateKeys.SESSION_PREFIX).keySet()) {
+      live.add(StateKeys.nodeOf(key));
     }
     return live;
   }
--- a/src/main/java/mallowstall/core/jobs/JobLeader.java
+++ b/src/main/java/mallowstall/core/jobs/JobLeader.java
@@ -21,7 +21,10 @@
 import mallowstall.core.kernel.RetryDelay;
 import mallowstall.core.kernel.Transaction;
 import mallowstall.core.kv.JobBitmaps;
+import mallowstall.core.kv.RequestPriority;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.kv.StateStore;
+import mallowstall.core.kv.StoredValue;
 import mallowstall.core.model.CoreSettings;
 import mallowstall.core.model.ExitReason;
 import mallowstall.core.model.JobEntry;
@@ -145,7 +148,7 @@
       }
       return;
     }
-    long modRevision = store.modRevision(StateStore.JOB_PREFIX + id);
+    long modRevision = store.modRevision(StateKeys.job(id));
     boolean newEpoch = ledJob == null || ledJob.entry().epoch() != job.epoch();
     if (newEpoch) {
       if (ledJob != null) {
@@ -611,10 +614,10 @@
     long coveredRevision = Long.MAX_VALUE;
     long oldestUpdate = Long.MAX_VALUE;
     String blockingMachine = null;
-    for (Map.Entry<String, StateStore.Held> entry :
-        store.entriesUnder(StateStore.MACHINE_PREFIX).entrySet()) {
+    for (Map.Entry<String, StoredValue> entry :
+        store.entriesUnder(StateKeys.MACHINE_PREFIX).entrySet()) {
       MachineEntry machineEntry = (MachineEntry) entry.getValue().value();
-      String id = entry.getKey().substring(StateStore.MACHINE_PREFIX.length());
+      String id = StateKeys.machineOf(entry.getKey());
       MachineView machine = view.machines.get(id);
       PeerState peer = view.peer(machineEntry.node());
       long revision = view.isFullyReported(id, machineEntry) ? peer.replicaRevision() : -1;
@@ -697,10 +700,10 @@
     RetryDelay retry = claimRetries.get(id);
     JobEntry claimed = job.withLeader(settings.node(), store.incarnation());
     JobBitmaps.Write claim =
-        jobBitmaps.writePreservingBits(claimed, store.modRevision(StateStore.JOB_PREFIX + id));
+        jobBitmaps.writePreservingBits(claimed, store.modRevision(StateKeys.job(id)));
     boolean accepted =
         store.transact(
-            StateStore.Urgency.JOB,
+            RequestPriority.JOB,
             new Transaction(claim.conditions(), claim.puts(), List.of()),
             reply -> {
               claimsInFlight.remove(id);
@@ -756,7 +759,7 @@
     ledJob.dirtyPieces().removeAll(pieces);
     boolean accepted =
         store.transact(
-            StateStore.Urgency.JOB,
+            RequestPriority.JOB,
             new Transaction(write.conditions(), write.puts(), List.of()),
             reply -> handleWriteResult(ledJob, pieces, reply.code()));
     if (!accepted) {
@@ -796,8 +799,8 @@
     ledJob.setWriteInFlight(true);
     boolean accepted =
         store.read(
-            StateStore.Urgency.JOB,
-            StateStore.JOB_PREFIX + ledJob.id(),
+            RequestPriority.JOB,
+            StateKeys.job(ledJob.id()),
             reply -> {
               ledJob.setWriteInFlight(false);
               ledJob.setLastWriteMs(clock.now());
--- a/src/main/java/mallowstall/core/kv/JobBitmaps.java
+++ b/src/main/java/mallowstall/core/kv/JobBitmaps.java
@@ -47,7 +47,7 @@
   private final String longestNode;
   private final ToIntFunction<StoredEntry> encodedSize;
   private final BooleanSupplier compactLayoutReadable;
-  private final Function<String, StateStore.Held> entryLookup;
+  private final Function<String, StoredValue> entryLookup;
 
   /**
    * {@code allReadPieces} tells whether every controller reads the compact layout, {@code stored}
@@ -57,7 +57,7 @@
       CoreSettings settings,
       ToIntFunction<StoredEntry> encodedSize,
       BooleanSupplier allReadPieces,
-      Function<String, StateStore.Held> stored) {
+      Function<String, StoredValue> stored) {
     this.maxValueBytes = settings.maxValueBytes();
     this.maxTransactionOps = settings.maxTransactionOps();
     this.longestNode = longestNodeName(settings);
@@ -78,22 +78,22 @@
 
   /** The key of the job's entry. */
   public static String jobKey(String job) {
-    return StateStore.JOB_PREFIX + job;
+    return StateKeys.job(job);
   }
 
   /** The key of a further chunk of the job's completion bits. */
   public static String chunkKey(String job, int chunk) {
-    return StateStore.COMPLETION_BITS_PREFIX + job + "/" + chunk;
+    return StateKeys.COMPLETION_BITS_PREFIX + job + "/" + chunk;
   }
 
   /** Versions without the compact layout never look such a key up. */
   public static String pieceKey(String job, int piece) {
-    return StateStore.COMPLETION_BITS_PREFIX + job + "/p" + piece;
+    return StateKeys.COMPLETION_BITS_PREFIX + job + "/p" + piece;
   }
 
   /** The job to which a key of bits belongs. */
   static String jobFromBitsKey(String bitsKey) {
-    return bitsKey.substring(StateStore.COMPLETION_BITS_PREFIX.length(), bitsKey.lastIndexOf('/'));
+    return bitsKey.substring(StateKeys.COMPLETION_BITS_PREFIX.length(), bitsKey.lastIndexOf('/'));
   }
 
   /** The piece that holds the task's completion bit in the compact layout. */
@@ -113,8 +113,7 @@
   }
 
   /** All tasks that are recorded as done by what stands under the keys. */
-  public static BitSet completedTasks(
-      JobEntry entry, Function<String, StateStore.Held> entryLookup) {
+  public static BitSet completedTasks(JobEntry entry, Function<String, StoredValue> entryLookup) {
     BitSet done = BitSet.valueOf(entry.completionBits());
     if (isInline(entry.spec())) {
       return done;
@@ -130,7 +129,7 @@
     return done;
   }
 
-  private static void addBits(BitSet done, StateStore.Held storedValue, int firstTask) {
+  private static void addBits(BitSet done, StoredValue storedValue, int firstTask) {
     BitSet bits = BitSet.valueOf(storedBits(storedValue));
     for (int i = bits.nextSetBit(0); i >= 0; i = bits.nextSetBit(i + 1)) {
       done.set(firstTask + i);
@@ -157,7 +156,7 @@
     return storedBits(entryLookup.apply(key));
   }
 
-  private static byte[] storedBits(StateStore.Held storedValue) {
+  private static byte[] storedBits(StoredValue storedValue) {
     return storedValue == null ? new byte[0] : ((CompletionBitsEntry) storedValue.value()).bits();
   }
 
@@ -359,7 +358,7 @@
   }
 
   private long modRevision(String key) {
-    StateStore.Held storedValue = entryLookup.apply(key);
+    StoredValue storedValue = entryLookup.apply(key);
     return storedValue == null ? 0 : storedValue.modRevision();
   }
 
--- a/src/main/java/mallowstall/core/kv/StateChangeDispatcher.java
+++ b/src/main/java/mallowstall/core/kv/StateChangeDispatcher.java
@@ -9,7 +9,7 @@
 import mallowstall.core.model.StoredEntry;
 
 /** Hands each change of the replica, typed, to the modules it concerns, in their fixed order. */
-public final class StateChangeDispatcher implements StateStore.Listener {
+public final class StateChangeDispatcher implements StateChangeListener {
   /** Is told of changes of jobs; their entries are never deleted. */
   public interface JobSubscriber {
     /** A job's entry has changed; {@code before} is null if it is new. */
@@ -52,16 +52,16 @@
 
   @Override
   public void entryChanged(String key, StoredEntry before, StoredEntry after) {
-    if (key.startsWith(StateStore.JOB_PREFIX)) {
+    if (key.startsWith(StateKeys.JOB_PREFIX)) {
       if (after != null) {
         jobChanged((JobEntry) before, (JobEntry) after);
       }
-    } else if (key.startsWith(StateStore.COMPLETION_BITS_PREFIX)) {
+    } else if (key.startsWith(StateKeys.COMPLETION_BITS_PREFIX)) {
       if (after != null) {
         completionBits.accept(JobBitmaps.jobFromBitsKey(key));
       }
-    } else if (key.startsWith(StateStore.MACHINE_PREFIX)) {
-      machineChanged(key.substring(StateStore.MACHINE_PREFIX.length()), (MachineEntry) after);
+    } else if (key.startsWith(StateKeys.MACHINE_PREFIX)) {
+      machineChanged(StateKeys.machineOf(key), (MachineEntry) after);
     }
   }
 
--- a/src/main/java/mallowstall/core/machines/MachineEntryWriter.java
+++ b/src/main/java/mallowstall/core/machines/MachineEntryWriter.java
@@ -10,6 +10,8 @@
 import mallowstall.core.kernel.PutOperation;
 import mallowstall.core.kernel.Transaction;
 import mallowstall.core.kernel.TransactionResult;
+import mallowstall.core.kv.RequestPriority;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.kv.StateStore;
 import mallowstall.core.model.CoreSettings;
 import mallowstall.core.model.MachineEntry;
@@ -59,11 +61,11 @@
   /** Makes this controller the machine's recorded owner; false: refused for the backlog. */
   boolean writeEntry(
       String id, String type, String zone, boolean spot, Consumer<TransactionResult> callback) {
-    String key = StateStore.MACHINE_PREFIX + id;
+    String key = StateKeys.machine(id);
     MachineEntry machineEntry =
         new MachineEntry(settings.node(), store.incarnation(), 0, type, zone, spot);
     return store.transact(
-        StateStore.Urgency.MACHINE,
+        RequestPriority.MACHINE,
         new Transaction(
             List.of(new Condition(key, store.modRevision(key)), sessionCondition()),
             List.of(new PutOperation(key, machineEntry, 0)),
@@ -73,10 +75,10 @@
 
   /** Writes one record that names many machines; false: refused for the backlog. */
   boolean writeGroup(List<MachineGroupMember> machines, Consumer<TransactionResult> callback) {
-    String key = StateStore.MACHINE_GROUP_PREFIX + store.incarnation() + "-" + ++groupCounter;
+    String key = StateKeys.MACHINE_GROUP_PREFIX + store.incarnation() + "-" + ++groupCounter;
     PutOperation put = new PutOperation(key, groupEntry(machines), 0);
     return store.transact(
-        StateStore.Urgency.MACHINE,
+        RequestPriority.MACHINE,
         new Transaction(
             List.of(new Condition(key, 0), sessionCondition()), List.of(put), List.of()),
         callback);
@@ -93,7 +95,7 @@
 
   /** A change applied late, after this process has ended, must not make it an owner again. */
   private Condition sessionCondition() {
-    String key = StateStore.SESSION_PREFIX + settings.node();
+    String key = StateKeys.session(settings.node());
     return new Condition(key, store.modRevision(key));
   }
 
@@ -111,7 +113,7 @@
         continue;
       }
       store.transact(
-          StateStore.Urgency.BACKGROUND,
+          RequestPriority.BACKGROUND,
           new Transaction(List.of(), List.of(), List.of(key)),
           reply -> {});
       return;
--- a/src/main/java/mallowstall/core/machines/MachineFailover.java
+++ b/src/main/java/mallowstall/core/machines/MachineFailover.java
@@ -15,7 +15,9 @@
 import mallowstall.core.kernel.EventClock;
 import mallowstall.core.kernel.ResultCode;
 import mallowstall.core.kernel.TransactionResult;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.kv.StateStore;
+import mallowstall.core.kv.StoredValue;
 import mallowstall.core.model.CoreSettings;
 import mallowstall.core.model.Heartbeat;
 import mallowstall.core.model.MachineEntry;
@@ -86,13 +88,13 @@
     nextProbeMs = now + Constants.MACHINE_FAILOVER_SCAN_INTERVAL_MS;
     Set<String> leaderless = new HashSet<>();
     int probesLeft = Constants.MACHINE_FAILOVER_BATCH;
-    for (Map.Entry<String, StateStore.Held> entry :
-        store.entriesUnder(StateStore.MACHINE_PREFIX).entrySet()) {
+    for (Map.Entry<String, StoredValue> entry :
+        store.entriesUnder(StateKeys.MACHINE_PREFIX).entrySet()) {
       MachineEntry machineEntry = (MachineEntry) entry.getValue().value();
       if (store.isLive(machineEntry.node(), machineEntry.incarnation())) {
         continue;
       }
-      String id = entry.getKey().substring(StateStore.MACHINE_PREFIX.length());
+      String id = StateKeys.machineOf(entry.getKey());
       leaderless.add(id);
       leaderlessSinceMs.putIfAbsent(id, now);
       if (probesLeft > 0 && probeDue(id, machineEntry, now)) {
--- a/src/main/java/mallowstall/core/machines/MachineRegistration.java
+++ b/src/main/java/mallowstall/core/machines/MachineRegistration.java
@@ -17,7 +17,9 @@
 import mallowstall.core.kernel.EventClock;
 import mallowstall.core.kernel.ResultCode;
 import mallowstall.core.kernel.TransactionResult;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.kv.StateStore;
+import mallowstall.core.kv.StoredValue;
 import mallowstall.core.kv.ValueSize;
 import mallowstall.core.model.CoreSettings;
 import mallowstall.core.model.Heartbeat;
@@ -307,7 +309,7 @@
   private void completeRegistration(Arriving arrival, TransactionResult reply) {
     Heartbeat heartbeat = arrival.heartbeat;
     entryWriter.clearInFlight(heartbeat.machine());
-    StateStore.Held stored = store.entry(StateStore.MACHINE_PREFIX + heartbeat.machine());
+    StoredValue stored = store.entry(StateKeys.machine(heartbeat.machine()));
     if (reply.code() != ResultCode.OK
         || stored == null
         || stored.modRevision() != reply.revision()) {
--- a/src/main/java/mallowstall/core/machines/RestartRecovery.java
+++ b/src/main/java/mallowstall/core/machines/RestartRecovery.java
@@ -11,7 +11,9 @@
 import mallowstall.core.kernel.EventClock;
 import mallowstall.core.kernel.ResultCode;
 import mallowstall.core.kernel.TransactionResult;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.kv.StateStore;
+import mallowstall.core.kv.StoredValue;
 import mallowstall.core.model.CoreSettings;
 import mallowstall.core.model.MachineEntry;
 import mallowstall.core.model.MachineType;
@@ -100,10 +102,10 @@
 
   private List<String> machinesOfFormerIncarnation() {
     List<String> former = new ArrayList<>();
-    for (Map.Entry<String, StateStore.Held> entry :
-        store.entriesUnder(StateStore.MACHINE_PREFIX).entrySet()) {
+    for (Map.Entry<String, StoredValue> entry :
+        store.entriesUnder(StateKeys.MACHINE_PREFIX).entrySet()) {
       if (isFromFormerIncarnation((MachineEntry) entry.getValue().value())) {
-        former.add(entry.getKey().substring(StateStore.MACHINE_PREFIX.length()));
+        former.add(StateKeys.machineOf(entry.getKey()));
       }
     }
     return former;
--- a/src/main/java/mallowstall/core/quota/QuotaLedger.java
+++ b/src/main/java/mallowstall/core/quota/QuotaLedger.java
@@ -21,7 +21,10 @@
 import mallowstall.core.kernel.Transaction;
 import mallowstall.core.kernel.TransactionResult;
 import mallowstall.core.kv.JobBitmaps;
+import mallowstall.core.kv.RequestPriority;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.kv.StateStore;
+import mallowstall.core.kv.StoredValue;
 import mallowstall.core.model.CoreSettings;
 import mallowstall.core.model.JobEntry;
 import mallowstall.core.model.JobSpec;
@@ -75,7 +78,7 @@
     void add(LedJob ledJob, int tasks) {
       cpus += tasks * ledJob.spec().cpus();
       gpus += tasks * ledJob.spec().gpus();
-      String key = StateStore.JOB_PREFIX + ledJob.id();
+      String key = StateKeys.job(ledJob.id());
       conditions.add(new Condition(key, ledJob.modRevision()));
       puts.add(
           new PutOperation(
@@ -205,7 +208,7 @@
   }
 
   private void send(String team, Change change, long now) {
-    String key = StateStore.TEAM_PREFIX + team;
+    String key = StateKeys.team(team);
     change.conditions.add(new Condition(key, store.modRevision(key)));
     TeamUsageEntry usage = new TeamUsageEntry(Math.max(0, change.cpus), Math.max(0, change.gpus));
     change.puts.add(new PutOperation(key, usage, 0));
@@ -216,7 +219,7 @@
     nextChangeMs.put(team, now + Constants.QUOTA_TRANSACTION_INTERVAL_MIN_MS);
     boolean accepted =
         store.transact(
-            StateStore.Urgency.JOB,
+            RequestPriority.JOB,
             new Transaction(change.conditions, change.puts, List.of()),
             reply -> handleResult(team, change, reply));
     if (!accepted) {
@@ -238,8 +241,8 @@
     }
     if (reply.code() == ResultCode.CONFLICT) {
       teamsInFlight.add(team);
-      String key = StateStore.TEAM_PREFIX + team;
-      if (!store.read(StateStore.Urgency.JOB, key, read -> teamsInFlight.remove(team))) {
+      String key = StateKeys.team(team);
+      if (!store.read(RequestPriority.JOB, key, read -> teamsInFlight.remove(team))) {
         teamsInFlight.remove(team);
       }
     } else if (reply.code() != ResultCode.OK) {
@@ -353,7 +356,7 @@
   }
 
   private TeamUsageEntry teamUsage(String team) {
-    StateStore.Held stored = store.entry(StateStore.TEAM_PREFIX + team);
+    StoredValue stored = store.entry(StateKeys.team(team));
     return stored == null ? new TeamUsageEntry(0, 0) : (TeamUsageEntry) stored.value();
   }
 
--- a/src/test/java/mallowstall/core/CombinedFaultsTest.java
+++ b/src/test/java/mallowstall/core/CombinedFaultsTest.java
@@ -9,7 +9,7 @@
 import java.util.TreeMap;
 import mallowstall.core.kernel.PutOperation;
 import mallowstall.core.kernel.Transaction;
-import mallowstall.core.kv.StateStore;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.model.ApiResponse;
 import mallowstall.core.model.Heartbeat;
 import mallowstall.core.model.HeartbeatResponse;
@@ -218,7 +218,7 @@
     sim.runUntil(8_000);
     SimulatedController node = sim.controllers.get("n1");
     long former = node.core.incarnation();
-    long lease = sim.stateService.entries.get(StateStore.SESSION_PREFIX + "n1").leaseId();
+    long lease = sim.stateService.entries.get(StateKeys.session("n1")).leaseId();
     node.crash(150);
     while (node.core.incarnation() == 0 || node.core.store().sessionRemainingMs() <= 0) {
       sim.runUntil(sim.nowMs + 10);
@@ -226,20 +226,19 @@
     assertTrue(sim.stateService.leases.containsKey(lease), "the former lease hasn't ended yet");
     // as a former version would have asked for it, compared with nothing
     PutOperation late =
-        new PutOperation(StateStore.SESSION_PREFIX + "n1", new SessionEntry("n1", former), lease);
+        new PutOperation(StateKeys.session("n1"), new SessionEntry("n1", former), lease);
     sim.stateService.transact(new Transaction(List.of(), List.of(late), List.of()));
     long until = sim.nowMs + 12_000;
     boolean lost = false;
     while (sim.nowMs < until) {
       sim.runUntil(sim.nowMs + 50);
-      lost |= !sim.stateService.entries.containsKey(StateStore.SESSION_PREFIX + "n1");
+      lost |= !sim.stateService.entries.containsKey(StateKeys.session("n1"));
       SimulatedStateService.StoredValue value =
-          sim.stateService.entries.get(StateStore.SESSION_PREFIX + "n1");
+          sim.stateService.entries.get(StateKeys.session("n1"));
       lost |= value != null && ((SessionEntry) value.value()).incarnation() == former;
     }
     assertTrue(lost, "it was replaced");
-    SimulatedStateService.StoredValue now =
-        sim.stateService.entries.get(StateStore.SESSION_PREFIX + "n1");
+    SimulatedStateService.StoredValue now = sim.stateService.entries.get(StateKeys.session("n1"));
     assertEquals(node.core.incarnation(), ((SessionEntry) now.value()).incarnation());
     assertTrue(sim.stateService.leases.containsKey(now.leaseId()));
     sim.submit(batchSpec(sim, CANCELLED_JOB, 12));
@@ -264,7 +263,7 @@
                 txn ->
                     txn.conditions().stream()
                         .anyMatch(
-                            condition -> condition.key().startsWith(StateStore.SESSION_PREFIX))));
+                            condition -> condition.key().startsWith(StateKeys.SESSION_PREFIX))));
     assertTrue(
         asked.stream()
             .anyMatch(t -> t.puts().stream().anyMatch(p -> p.value() instanceof SessionEntry)));
@@ -511,8 +510,7 @@
             used < 22 && sim.nowMs < until;
             sim.runUntil(sim.nowMs + 200)) {
           used =
-              ((TeamUsageEntry)
-                      sim.stateService.entries.get(StateStore.TEAM_PREFIX + "tight").value())
+              ((TeamUsageEntry) sim.stateService.entries.get(StateKeys.team("tight")).value())
                   .reservedCpus();
         }
         SimulatedController node = sim.controllers.get(sim.jobEntry("wk-000005").leader());
--- a/src/test/java/mallowstall/core/FaultSafetyTest.java
+++ b/src/test/java/mallowstall/core/FaultSafetyTest.java
@@ -16,7 +16,7 @@
 import mallowstall.core.kernel.ResultCode;
 import mallowstall.core.kernel.Transaction;
 import mallowstall.core.kernel.TransactionResult;
-import mallowstall.core.kv.StateStore;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.model.ApiResponse;
 import mallowstall.core.model.AutoscalerLeaderEntry;
 import mallowstall.core.model.JobEntry;
@@ -57,14 +57,14 @@
     sim.submit(batchSpec(sim, "wk-000001", 6, "tight"));
     sim.runUntil(7_000);
     JobEntry before = sim.jobEntry("wk-000001");
-    long version = sim.stateService.entries.get(StateStore.JOB_PREFIX + "wk-000001").version();
+    long version = sim.stateService.entries.get(StateKeys.job("wk-000001")).version();
     sim.runUntil(60_000);
     assertFinished(sim, "wk-000001");
     TransactionResult late =
         sim.stateService.transact(
             new Transaction(
-                List.of(new Condition(StateStore.JOB_PREFIX + "wk-000001", version)),
-                List.of(new PutOperation(StateStore.JOB_PREFIX + "wk-000001", before, 0)),
+                List.of(new Condition(StateKeys.job("wk-000001"), version)),
+                List.of(new PutOperation(StateKeys.job("wk-000001"), before, 0)),
                 List.of()));
     assertEquals(ResultCode.CONFLICT, late.code());
     sim.runUntil(70_000);
@@ -77,7 +77,7 @@
       Simulation sim = new Simulation(33);
       sim.runUntil(6_000);
       sim.submit(batchSpec(sim, "wk-000001", 10, "free"));
-      while (!sim.stateService.entries.containsKey(StateStore.JOB_PREFIX + "wk-000001")) {
+      while (!sim.stateService.entries.containsKey(StateKeys.job("wk-000001"))) {
         sim.runUntil(sim.nowMs + 1);
       }
       sim.runUntil(sim.nowMs + after);
@@ -177,7 +177,7 @@
       Simulation sim = new Simulation(39);
       sim.runUntil(6_000);
       sim.submit(batchSpec(sim, "wk-000001", 12, "tight"));
-      while (!sim.stateService.entries.containsKey(StateStore.JOB_PREFIX + "wk-000001")) {
+      while (!sim.stateService.entries.containsKey(StateKeys.job("wk-000001"))) {
         sim.runUntil(sim.nowMs + 1);
       }
       sim.runUntil(sim.nowMs + after);
@@ -186,8 +186,7 @@
       assertEquals(List.of(), sim.checker.violations);
       assertEquals("cancelled", sim.checker.lastState("wk-000001"));
       assertEquals(0, sim.jobEntry("wk-000001").quotaReservedTasks(), "the grant is given back");
-      SimulatedStateService.StoredValue sum =
-          sim.stateService.entries.get(StateStore.TEAM_PREFIX + "tight");
+      SimulatedStateService.StoredValue sum = sim.stateService.entries.get(StateKeys.team("tight"));
       assertEquals(0, sum == null ? 0 : ((TeamUsageEntry) sum.value()).reservedCpus(), 1e-9);
     }
   }
@@ -205,7 +204,7 @@
     }
     assertEquals(
         0,
-        ((TeamUsageEntry) sim.stateService.entries.get(StateStore.TEAM_PREFIX + "tight").value())
+        ((TeamUsageEntry) sim.stateService.entries.get(StateKeys.team("tight")).value())
             .reservedCpus(),
         1e-9);
   }
@@ -229,7 +228,7 @@
       }
       claimant.stateDelayMs = 900;
       // its claim is executed, the answer is lost, and its watch tells it late
-      String key = StateStore.JOB_PREFIX + "wk-000001";
+      String key = StateKeys.job("wk-000001");
       JobEntry mine = sim.jobEntry("wk-000001").withLeader(name, claimant.core.incarnation());
       long version = sim.stateService.entries.get(key).version();
       assertEquals(
@@ -523,7 +522,7 @@
     node.crash(60_000);
     SimulatedController next = awaitFailover(sim, "wk-000001", node);
     assertFalse(next.core.mayPlace("wk-000001"));
-    long lease = sim.stateService.entries.get(StateStore.SESSION_PREFIX + next.name).leaseId();
+    long lease = sim.stateService.entries.get(StateKeys.session(next.name)).leaseId();
     sim.stateService.revokeLease(lease);
     sim.runUntil(sim.nowMs + 75_000);
     boolean over = sim.jobEntry("wk-000001").outcome() == JobOutcome.DONE;
@@ -561,10 +560,10 @@
   void quickRestartDuringFailoverKeepsInvariants() {
     for (String prefix :
         List.of(
-            StateStore.AUTOSCALER_LEADER_KEY,
-            StateStore.JOB_PREFIX,
-            StateStore.MACHINE_GROUP_PREFIX,
-            StateStore.MACHINE_PREFIX)) {
+            StateKeys.AUTOSCALER_LEADER_KEY,
+            StateKeys.JOB_PREFIX,
+            StateKeys.MACHINE_GROUP_PREFIX,
+            StateKeys.MACHINE_PREFIX)) {
       Simulation sim = new Simulation(74);
       sim.duplicateHeartbeatRate = 0.2;
       sim.messageLossRate = 0.03;
--- a/src/test/java/mallowstall/core/JobBitmapsTest.java
+++ b/src/test/java/mallowstall/core/JobBitmapsTest.java
@@ -15,7 +15,7 @@
 import mallowstall.core.kernel.Condition;
 import mallowstall.core.kernel.PutOperation;
 import mallowstall.core.kv.JobBitmaps;
-import mallowstall.core.kv.StateStore;
+import mallowstall.core.kv.StoredValue;
 import mallowstall.core.model.CompletionBitsEntry;
 import mallowstall.core.model.CoreSettings;
 import mallowstall.core.model.JobEntry;
@@ -31,7 +31,7 @@
   private static final String JOB = "wk-000001";
   private static final int MANY_TASKS = 100_000;
 
-  private final Map<String, StateStore.Held> storedEntries = new HashMap<>();
+  private final Map<String, StoredValue> storedEntries = new HashMap<>();
   private boolean allVersionsReadPieces = true;
   private long version;
 
@@ -103,7 +103,7 @@
   private void store(List<PutOperation> puts) {
     version++;
     for (PutOperation put : puts) {
-      storedEntries.put(put.key(), new StateStore.Held(put.value(), version));
+      storedEntries.put(put.key(), new StoredValue(put.value(), version));
     }
   }
 
@@ -125,7 +125,7 @@
           put.key() + " has " + Simulation.encodedSize(put.value()));
     }
     for (Condition condition : write.conditions()) {
-      StateStore.Held held = storedEntries.get(condition.key());
+      StoredValue held = storedEntries.get(condition.key());
       assertEquals(held == null ? 0 : held.modRevision(), condition.modRevision(), condition.key());
     }
     store(write.puts());
--- a/src/test/java/mallowstall/core/MachineLeadershipTest.java
+++ b/src/test/java/mallowstall/core/MachineLeadershipTest.java
@@ -16,7 +16,7 @@
 import mallowstall.core.kernel.KeyValue;
 import mallowstall.core.kernel.PutOperation;
 import mallowstall.core.kernel.Transaction;
-import mallowstall.core.kv.StateStore;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.model.Heartbeat;
 import mallowstall.core.model.HeartbeatResponse;
 import mallowstall.core.model.MachineEntry;
@@ -37,8 +37,8 @@
         .filter(item -> item.modRevision() > since)
         .filter(
             i ->
-                i.key().startsWith(StateStore.MACHINE_GROUP_PREFIX)
-                    || i.key().startsWith(StateStore.MACHINE_PREFIX))
+                i.key().startsWith(StateKeys.MACHINE_GROUP_PREFIX)
+                    || i.key().startsWith(StateKeys.MACHINE_PREFIX))
         .count();
   }
 
@@ -212,9 +212,7 @@
     sim.stateService.transact(
         new Transaction(
             List.of(),
-            List.of(
-                new PutOperation(
-                    StateStore.MACHINE_PREFIX + worker.id, MachineEntry.tombstone(), 0)),
+            List.of(new PutOperation(StateKeys.machine(worker.id), MachineEntry.tombstone(), 0)),
             List.of()));
     sim.runUntil(sim.nowMs + 3_000);
     for (long token : new long[] {0, worker.token}) {
@@ -347,8 +345,8 @@
             () ->
                 node.core
                     .store()
-                    .applyItem(
-                        new KeyValue(StateStore.MACHINE_GROUP_PREFIX + "9-9", group, revision)));
+                    .applyChange(
+                        new KeyValue(StateKeys.MACHINE_GROUP_PREFIX + "9-9", group, revision)));
       }
       sim.runUntil(first + Simulation.LEASE_MS + 6_000);
       assertEquals(!between, node.core.view().machines.get(worker.id).status().leaseExpired());
@@ -388,8 +386,8 @@
             other.name,
             other.core.incarnation(),
             List.of(new MachineGroupMember(worker.id, "t8", worker.zone, worker.spot)));
-    sim.stateService.applyChange(StateStore.MACHINE_GROUP_PREFIX + "9-9", group, revision, 0);
-    String key = StateStore.MACHINE_PREFIX + worker.id;
+    sim.stateService.applyChange(StateKeys.MACHINE_GROUP_PREFIX + "9-9", group, revision, 0);
+    String key = StateKeys.machine(worker.id);
     SimulatedStateService.StoredValue before = sim.stateService.entries.get(key);
     if (inFlight) {
       node.machineWriteDelayMs = 600;
--- a/src/test/java/mallowstall/core/ReplicasTest.java
+++ b/src/test/java/mallowstall/core/ReplicasTest.java
@@ -6,7 +6,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import mallowstall.core.kv.StateStore;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.model.ExitReason;
 import mallowstall.core.model.Priority;
 import org.junit.jupiter.api.Test;
@@ -28,8 +28,7 @@
       sim.submit(
           sim.serviceSpec(SERVICE, 3, 2, Priority.NORMAL, "tight", false, false, true, null));
       long until = sim.nowMs + 2_000;
-      while (sim.nowMs < until
-          && !sim.stateService.entries.containsKey(StateStore.JOB_PREFIX + SERVICE)) {
+      while (sim.nowMs < until && !sim.stateService.entries.containsKey(StateKeys.job(SERVICE))) {
         sim.runUntil(sim.nowMs + 1);
       }
       sim.messageLossRate = 0.99;
--- a/src/test/java/mallowstall/core/SimulatedController.java
+++ b/src/test/java/mallowstall/core/SimulatedController.java
@@ -20,7 +20,7 @@
 import mallowstall.core.kernel.Transaction;
 import mallowstall.core.kernel.TransactionResult;
 import mallowstall.core.kernel.WatchResult;
-import mallowstall.core.kv.StateStore;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.model.CoreSettings;
 import mallowstall.core.model.JobEntry;
 import mallowstall.core.model.JobOutcome;
@@ -198,7 +198,7 @@
     if (supportsServices()) {
       return true;
     }
-    if (key.startsWith(StateStore.VERSION_PREFIX)) {
+    if (key.startsWith(StateKeys.VERSION_PREFIX)) {
       return false;
     }
     return value == null || decodeForVersion(value) != null;
--- a/src/test/java/mallowstall/core/Simulation.java
+++ b/src/test/java/mallowstall/core/Simulation.java
@@ -12,7 +12,8 @@
 import java.util.function.Consumer;
 import mallowstall.core.cluster.MachineView;
 import mallowstall.core.kv.JobBitmaps;
-import mallowstall.core.kv.StateStore;
+import mallowstall.core.kv.StateKeys;
+import mallowstall.core.kv.StoredValue;
 import mallowstall.core.model.ApiResponse;
 import mallowstall.core.model.ExitReason;
 import mallowstall.core.model.JobEntry;
@@ -357,7 +358,7 @@
 
   /** The job's entry in the state service. */
   JobEntry jobEntry(String id) {
-    return (JobEntry) stateService.entries.get(StateStore.JOB_PREFIX + id).value();
+    return (JobEntry) stateService.entries.get(StateKeys.job(id)).value();
   }
 
   /** All tasks of the job that are readable as done in the state service. */
@@ -366,7 +367,7 @@
         jobEntry(id),
         key -> {
           SimulatedStateService.StoredValue value = stateService.entries.get(key);
-          return value == null ? null : new StateStore.Held(value.value(), value.version());
+          return value == null ? null : new StoredValue(value.value(), value.version());
         });
   }
 
--- a/src/test/java/mallowstall/core/StateLimitsTest.java
+++ b/src/test/java/mallowstall/core/StateLimitsTest.java
@@ -19,7 +19,7 @@
 import mallowstall.core.kernel.ResultCode;
 import mallowstall.core.kernel.Transaction;
 import mallowstall.core.kv.JobBitmaps;
-import mallowstall.core.kv.StateStore;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.model.ApiResponse;
 import mallowstall.core.model.CompletionBitsEntry;
 import mallowstall.core.model.IncarnationCounterEntry;
@@ -106,10 +106,7 @@
   /** Changes of the controller's session entry since then, its end among them. */
   private static long countSessionChanges(Simulation sim, String node, long revision) {
     return sim.stateService.changes.stream()
-        .filter(
-            item ->
-                item.modRevision() > revision
-                    && item.key().equals(StateStore.SESSION_PREFIX + node))
+        .filter(item -> item.modRevision() > revision && item.key().equals(StateKeys.session(node)))
         .count();
   }
 
@@ -448,7 +445,7 @@
     }
     assertTrue(retained.size() > sim.workers.size() * 9 / 10, "kept: " + retained.size());
     assertTrue(
-        sim.stateService.entries.containsKey(StateStore.AUTOSCALER_LEADER_KEY),
+        sim.stateService.entries.containsKey(StateKeys.AUTOSCALER_LEADER_KEY),
         "somebody rents and returns machines again");
     int registered = 0;
     for (KeyValue item : sim.stateService.changes) {
