--- a/src/main/java/mallowstall/core/autoscaling/Autoscaler.java
+++ b/src/main/java/mallowstall/core/autoscaling/Autoscaler.java
@@ -227,7 +227,7 @@
   private void countRegistered(String id, MachineEntry entry, FleetState fleetState, long now) {
     fleetState.registered.add(id);
     scaleOut.pendingMachines().remove(id);
-    MachineView machine = view.machines.get(id);
+    MachineView machine = view.machine(id);
     boolean leaderLive = store.isLive(entry.node(), entry.incarnation());
     if (view.isFullyReported(id, entry)
         && leaderLive
--- a/src/main/java/mallowstall/core/autoscaling/MachineDemand.java
+++ b/src/main/java/mallowstall/core/autoscaling/MachineDemand.java
@@ -241,7 +241,7 @@
   private void recomputeReserved() {
     reserved.clear();
     List<MachineView> available = new ArrayList<>();
-    for (MachineView machine : view.machines.values()) {
+    for (MachineView machine : view.machines()) {
       if (machine.isSchedulable()) {
         available.add(machine);
       }
--- a/src/main/java/mallowstall/core/autoscaling/ScaleOut.java
+++ b/src/main/java/mallowstall/core/autoscaling/ScaleOut.java
@@ -230,7 +230,7 @@
 
   private List<String> zonesByFewest(String type) {
     Map<String, Integer> countByZone = new HashMap<>();
-    for (MachineView machine : view.machines.values()) {
+    for (MachineView machine : view.machines()) {
       if (machine.status() != null && machine.status().type().equals(type)) {
         countByZone.merge(machine.status().zone(), 1, Integer::sum);
       }
--- a/src/main/java/mallowstall/core/cluster/ClusterView.java
+++ b/src/main/java/mallowstall/core/cluster/ClusterView.java
@@ -1,11 +1,12 @@
 package mallowstall.core.cluster;
 
-import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 import it.unimi.dsi.fastutil.objects.Object2ObjectOpenHashMap;
 import java.util.ArrayList;
+import java.util.Collection;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashSet;
+import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import mallowstall.Constants;
@@ -19,157 +20,155 @@
 import mallowstall.core.model.TaskStatus;
 
 /**
- * What this controller knows of all machines: its own from reports, the others' from their owners'
- * rosters. Always partial and a little old; owners vet every start.
+ * What this controller knows of all machines and controllers by status updates, its own included.
+ * Always partial and a little old: machine leaders check every start again. Mutable.
  */
 public final class ClusterView {
-
-  public final Map<String, MachineView> machines = new Object2ObjectOpenHashMap<>();
-
-  /**
-   * Tasks on machines and running ones among them, by job, as all owners tell. Kept with each
-   * machine that changes: counted over all machines in every round, and for every question about a
-   * job held elsewhere, they took a third of all processor time.
-   */
-  private final Object2IntOpenHashMap<String> placedTasks = new Object2IntOpenHashMap<>();
-
-  private final Object2IntOpenHashMap<String> runningTasks = new Object2IntOpenHashMap<>();
-  final Map<String, PeerState> peers = new HashMap<>();
-
-  /** Rosters received so far. */
-  public long updatesReceived;
-
-  /** Whether the last roster said something new of a machine, and didn't only restate. */
-  private boolean lastUpdateChangedMachines;
-
   private final EventClock clock;
   private final StateStore store;
+  private final Map<String, MachineView> machines = new Object2ObjectOpenHashMap<>();
+  private final Map<String, PeerState> peers = new HashMap<>();
+  private final TaskCounts taskCounts = new TaskCounts();
+  private long updatesReceived;
+  private boolean lastUpdateChangedMachines;
 
-  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  /** A view of no machines; {@code store} tells which machines and jobs still exist. */
   public ClusterView(EventClock clock, StateStore store) {
     this.clock = clock;
     this.store = store;
   }
 
-  /** What is known of this controller, which may be this process itself; never null. */
+  /** What is known of a controller, which may be this process itself; never null. */
   public PeerState peer(String node) {
     return peers.computeIfAbsent(node, PeerState::new);
   }
 
+  /** What is known of a machine; null if nothing is. */
+  public MachineView machine(String id) {
+    return machines.get(id);
+  }
+
+  /** All machines of which anything is known, in no particular order; a live view. */
+  public Collection<MachineView> machines() {
+    return machines.values();
+  }
+
+  /** The number of status updates applied so far. */
+  public long updatesReceived() {
+    return updatesReceived;
+  }
+
   /**
-   * Takes in a roster; returns false if it is older than what is known, or builds on a statement
-   * that never came. The sender then goes on from the last one that did, so nothing need be asked.
+   * Applies a status update. The sender builds its next one on the last that was applied, so
+   * nothing need be requested after a gap.
+   *
+   * @return false: not applied, since it is older than what is known or builds on one that was
+   *     never received
    */
-  boolean applyStatusUpdate(StatusUpdate statusUpdate) {
-    PeerState sender = peer(statusUpdate.node());
-    if (statusUpdate.incarnation() < sender.incarnation()) {
+  boolean applyStatusUpdate(StatusUpdate update) {
+    PeerState sender = peer(update.node());
+    if (update.incarnation() < sender.incarnation()) {
       return false;
     }
-    if (statusUpdate.incarnation() > sender.incarnation()) {
-      sender.startIncarnation(statusUpdate.incarnation());
+    if (update.incarnation() > sender.incarnation()) {
+      sender.startIncarnation(update.incarnation());
     }
-    // statements count from 1, so a process that has none of this one's is told all
-    if (statusUpdate.serial() <= sender.serial() || statusUpdate.baseSerial() > sender.serial()) {
+    // serials start at 1, so a process that has applied none of this one's gets a full update
+    if (update.serial() <= sender.serial() || update.baseSerial() > sender.serial()) {
       return false;
     }
-    sender.setLastUpdateOrdinal(++updatesReceived);
-    sender.applyHeader(statusUpdate, store.incarnation(), clock.now());
-    Set<String> listedMachines = applyMachines(statusUpdate, sender);
-    boolean isFullUpdate = statusUpdate.baseSerial() == 0;
+    sender.applyHeader(update, ++updatesReceived, store.incarnation(), clock.now());
+    Set<String> listed = applyMachines(update, sender);
+    boolean isFullUpdate = update.baseSerial() == 0;
     if (isFullUpdate) {
       for (String id : sender.machines()) {
-        if (!listedMachines.contains(id)) {
-          clearLeader(statusUpdate.node(), id);
+        if (!listed.contains(id)) {
+          clearLeader(update.node(), id);
         }
       }
-      sender.setMachines(listedMachines);
+      sender.replaceMachines(listed);
     } else {
-      sender.machines().addAll(listedMachines);
+      sender.addMachines(listed);
     }
-    for (String id : statusUpdate.releasedMachines()) {
-      if (sender.machines().remove(id)) {
-        clearLeader(statusUpdate.node(), id);
+    for (String id : update.releasedMachines()) {
+      if (sender.removeMachine(id)) {
+        clearLeader(update.node(), id);
       }
     }
     return true;
   }
 
-  /** Whether the last roster taken in said something new of a machine, or of its owner. */
+  /**
+   * Whether the last update applied changed a machine's status or leader, and didn't just repeat.
+   */
   boolean lastUpdateChangedMachines() {
     return lastUpdateChangedMachines;
   }
 
-  /** Takes in the machines that the roster names; returns those that are its sender's. */
-  private Set<String> applyMachines(StatusUpdate statusUpdate, PeerState sender) {
-    Set<String> listedMachines = new HashSet<>();
+  /** Applies the status of each machine of an update; returns those that its sender leads. */
+  private Set<String> applyMachines(StatusUpdate update, PeerState sender) {
+    Set<String> led = new HashSet<>();
     lastUpdateChangedMachines = false;
-    for (MachineStatus status : statusUpdate.machines()) {
-      // returned: its record is dropped, only its owner hasn't heard of it yet
+    for (MachineStatus status : update.machines()) {
+      // its entry is deleted, and its leader doesn't know that yet
       if (store.returned(status.machine(), status.entryRevision())) {
         continue;
       }
       MachineView machine = machines.computeIfAbsent(status.machine(), MachineView::new);
-      if (machine.status() != null && machine.status().fencingToken() > status.fencingToken()) {
+      MachineStatus former = machine.status();
+      if (former != null && former.fencingToken() > status.fencingToken()) {
         continue;
       }
-      listedMachines.add(status.machine());
+      led.add(status.machine());
       boolean leaderChanged = !sender.node().equals(machine.leader());
       if (leaderChanged && machine.leader() != null) {
-        peer(machine.leader()).machines().remove(status.machine());
+        peer(machine.leader()).removeMachine(status.machine());
       }
       lastUpdateChangedMachines |=
-          leaderChanged
-              || machine.status() == null
-              || !status.sameIgnoringElapsedTime(machine.status());
-      machine.setLeader(sender.node());
-      machine.setLeaderIncarnation(statusUpdate.incarnation());
-      machine.setUpdatedAtMs(clock.now());
-      adjustCount(machine.status(), -1);
-      machine.setStatus(status);
-      adjustCount(status, 1);
+          leaderChanged || former == null || !status.sameIgnoringElapsedTime(former);
+      taskCounts.subtract(former);
+      machine.applyStatus(sender.node(), update.incarnation(), status, clock.now());
+      taskCounts.add(status);
     }
-    return listedMachines;
+    return led;
   }
 
-  private void adjustCount(MachineStatus status, int delta) {
-    if (status == null) {
-      return;
-    }
-    for (TaskStatus task : status.tasks()) {
-      if (task.state() == TaskState.EXITED) {
-        continue;
-      }
-      adjustCount(placedTasks, task.job(), delta);
-      if (task.state() == TaskState.RUNNING) {
-        adjustCount(runningTasks, task.job(), delta);
-      }
+  private void clearLeader(String node, String id) {
+    MachineView machine = machines.get(id);
+    if (machine != null && node.equals(machine.leader())) {
+      machine.clearLeader();
     }
   }
 
-  private static void adjustCount(Object2IntOpenHashMap<String> counts, String job, int delta) {
-    if (counts.addTo(job, delta) + delta == 0) {
-      counts.removeInt(job);
+  /** The machine's entry was deleted: nothing is known of it any more. */
+  public void removeMachine(String id) {
+    MachineView machine = machines.remove(id);
+    if (machine == null) {
+      return;
+    }
+    taskCounts.subtract(machine.status());
+    if (machine.leader() != null) {
+      peer(machine.leader()).removeMachine(id);
     }
   }
 
-  /** Tasks of the job that are on machines, or were accepted there. */
+  /** The number of the job's tasks that are on machines or were accepted there. */
   public int placedTasks(String job) {
-    return placedTasks.getInt(job);
+    return taskCounts.placed(job);
   }
 
-  /** Number of the job's tasks that machine leaders show as running. */
+  /** The number of the job's tasks that run. */
   public int runningTasks(String job) {
-    return runningTasks.getInt(job);
+    return taskCounts.running(job);
   }
 
-  /** Brings what follows from the machine's tasks up to date with what its owner told last. */
+  /** Collects the machine's images anew if its status has changed since they were. */
   public void updateDerivedState(MachineView machine) {
-    if (machine.derivedFrom() == machine.status()) {
+    if (machine.hasCurrentImages()) {
       return;
     }
-    machine.setDerivedFrom(machine.status());
     Set<String> images = new LinkedHashSet<>(machine.status().images());
-    machine.setFetchingImages(new ArrayList<>());
+    List<String> fetching = new ArrayList<>();
     for (TaskStatus task : machine.status().tasks()) {
       JobEntry job = task.state() == TaskState.EXITED ? null : store.job(task.job());
       if (job == null) {
@@ -177,13 +176,13 @@
       }
       images.add(job.spec().image());
       if (task.state() == null || task.state() == TaskState.FETCHING) {
-        machine.fetchingImages().add(job.spec().image());
+        fetching.add(job.spec().image());
       }
     }
-    machine.setImages(images.toArray(new String[0]));
+    machine.setCurrentImages(images.toArray(new String[0]), fetching);
   }
 
-  /** Whether replicas of services are on the machine, as its owner last told. */
+  /** Whether replicas of services are on the machine, by its status. */
   public boolean hostsReplicas(MachineView machine) {
     for (TaskStatus task : machine.status().tasks()) {
       JobEntry job = task.state() == TaskState.EXITED ? null : store.job(task.job());
@@ -194,46 +193,32 @@
     return false;
   }
 
-  private void clearLeader(String node, String machine) {
-    MachineView machineView = machines.get(machine);
-    if (machineView != null && node.equals(machineView.leader())) {
-      machineView.setLeader(null);
-    }
-  }
-
-  /** When the machine's owner was last heard; what it has not changed since then still holds. */
+  /**
+   * Steady time in ms of the last update from the machine's leader; far in the past if it has none.
+   * What that update doesn't name has not changed up to then.
+   */
   public long lastUpdateMs(MachineView machine) {
     return machine.leader() == null ? Long.MIN_VALUE / 2 : peer(machine.leader()).lastUpdateMs();
   }
 
-  /** Whether the machine's owner was heard so lately that a start has a chance there. */
+  /** Whether the machine's leader published so lately that a start has a chance there. */
   public boolean hasRecentUpdate(MachineView machine) {
     return clock.now() - lastUpdateMs(machine) < Constants.STATUS_UPDATE_STALE_MS;
   }
 
-  /** The machine's entry was deleted: nothing is known of it any more. */
-  public void removeMachine(String machine) {
-    MachineView machineView = machines.remove(machine);
-    if (machineView != null) {
-      adjustCount(machineView.status(), -1);
-    }
-    if (machineView != null && machineView.leader() != null) {
-      peer(machineView.leader()).machines().remove(machine);
-    }
-  }
-
   /**
-   * Whether the machine's recorded owner has told all that is on it, with commands of former owners
-   * dead. The roster's revision then says up to where no start of an older epoch can reach it.
+   * Whether the leader in the machine's entry has published all that is on it, and commands of
+   * former leaders can't reach it any more. The revision of that leader's replica then tells up to
+   * which claims of a job's leadership no start of an earlier one can reach the machine.
    */
-  public boolean isFullyReported(String machine, MachineEntry entry) {
-    MachineView machineView = machines.get(machine);
-    return machineView != null
-        && machineView.leader() != null
-        && machineView.status() != null
-        && machineView.leader().equals(entry.node())
-        && machineView.leaderIncarnation() == entry.incarnation()
-        && machineView.status().fencingToken() == entry.fencingToken()
-        && machineView.status().tokenAcknowledged();
+  public boolean isFullyReported(String id, MachineEntry entry) {
+    MachineView machine = machines.get(id);
+    return machine != null
+        && machine.leader() != null
+        && machine.status() != null
+        && machine.leader().equals(entry.node())
+        && machine.leaderIncarnation() == entry.incarnation()
+        && machine.status().fencingToken() == entry.fencingToken()
+        && machine.status().tokenAcknowledged();
   }
 }
--- a/src/main/java/mallowstall/core/cluster/MachineView.java
+++ b/src/main/java/mallowstall/core/cluster/MachineView.java
@@ -8,192 +8,179 @@
 import mallowstall.core.model.MachineStatus;
 import mallowstall.core.model.TaskRef;
 
-/** One machine as seen from here. Mutable. */
+/**
+ * One machine as this controller sees it: the newest status that its leader has published, and what
+ * this controller has requested there since. Mutable; changed by {@link ClusterView} and by the
+ * placement pass.
+ */
 public final class MachineView {
   private final String id;
+
+  /** Null while no controller leads it. */
   private String leader;
-  private long leaderIncarnation;
 
-  /** When {@link #m} was told. */
+  private long leaderIncarnation;
   private long updatedAtMs;
 
+  /** Null until a first status is applied. */
   private MachineStatus status;
 
-  /** Room taken by starts sent from here and not yet in the owner's roster. */
   private double reservedCpus;
-
   private double reservedGpus;
   private double reservedMemoryGb;
 
-  /** Images that are there or that a task there needs, as of {@link #m}. */
+  /** Images on the machine and those that its tasks need, as of {@link #imagesStatus}. */
   private String[] images = {};
 
-  /** For each task there that waits for its image, or was only accepted, that image. */
   private List<String> fetchingImages = List.of();
 
-  private MachineStatus derivedFrom;
+  /** The status from which the images were collected; null: none yet. */
+  private MachineStatus imagesStatus;
 
-  /** Tasks there that this controller has asked to be stopped for others, until when. */
   private final Map<TaskRef, Long> preemptedUntilMs = new HashMap<>();
 
-  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  /** A machine of which nothing is known yet. */
   public MachineView(String id) {
     this.id = id;
   }
 
-  /** Free processors, less what starts on their way will take. */
+  /** The machine's id. */
+  public String id() {
+    return id;
+  }
+
+  /** The controller that leads it; null if none does, as far as known. */
+  public String leader() {
+    return leader;
+  }
+
+  /** The process of the leader that published the status. */
+  public long leaderIncarnation() {
+    return leaderIncarnation;
+  }
+
+  /** Steady time in ms at which the status was received. */
+  public long updatedAtMs() {
+    return updatedAtMs;
+  }
+
+  /** The newest status; null until one is received. */
+  public MachineStatus status() {
+    return status;
+  }
+
+  /** A controller, from now on its leader, has published a status, received at this time in ms. */
+  public void applyStatus(String node, long incarnation, MachineStatus newStatus, long now) {
+    leader = node;
+    leaderIncarnation = incarnation;
+    updatedAtMs = now;
+    status = newStatus;
+  }
+
+  /** The controller that led it leads it no longer. */
+  public void clearLeader() {
+    leader = null;
+  }
+
+  /** Free processors, less what requested starts will take. */
   public double freeCpus() {
     return status.freeCpus() - reservedCpus;
   }
 
-  /** Free GPUs, less what starts on their way will take. */
+  /** Free GPUs, less what requested starts will take. */
   public double freeGpus() {
     return status.freeGpus() - reservedGpus;
   }
 
-  /** Free memory in GB, less what starts on their way will take. */
+  /** Free memory in GB, less what requested starts will take. */
   public double freeMemoryGb() {
     return status.freeMemoryGb() - reservedMemoryGb;
   }
 
-  public boolean isSchedulable() {
-    return status != null
-        && leader != null
-        && status.tokenAcknowledged()
-        && status.usable()
-        && !status.draining()
-        && !status.unresponsive()
-        && !status.needsReplacement();
-  }
-
-  /** Whether the job may run on such a machine. */
-  public boolean allows(JobSpec spec) {
-    return spec.allowsMachine(status.type(), status.zone(), status.spot());
-  }
-
-  /** How many tasks of the job have room. */
+  /** How many tasks of the job fit into the free capacity. */
   public int fittingTasks(JobSpec spec) {
     return Capacity.fittingTasks(freeCpus(), freeGpus(), freeMemoryGb(), spec);
   }
 
-  /** Takes the room of so many tasks of the job. */
+  /** Reserves capacity for so many tasks of the job; a negative number gives it back. */
   public void reserve(JobSpec spec, int tasks) {
     reservedCpus += tasks * spec.cpus();
     reservedGpus += tasks * spec.gpus();
     reservedMemoryGb += tasks * spec.memoryGb();
   }
 
-  /** Forgets the room taken by starts sent from here. */
+  /** Gives back all reserved capacity. */
   public void clearReservations() {
     reservedCpus = 0;
     reservedGpus = 0;
     reservedMemoryGb = 0;
   }
 
-  /** Whether it will be gone before long, by the cloud's notice or since it fails its tasks. */
-  public boolean isDeparting() {
+  /** Whether its leader accepts starts for it. */
+  public boolean isSchedulable() {
     return status != null
         && leader != null
-        && (status.interruptionNoticeS() >= 0 || status.needsReplacement());
-  }
-
-  /** For how long it has been idle, or silent; what was told then has gone on since. */
-  public long idleMs(long now) {
-    return status.idleMs() == 0 ? 0 : status.idleMs() + now - updatedAtMs;
-  }
-
-  /** The id. */
-  public String id() {
-    return id;
-  }
-
-  /** The leader. */
-  public String leader() {
-    return leader;
-  }
-
-  /** Sets the leader. */
-  public void setLeader(String newValue) {
-    this.leader = newValue;
-  }
-
-  /** The leader incarnation. */
-  public long leaderIncarnation() {
-    return leaderIncarnation;
-  }
-
-  /** Sets the leader incarnation. */
-  public void setLeaderIncarnation(long newValue) {
-    this.leaderIncarnation = newValue;
-  }
-
-  /** When {@link #m} was told. */
-  public long updatedAtMs() {
-    return updatedAtMs;
-  }
-
-  /** Sets the updated at, in ms of the steady clock. */
-  public void setUpdatedAtMs(long newValue) {
-    this.updatedAtMs = newValue;
+        && status.tokenAcknowledged()
+        && status.usable()
+        && !status.draining()
+        && !status.unresponsive()
+        && !status.needsReplacement();
   }
 
-  /** The status. */
-  public MachineStatus status() {
-    return status;
+  /** Whether the job may run on a machine of this type and zone, on demand or spot. */
+  public boolean allows(JobSpec spec) {
+    return spec.allowsMachine(status.type(), status.zone(), status.spot());
   }
 
-  /** Sets the status. */
-  public void setStatus(MachineStatus newValue) {
-    this.status = newValue;
+  /** Whether it will end before long: by the cloud's notice, or since it fails its tasks. */
+  public boolean isDeparting() {
+    return status != null
+        && leader != null
+        && (status.interruptionNoticeS() >= 0 || status.needsReplacement());
   }
 
-  /** Room taken by starts sent from here and not yet in the owner's roster. */
-  double reservedCpus() {
-    return reservedCpus;
+  /** For how many ms it has been idle or unresponsive, time since the status included; 0: not. */
+  public long idleMs(long now) {
+    return status.idleMs() == 0 ? 0 : status.idleMs() + now - updatedAtMs;
   }
 
-  /** The reserved gpus. */
-  double reservedGpus() {
-    return reservedGpus;
+  /** Whether the images were collected from the present status. */
+  boolean hasCurrentImages() {
+    return imagesStatus == status;
   }
 
-  /** The reserved memory, in GB. */
-  double reservedMemoryGb() {
-    return reservedMemoryGb;
+  /** Sets the images collected from the present status; the arguments are kept, not copied. */
+  void setCurrentImages(String[] present, List<String> fetching) {
+    images = present;
+    fetchingImages = fetching;
+    imagesStatus = status;
   }
 
-  /** Images that are there or that a task there needs, as of {@link #m}. */
+  /**
+   * Images on the machine and those that its tasks need, as of {@link
+   * ClusterView#updateDerivedState}; not to be changed.
+   */
   public String[] images() {
     return images;
   }
 
-  /** Sets the images. */
-  public void setImages(String[] newValue) {
-    this.images = newValue;
-  }
-
-  /** For each task there that waits for its image, or was only accepted, that image. */
+  /** For each task that waits for its image or was only accepted, that image; as above. */
   public List<String> fetchingImages() {
     return fetchingImages;
   }
 
-  /** Sets the fetching images. */
-  public void setFetchingImages(List<String> newValue) {
-    this.fetchingImages = newValue;
-  }
-
-  /** The derived from. */
-  MachineStatus derivedFrom() {
-    return derivedFrom;
+  /** This controller has asked to preempt the task; it isn't asked for again until that time. */
+  public void recordPreemption(TaskRef task, long untilMs) {
+    preemptedUntilMs.put(task, untilMs);
   }
 
-  /** Sets the derived from. */
-  void setDerivedFrom(MachineStatus newValue) {
-    this.derivedFrom = newValue;
+  /** Forgets preemptions whose time is over. */
+  public void forgetPreemptions(long now) {
+    preemptedUntilMs.values().removeIf(untilMs -> untilMs <= now);
   }
 
-  /** Tasks there that this controller has asked to be stopped for others, until when. */
-  public Map<TaskRef, Long> preemptedUntilMs() {
-    return preemptedUntilMs;
+  /** Whether this controller has asked to preempt the task, and hasn't forgotten it yet. */
+  public boolean isPreempted(TaskRef task) {
+    return preemptedUntilMs.containsKey(task);
   }
 }
--- a/src/main/java/mallowstall/core/cluster/PeerMessenger.java
+++ b/src/main/java/mallowstall/core/cluster/PeerMessenger.java
@@ -41,9 +41,7 @@
   /** A new connection to the peer stands; numbers only grow within a process. */
   public void peerConnected(String node, long connection) {
     PeerState peer = view.peer(node);
-    peer.setConnection(connection);
-    // perhaps another process, which knows nothing yet
-    peer.setAcknowledgedSerial(0);
+    peer.startConnection(connection);
     // says which connection counts from now on, so that starts lost with the last one are resolved
     effects.send(
         node,
--- a/src/main/java/mallowstall/core/cluster/PeerState.java
+++ b/src/main/java/mallowstall/core/cluster/PeerState.java
@@ -2,223 +2,224 @@
 
 import java.util.HashSet;
 import java.util.Set;
+import mallowstall.core.model.StartBatch;
 import mallowstall.core.model.StatusUpdate;
 
-/** What is known of a controller's roster. */
+/**
+ * What this controller knows of one controller, which may be itself: the status updates received
+ * from it, what it has acknowledged, and the starts received from it. Mutable.
+ *
+ * <p>Connections are numbered by the process that opens them, status updates and batches of starts
+ * by the process that sends them; all numbers only grow within a process.
+ */
 public final class PeerState {
   private final String node;
+
+  // received status updates
   private long incarnation;
   private long serial;
-  private long connection;
-  private long nextSequence = 1;
-  private long acknowledgedConnection;
-  private long acknowledgedSequence;
   private long lastUpdateMs = Long.MIN_VALUE / 2;
-
-  /** Which of the rosters received here its last one was. */
   private long lastUpdateOrdinal;
-
-  /** Its newest statement that this controller has taken in, and the process that made it. */
-  private long appliedIncarnation;
-
-  private long appliedSerial;
-
-  /** This controller's newest statement that the peer has taken in; 0: tell it all. */
-  private long acknowledgedSerial;
-
   private long replicaRevision;
   private long replicaFreshAtMs = Long.MIN_VALUE / 2;
+  private Set<String> machines = new HashSet<>();
 
-  /**
-   * Up to when this controller knows of all cancellations that the peer has told users: its
-   * statement names them, and it was made after it had taken in one that was sent from here at this
-   * time. Dated from its arrival, a statement that a cut had held back passed for new.
-   */
+  // what it has acknowledged of this process
+  private long acknowledgedSerial;
+  private long acknowledgedConnection;
+  private long acknowledgedSequence;
   private long cancellationsKnownAtMs = Long.MIN_VALUE / 2;
 
-  /** What this controller acknowledges to that one. */
-  private long lastStartsConnection;
+  // starts sent to it
+  private long connection;
+  private long nextSequence = 1;
 
-  private long lastStartsSequence;
+  // starts received from it
   private long lastStartsIncarnation;
-  private Set<String> machines = new HashSet<>();
+  private long lastStartsConnection;
+  private long lastStartsSequence;
 
   PeerState(String node) {
     this.node = node;
   }
 
-  /** The peer has a new process, which has told and acknowledged nothing. */
-  void startIncarnation(long newIncarnation) {
-    incarnation = newIncarnation;
-    acknowledgedConnection = 0;
-    acknowledgedSequence = 0;
-    serial = 0;
-    appliedIncarnation = newIncarnation;
-    appliedSerial = 0;
-  }
-
-  /** Takes over what a new roster says of its sender. */
-  void applyHeader(StatusUpdate statusUpdate, long ownIncarnation, long now) {
-    serial = statusUpdate.serial();
-    appliedSerial = statusUpdate.serial();
-    acknowledgedSerial =
-        statusUpdate.acknowledgedIncarnation() == ownIncarnation
-            ? statusUpdate.acknowledgedSerial()
-            : 0;
-    lastUpdateMs = now;
-    replicaRevision = statusUpdate.replicaRevision();
-    // Connections are numbered anew by each process: what the peer acknowledges of a former one
-    // says nothing of this one's starts. Taking it for an answer once started a task twice.
-    boolean acknowledgesThisIncarnation =
-        statusUpdate.acknowledgedStartsIncarnation() == ownIncarnation;
-    acknowledgedConnection =
-        acknowledgesThisIncarnation ? statusUpdate.acknowledgedStartsConnection() : 0;
-    acknowledgedSequence =
-        acknowledgesThisIncarnation ? statusUpdate.acknowledgedStartsSequence() : 0;
-    replicaFreshAtMs = now - statusUpdate.replicaAgeMs();
-  }
-
-  /** The node. */
+  /** The node of the controller. */
   String node() {
     return node;
   }
 
-  /** The incarnation. */
+  /** Its newest process from which a status update was received; 0: none was. */
   public long incarnation() {
     return incarnation;
   }
 
-  /** The serial. */
+  /** The number of the newest status update applied of that process; 0: none was. */
   public long serial() {
     return serial;
   }
 
-  /** The connection. */
-  public long connection() {
-    return connection;
+  /** The controller has a new process, which has published and acknowledged nothing yet. */
+  void startIncarnation(long newIncarnation) {
+    incarnation = newIncarnation;
+    acknowledgedConnection = 0;
+    acknowledgedSequence = 0;
+    serial = 0;
   }
 
-  /** Sets the connection. */
-  public void setConnection(long newValue) {
-    this.connection = newValue;
+  /**
+   * Applies what a status update says of its sender.
+   *
+   * @param ordinal how many updates of all controllers were received with this one
+   * @param ownIncarnation this process; what was acknowledged of a former one doesn't count
+   * @param now steady time in ms
+   */
+  void applyHeader(StatusUpdate update, long ordinal, long ownIncarnation, long now) {
+    lastUpdateOrdinal = ordinal;
+    serial = update.serial();
+    acknowledgedSerial =
+        update.acknowledgedIncarnation() == ownIncarnation ? update.acknowledgedSerial() : 0;
+    lastUpdateMs = now;
+    replicaRevision = update.replicaRevision();
+    // guards against a task started twice: connections are numbered anew by each process, so an
+    // acknowledgement of a former one's starts says nothing of this one's
+    boolean acknowledgesThisIncarnation = update.acknowledgedStartsIncarnation() == ownIncarnation;
+    acknowledgedConnection =
+        acknowledgesThisIncarnation ? update.acknowledgedStartsConnection() : 0;
+    acknowledgedSequence = acknowledgesThisIncarnation ? update.acknowledgedStartsSequence() : 0;
+    replicaFreshAtMs = now - update.replicaAgeMs();
   }
 
-  /** The sequence number that the next batch of starts to this controller will have. */
-  public long nextSequence() {
-    return nextSequence;
+  /** Steady time in ms of the last status update applied. */
+  public long lastUpdateMs() {
+    return lastUpdateMs;
   }
 
-  /** The sequence number of the next batch of starts to this controller; each is taken once. */
-  public long takeSequence() {
-    return nextSequence++;
+  /** How many updates of all controllers were received here up to its last one. */
+  public long lastUpdateOrdinal() {
+    return lastUpdateOrdinal;
   }
 
-  /** The acknowledged connection. */
-  public long acknowledgedConnection() {
-    return acknowledgedConnection;
+  /** The revision of its replica when it made its last status update. */
+  public long replicaRevision() {
+    return replicaRevision;
   }
 
-  /** The acknowledged sequence. */
-  public long acknowledgedSequence() {
-    return acknowledgedSequence;
+  /** Steady time in ms up to which its replica was fresh by its last update; not before that. */
+  public long replicaFreshAtMs() {
+    return replicaFreshAtMs;
   }
 
-  /** The last update, in ms of the steady clock. */
-  public long lastUpdateMs() {
-    return lastUpdateMs;
+  /** Whether it leads the machine, by its status updates. */
+  public boolean leads(String machine) {
+    return machines.contains(machine);
   }
 
-  /** Which of the rosters received here its last one was. */
-  public long lastUpdateOrdinal() {
-    return lastUpdateOrdinal;
+  /** The machines that it leads; a live view, not to be changed. */
+  Set<String> machines() {
+    return machines;
   }
 
-  /** Sets the last update ordinal. */
-  public void setLastUpdateOrdinal(long newValue) {
-    this.lastUpdateOrdinal = newValue;
+  /** It leads these machines and no others; the set is kept, not copied. */
+  void replaceMachines(Set<String> led) {
+    machines = led;
   }
 
-  /** Its newest statement that this controller has taken in, and the process that made it. */
-  public long appliedIncarnation() {
-    return appliedIncarnation;
+  /** It leads these machines too. */
+  void addMachines(Set<String> led) {
+    machines.addAll(led);
   }
 
-  /** The applied serial. */
-  public long appliedSerial() {
-    return appliedSerial;
+  /** It leads the machine no longer; returns whether it did. */
+  boolean removeMachine(String machine) {
+    return machines.remove(machine);
   }
 
-  /** This controller's newest statement that the peer has taken in; 0: tell it all. */
+  /** The newest status update of this process that it has applied; 0: it needs a full one. */
   public long acknowledgedSerial() {
     return acknowledgedSerial;
   }
 
-  /** Sets the acknowledged serial. */
-  public void setAcknowledgedSerial(long newValue) {
-    this.acknowledgedSerial = newValue;
-  }
-
-  /** The replica revision. */
-  public long replicaRevision() {
-    return replicaRevision;
+  /** The connection of this process by which the last starts have reached it; 0: none has. */
+  public long acknowledgedConnection() {
+    return acknowledgedConnection;
   }
 
-  /** The replica fresh at, in ms of the steady clock. */
-  public long replicaFreshAtMs() {
-    return replicaFreshAtMs;
+  /** The number of the last batch of starts that has reached it by that connection. */
+  public long acknowledgedSequence() {
+    return acknowledgedSequence;
   }
 
   /**
-   * Up to when this controller knows of all cancellations that the peer has told users: its
-   * statement names them, and it was made after it had taken in one that was sent from here at this
-   * time. Dated from its arrival, a statement that a cut had held back passed for new.
+   * Steady time in ms up to which this controller knows of all cancellations that the peer has
+   * confirmed to users. An update names them, and it was made after the peer had applied one that
+   * was sent from here at this time; the time of arrival won't do, since an update may be delayed.
    */
   long cancellationsKnownAtMs() {
     return cancellationsKnownAtMs;
   }
 
-  /** Sets the cancellations known at, in ms of the steady clock. */
-  void setCancellationsKnownAtMs(long newValue) {
-    this.cancellationsKnownAtMs = newValue;
+  /** All cancellations that the peer confirmed up to this time are known. */
+  void recordCancellationsKnown(long atMs) {
+    cancellationsKnownAtMs = Math.max(cancellationsKnownAtMs, atMs);
   }
 
-  /** What this controller acknowledges to that one. */
-  public long lastStartsConnection() {
-    return lastStartsConnection;
+  /** A new connection stands; its other end may be another process, which needs a full update. */
+  void startConnection(long newConnection) {
+    connection = newConnection;
+    acknowledgedSerial = 0;
   }
 
-  /** Sets the last starts connection. */
-  public void setLastStartsConnection(long newValue) {
-    this.lastStartsConnection = newValue;
+  /** The present connection to it, or the last one. */
+  public long connection() {
+    return connection;
   }
 
-  /** The last starts sequence. */
-  public long lastStartsSequence() {
-    return lastStartsSequence;
+  /** The number that the next batch of starts to it will have. */
+  public long nextSequence() {
+    return nextSequence;
   }
 
-  /** Sets the last starts sequence. */
-  public void setLastStartsSequence(long newValue) {
-    this.lastStartsSequence = newValue;
+  /** Takes the number for a batch of starts to it. */
+  public long takeSequence() {
+    return nextSequence++;
   }
 
-  /** The last starts incarnation. */
+  /**
+   * Records a batch of starts received from it. Those that come by a former connection were
+   * answered as lost already.
+   *
+   * @return false: the batch is a repeated one, or one of a former connection or process
+   */
+  boolean acceptStarts(StartBatch batch) {
+    if (batch.incarnation() < lastStartsIncarnation) {
+      return false;
+    }
+    if (batch.incarnation() > lastStartsIncarnation) {
+      lastStartsIncarnation = batch.incarnation();
+      lastStartsConnection = 0;
+      lastStartsSequence = 0;
+    }
+    if (batch.connection() < lastStartsConnection
+        || batch.connection() == lastStartsConnection && batch.sequence() <= lastStartsSequence) {
+      return false;
+    }
+    lastStartsConnection = batch.connection();
+    lastStartsSequence = batch.sequence();
+    return true;
+  }
+
+  /** The process from which the last starts were received, to be acknowledged; 0: none. */
   public long lastStartsIncarnation() {
     return lastStartsIncarnation;
   }
 
-  /** Sets the last starts incarnation. */
-  public void setLastStartsIncarnation(long newValue) {
-    this.lastStartsIncarnation = newValue;
-  }
-
-  /** The machines. */
-  public Set<String> machines() {
-    return machines;
+  /** The connection by which the last starts were received, to be acknowledged. */
+  public long lastStartsConnection() {
+    return lastStartsConnection;
   }
 
-  /** Sets the machines. */
-  public void setMachines(Set<String> newValue) {
-    this.machines = newValue;
+  /** The number of the last batch of starts received, to be acknowledged. */
+  public long lastStartsSequence() {
+    return lastStartsSequence;
   }
 }
--- a/src/main/java/mallowstall/core/cluster/StatusUpdateReceiver.java
+++ b/src/main/java/mallowstall/core/cluster/StatusUpdateReceiver.java
@@ -51,9 +51,7 @@
     if (!all || update.acknowledgedIncarnation() != store.incarnation()) {
       return;
     }
-    PeerState peer = view.peer(update.node());
-    peer.setCancellationsKnownAtMs(
-        Math.max(
-            peer.cancellationsKnownAtMs(), publishedAt.applyAsLong(update.acknowledgedSerial())));
+    view.peer(update.node())
+        .recordCancellationsKnown(publishedAt.applyAsLong(update.acknowledgedSerial()));
   }
 }
--- a/src/main/java/mallowstall/core/jobs/JobLeader.java
+++ b/src/main/java/mallowstall/core/jobs/JobLeader.java
@@ -157,7 +157,7 @@
       ledJob = new LedJob(id, job.spec());
       ledJob.setLeaderSinceMs(clock.now());
       ledJob.setClaimRevision(modRevision);
-      ledJob.setStatusUpdatesBeforeClaim(view.updatesReceived);
+      ledJob.setStatusUpdatesBeforeClaim(view.updatesReceived());
       // the first epoch of this very process: nobody can have started anything before
       ledJob.setRecovered(job.epoch() == 1);
       loadCompletionBits(ledJob, job);
@@ -182,7 +182,7 @@
    * has changed, so a task that this passed over would be placed once more.
    */
   private void applyKnownTaskStatuses(String id) {
-    for (MachineView machine : view.machines.values()) {
+    for (MachineView machine : view.machines()) {
       if (machine.status() == null || machine.leader() == null) {
         continue; // its next owner tells it all
       }
@@ -258,7 +258,7 @@
       handleStartRejection(rejection);
     }
     for (MachineStatus status : update.machines()) {
-      MachineView machineView = view.machines.get(status.machine());
+      MachineView machineView = view.machine(status.machine());
       if (machineView != null && machineView.status() == status) { // else a larger term is known
         applyMachineStatus(update, status);
       }
@@ -267,7 +267,7 @@
     // without anything new on the machine if the start never arrived.
     PeerState peer = view.peer(update.node());
     for (ActiveAttempt active : new ArrayList<>(unobservedStarts)) {
-      MachineView machine = view.machines.get(active.machine());
+      MachineView machine = view.machine(active.machine());
       boolean reported =
           machine != null
               && machine.status() != null
@@ -569,7 +569,7 @@
    */
   private void removeScaledInMachines() {
     for (String id : new ArrayList<>(attemptsByMachine.keySet())) {
-      MachineView machineView = view.machines.get(id);
+      MachineView machineView = view.machine(id);
       if (machineView == null
           || machineView.status() == null
           || !store.returned(id, machineView.status().entryRevision())) {
@@ -618,7 +618,7 @@
         store.entriesUnder(StateKeys.MACHINE_PREFIX).entrySet()) {
       MachineEntry machineEntry = (MachineEntry) entry.getValue().value();
       String id = StateKeys.machineOf(entry.getKey());
-      MachineView machine = view.machines.get(id);
+      MachineView machine = view.machine(id);
       PeerState peer = view.peer(machineEntry.node());
       long revision = view.isFullyReported(id, machineEntry) ? peer.replicaRevision() : -1;
       if (revision >= 0) {
--- a/src/main/java/mallowstall/core/machines/MachineFailover.java
+++ b/src/main/java/mallowstall/core/machines/MachineFailover.java
@@ -108,7 +108,7 @@
 
   /** Whether it is for this controller to ask the machine now. */
   private boolean probeDue(String id, MachineEntry machineEntry, long now) {
-    MachineView machine = view.machines.get(id);
+    MachineView machine = view.machine(id);
     return now - leaderlessSinceMs.get(id) >= Constants.MACHINE_FAILOVER_DELAY_MS
         && machine != null
         && machine.status() != null
@@ -121,7 +121,7 @@
 
   private void probe(String id, MachineEntry machineEntry, long now) {
     lastProbeMs.put(id, now);
-    String address = view.machines.get(id).status().address();
+    String address = view.machine(id).status().address();
     // no session is 0, so this is refused, with the worker's report
     effects.sendCommands(
         address, 0, 0, List.of(), reply -> claimMachine(id, machineEntry, reply.heartbeat()));
--- a/src/main/java/mallowstall/core/machines/MachineRegistration.java
+++ b/src/main/java/mallowstall/core/machines/MachineRegistration.java
@@ -114,7 +114,7 @@
     if (tombstone.contains(heartbeat.machine())) {
       return true;
     }
-    MachineView machine = view.machines.get(heartbeat.machine());
+    MachineView machine = view.machine(heartbeat.machine());
     if (machine == null
         || machine.status() == null
         || heartbeat.session() > machine.status().session()) {
@@ -132,7 +132,7 @@
    */
   private String liveMachineLeader(Heartbeat heartbeat, long now) {
     MachineEntry machineEntry = store.machine(heartbeat.machine());
-    MachineView machine = view.machines.get(heartbeat.machine());
+    MachineView machine = view.machine(heartbeat.machine());
     if (machineEntry == null
         || machine == null
         || machine.status() == null
--- a/src/main/java/mallowstall/core/machines/ManagedMachines.java
+++ b/src/main/java/mallowstall/core/machines/ManagedMachines.java
@@ -63,7 +63,7 @@
     machine.setIdleSinceMs(clock.now());
     // reports don't name images: without what its last owner told of them, tasks were sent to
     // machines that had to fetch theirs, each time that machines changed owner
-    MachineView machineView = view.machines.get(id);
+    MachineView machineView = view.machine(id);
     if (machineView != null && machineView.status() != null) {
       machine.cachedImages().addAll(machineView.status().images());
     }
--- a/src/main/java/mallowstall/core/placement/JobRanking.java
+++ b/src/main/java/mallowstall/core/placement/JobRanking.java
@@ -131,7 +131,7 @@
   void recomputeCapacity() {
     totalCpusByType.clear();
     freeCpusByType.clear();
-    for (MachineView machine : view.machines.values()) {
+    for (MachineView machine : view.machines()) {
       if (!machine.isSchedulable()) {
         continue;
       }
--- a/src/main/java/mallowstall/core/placement/PlacementScheduler.java
+++ b/src/main/java/mallowstall/core/placement/PlacementScheduler.java
@@ -116,7 +116,7 @@
     guaranteedShares.recompute();
     pendingJobs.sort(ranking::compare);
     List<MachineView> machines = new ArrayList<>();
-    for (MachineView machine : view.machines.values()) {
+    for (MachineView machine : view.machines()) {
       if (machine.isSchedulable() && view.hasRecentUpdate(machine) && machine.freeCpus() > 0.01) {
         machines.add(machine);
       }
@@ -455,12 +455,12 @@
   }
 
   private void reserveUnconfirmedStarts() {
-    for (MachineView machine : view.machines.values()) {
+    for (MachineView machine : view.machines()) {
       machine.clearReservations();
     }
     for (LedJob ledJob : jobLeader.jobs()) {
       for (Map.Entry<String, Integer> entry : ledJob.relocations().replicasByTarget().entrySet()) {
-        MachineView target = view.machines.get(entry.getKey());
+        MachineView target = view.machine(entry.getKey());
         if (target != null) {
           target.reserve(ledJob.spec(), entry.getValue());
         }
@@ -469,7 +469,7 @@
         if (active.observedOnMachine() || active.inLatestStatus()) {
           continue;
         }
-        MachineView reportedMachine = view.machines.get(active.machine());
+        MachineView reportedMachine = view.machine(active.machine());
         if (reportedMachine != null) {
           reportedMachine.reserve(ledJob.spec(), 1);
         }
--- a/src/main/java/mallowstall/core/placement/Preemption.java
+++ b/src/main/java/mallowstall/core/placement/Preemption.java
@@ -78,7 +78,7 @@
       LedJob ledJob, Policy policy, String chosenZone, long now) {
     JobSpec spec = ledJob.spec();
     List<PreemptionCandidate> candidates = new ArrayList<>();
-    for (MachineView machine : view.machines.values()) {
+    for (MachineView machine : view.machines()) {
       if (!machine.isSchedulable() || !view.hasRecentUpdate(machine) || !machine.allows(spec)) {
         continue;
       }
@@ -107,7 +107,7 @@
     MachineView machine = candidate.machine;
     for (TaskStatus victim : candidate.victims) {
       machine.reserve(store.job(victim.job()).spec(), -1);
-      machine.preemptedUntilMs().put(taskRef(victim), now + Constants.PREEMPTION_INTERVAL_MIN_MS);
+      machine.recordPreemption(taskRef(victim), now + Constants.PREEMPTION_INTERVAL_MIN_MS);
     }
   }
 
@@ -115,7 +115,7 @@
   private List<TaskStatus> selectVictims(LedJob ledJob, MachineView machine, long now) {
     boolean urgent = isUrgent(ledJob);
     boolean owedShare = isOwedGuaranteedShare(ledJob, now);
-    machine.preemptedUntilMs().values().removeIf(untilMs -> untilMs <= now);
+    machine.forgetPreemptions(now);
     List<TaskStatus> preemptible = new ArrayList<>();
     for (TaskStatus task : machine.status().tasks()) {
       JobEntry job = task.state() == null ? null : store.job(task.job());
@@ -124,7 +124,7 @@
           || task.state() == TaskState.CHECKPOINTING) {
         continue;
       }
-      if (machine.preemptedUntilMs().containsKey(taskRef(task)) || isProtected(job)) {
+      if (machine.isPreempted(taskRef(task)) || isProtected(job)) {
         continue;
       }
       boolean lowerPriority =
--- a/src/main/java/mallowstall/core/placement/QueuedWork.java
+++ b/src/main/java/mallowstall/core/placement/QueuedWork.java
@@ -155,7 +155,7 @@
         addQueuedJob(job);
       }
     }
-    for (MachineView machine : view.machines.values()) {
+    for (MachineView machine : view.machines()) {
       if (machine.isSchedulable()) {
         addWarmSlots(machine, specByImage);
       }
--- a/src/main/java/mallowstall/core/placement/ReplicaRelocation.java
+++ b/src/main/java/mallowstall/core/placement/ReplicaRelocation.java
@@ -68,7 +68,7 @@
         if (!active.observedOnMachine() || ledJob.relocations().inProgress(active.task())) {
           continue;
         }
-        MachineView source = view.machines.get(active.machine());
+        MachineView source = view.machine(active.machine());
         if (source == null || !source.isDeparting()) {
           continue;
         }
@@ -103,7 +103,7 @@
         || ledJob.writeOutcomeUnknown()) {
       return;
     }
-    MachineView machine = view.machines.get(ledJob.relocations().target(replica));
+    MachineView machine = view.machine(ledJob.relocations().target(replica));
     ledJob.relocations().end(replica);
     if (machine == null) {
       return;
--- a/src/test/java/mallowstall/core/FaultSafetyTest.java
+++ b/src/test/java/mallowstall/core/FaultSafetyTest.java
@@ -343,11 +343,11 @@
     MachineStatus state = machineStatus("m-900001", 1);
     node.enqueueEvent(() -> node.core.handleMessage(statusUpdate(1, 0, List.of(state), List.of())));
     assertEquals(1, peer.serial());
-    assertTrue(peer.machines().contains("m-900001"));
+    assertTrue(peer.leads("m-900001"));
     node.enqueueEvent(
         () -> node.core.handleMessage(statusUpdate(4, 3, List.of(), List.of("m-900001"))));
     assertEquals(1, peer.serial(), "builds on the third, which never came");
-    assertTrue(peer.machines().contains("m-900001"));
+    assertTrue(peer.leads("m-900001"));
     node.enqueueEvent(
         () ->
             node.core.handleMessage(
@@ -355,11 +355,11 @@
     assertEquals(5, peer.serial());
     node.enqueueEvent(
         () -> node.core.handleMessage(statusUpdate(4, 1, List.of(), List.of("m-900002"))));
-    assertTrue(peer.machines().contains("m-900002"), "an older one comes late");
+    assertTrue(peer.leads("m-900002"), "an older one comes late");
     node.enqueueEvent(
         () -> node.core.handleMessage(statusUpdate(6, 5, List.of(), List.of("m-900001"))));
-    assertFalse(peer.machines().contains("m-900001"));
-    assertTrue(peer.machines().contains("m-900002"), "what isn't said anew still holds");
+    assertFalse(peer.leads("m-900001"));
+    assertTrue(peer.leads("m-900002"), "what isn't said anew still holds");
   }
 
   private static MachineStatus machineStatus(String id, long token) {
--- a/src/test/java/mallowstall/core/MachineLeadershipTest.java
+++ b/src/test/java/mallowstall/core/MachineLeadershipTest.java
@@ -96,7 +96,7 @@
     List<HeartbeatResponse> responses = new ArrayList<>();
     leader.enqueueEvent(() -> leader.core.handleHeartbeat(staleHeartbeat, responses::add));
     assertEquals(503, responses.get(0).status());
-    MachineView machineView = leader.core.view().machines.get(worker.id);
+    MachineView machineView = leader.core.view().machine(worker.id);
     assertNotNull(machineView);
     assertEquals(List.of(), machineView.status().tasks());
   }
@@ -124,7 +124,7 @@
     sim.runUntil(11_000 + Simulation.LEASE_MS + 4_000);
     assertTrue(worker.epoch > 1, "its lease ran out although its reports were answered");
     for (SimulatedController node : sim.controllers.values()) {
-      MachineView machineView = node.core.view().machines.get(worker.id);
+      MachineView machineView = node.core.view().machine(worker.id);
       assertFalse(
           machineView != null && machineView.isSchedulable(),
           "no start goes to a machine that doesn't hear");
@@ -205,7 +205,7 @@
     sim.runUntil(sim.nowMs + 3_000);
     assertEquals(before, sim.machineEntry(worker.id));
     for (SimulatedController peer : sim.controllers.values()) {
-      assertEquals(List.of(), peer.core.view().machines.get(worker.id).status().tasks());
+      assertEquals(List.of(), peer.core.view().machine(worker.id).status().tasks());
     }
     // returned: by the cloud and in the records
     sim.killMachine(worker.id);
@@ -349,7 +349,7 @@
                         new KeyValue(StateKeys.MACHINE_GROUP_PREFIX + "9-9", group, revision)));
       }
       sim.runUntil(first + Simulation.LEASE_MS + 6_000);
-      assertEquals(!between, node.core.view().machines.get(worker.id).status().leaseExpired());
+      assertEquals(!between, node.core.view().machine(worker.id).status().leaseExpired());
     }
   }
 
@@ -403,11 +403,10 @@
     }
     sim.runUntil(sim.nowMs + 1_000);
     assertFalse(
-        node.core.view().machines.get(worker.id).status().leaseExpired(),
-        "nobody knows what is on it");
+        node.core.view().machine(worker.id).status().leaseExpired(), "nobody knows what is on it");
     node.watchStalled = false;
     sim.runUntil(sim.nowMs + 6_000);
-    MachineView machineView = node.core.view().machines.get(worker.id);
+    MachineView machineView = node.core.view().machine(worker.id);
     assertTrue(
         machineView == null || !machineView.status().leaseExpired(),
         "it must be confirmed, or returned, first");
@@ -434,7 +433,7 @@
     node.enqueueEvent(() -> node.core.handleHeartbeat(late, responses::add));
     assertEquals(200, responses.get(0).status(), "taken for the worker's own");
     sim.runUntil(sim.nowMs + Simulation.LEASE_MS + 4_000);
-    MachineView machineView = node.core.view().machines.get(worker.id);
+    MachineView machineView = node.core.view().machine(worker.id);
     assertTrue(machineView == null || machineView.status().leaseExpired());
   }
 
@@ -471,7 +470,7 @@
       StopRequest stop = stops.get(i);
       node.enqueueEvent(() -> node.core.sendStop(node.name, stop));
       if (i == 1) {
-        MachineView machineView = node.core.view().machines.get(mute.id);
+        MachineView machineView = node.core.view().machine(mute.id);
         assertFalse(
             machineView.isSchedulable(), "it answers commands, but loses its tasks each lease");
         assertFalse(machineView.status().unresponsive());
@@ -479,17 +478,16 @@
     }
     sim.runUntil(sim.nowMs + 400);
     assertEquals(2, worker.epoch);
-    MachineView machineView = node.core.view().machines.get(worker.id);
+    MachineView machineView = node.core.view().machine(worker.id);
     assertEquals(2, machineView.status().session(), "known from the answer");
     long known = sim.nowMs;
     while (sim.nowMs < known + Simulation.LEASE_MS - 600) {
       sim.runUntil(sim.nowMs + 200);
       assertFalse(
-          node.core.view().machines.get(worker.id).status().leaseExpired(),
-          "at " + (sim.nowMs - known));
+          node.core.view().machine(worker.id).status().leaseExpired(), "at " + (sim.nowMs - known));
     }
     sim.runUntil(known + Simulation.LEASE_MS + 4_000);
-    machineView = node.core.view().machines.get(worker.id);
+    machineView = node.core.view().machine(worker.id);
     assertTrue(machineView == null || machineView.status().leaseExpired(), "and not a longer one");
   }
 
@@ -507,7 +505,7 @@
     SimulatedController ends = sim.controllers.get("n0");
     SimulatedController stays = sim.controllers.get("n1");
     List<String> machines = new ArrayList<>();
-    for (MachineView machineView : stays.core.view().machines.values()) {
+    for (MachineView machineView : stays.core.view().machines()) {
       if ("n0".equals(machineView.leader())
           && machineView.status().images().contains("wk-000001")) {
         machines.add(machineView.id());
@@ -517,7 +515,7 @@
     ends.crash(30_000);
     sim.runUntil(sim.nowMs + 15_000);
     for (String id : machines) {
-      MachineView machineView = stays.core.view().machines.get(id);
+      MachineView machineView = stays.core.view().machine(id);
       if (machineView == null) {
         continue; // it was idle and has been returned
       }
--- a/src/test/java/mallowstall/core/MachineViewTest.java
+++ b/src/test/java/mallowstall/core/MachineViewTest.java
@@ -8,12 +8,13 @@
 import mallowstall.core.model.MachineStatus;
 import org.junit.jupiter.api.Test;
 
-/** What follows from what owners tell of a machine. */
+/** What follows from what machine leaders publish of a machine. */
 class MachineViewTest {
   private static MachineView machineView(double noticeS, boolean replace, List<String> images) {
     MachineView machineView = new MachineView("m-000001");
-    machineView.setLeader("n0");
-    machineView.setStatus(
+    machineView.applyStatus(
+        "n0",
+        1,
         new MachineStatus(
             "m-000001",
             "a:1",
@@ -36,7 +37,8 @@
             32,
             0,
             images,
-            List.of()));
+            List.of()),
+        0);
     return machineView;
   }
 
@@ -47,7 +49,7 @@
     assertTrue(machineView(12, false, List.of()).isDeparting());
     assertTrue(machineView(-1, true, List.of()).isDeparting());
     MachineView nobodys = machineView(12, false, List.of());
-    nobodys.setLeader(null);
+    nobodys.clearLeader();
     assertFalse(nobodys.isDeparting(), "nobody could be asked to stop its replicas");
   }
 }
--- a/src/test/java/mallowstall/core/Simulation.java
+++ b/src/test/java/mallowstall/core/Simulation.java
@@ -208,7 +208,7 @@
     }
     Map<String, Integer> placed = new HashMap<>();
     Map<String, Integer> running = new HashMap<>();
-    for (MachineView machine : core.view().machines.values()) {
+    for (MachineView machine : core.view().machines()) {
       if (machine.status() == null) {
         continue;
       }
