--- a/src/main/java/mallowstall/core/api/FreshJobReader.java
+++ b/src/main/java/mallowstall/core/api/FreshJobReader.java
@@ -9,6 +9,8 @@
 import mallowstall.core.kernel.EventClock;
 import mallowstall.core.kernel.GetResult;
 import mallowstall.core.kernel.ResultCode;
+import mallowstall.core.kv.RequestPriority;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.kv.StateStore;
 import mallowstall.core.model.JobEntry;
 
@@ -46,8 +48,8 @@
     pendingReads.remove(id);
     boolean queued =
         store.read(
-            StateStore.Urgency.USER,
-            StateStore.JOB_PREFIX + id,
+            RequestPriority.USER,
+            StateKeys.job(id),
             result -> complete(callbacks, toJobRead(result, requestedAtMs)));
     if (!queued) {
       complete(callbacks, JobRead.UNAVAILABLE);
--- a/src/main/java/mallowstall/core/api/JobApi.java
+++ b/src/main/java/mallowstall/core/api/JobApi.java
@@ -17,6 +17,8 @@
 import mallowstall.core.kernel.ResultCode;
 import mallowstall.core.kernel.Transaction;
 import mallowstall.core.kv.JobBitmaps;
+import mallowstall.core.kv.RequestPriority;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.kv.StateStore;
 import mallowstall.core.model.ApiResponse;
 import mallowstall.core.model.CoreSettings;
@@ -138,7 +140,7 @@
 
   private void recordSubmission(JobEntry job, Consumer<ApiResponse> reply) {
     String id = job.spec().id();
-    String key = StateStore.JOB_PREFIX + id;
+    String key = StateKeys.job(id);
     long submittedAtMs = clock.now();
     Transaction creation =
         new Transaction(
@@ -242,8 +244,7 @@
   private void transact(
       Transaction transaction, Consumer<ApiResponse> reply, Consumer<ResultCode> onResult) {
     boolean queued =
-        store.transact(
-            StateStore.Urgency.USER, transaction, result -> onResult.accept(result.code()));
+        store.transact(RequestPriority.USER, transaction, result -> onResult.accept(result.code()));
     if (!queued) {
       reply.accept(unavailable(QUEUE_FULL));
     }
--- a/src/main/java/mallowstall/core/autoscaling/AutoscalerLeadership.java
+++ b/src/main/java/mallowstall/core/autoscaling/AutoscalerLeadership.java
@@ -7,7 +7,10 @@
 import mallowstall.core.kernel.ResultCode;
 import mallowstall.core.kernel.RetryDelay;
 import mallowstall.core.kernel.Transaction;
+import mallowstall.core.kv.RequestPriority;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.kv.StateStore;
+import mallowstall.core.kv.StoredValue;
 import mallowstall.core.model.AutoscalerLeaderEntry;
 import mallowstall.core.model.CoreSettings;
 import org.slf4j.Logger;
@@ -35,7 +38,7 @@
 
   /** Whether this incarnation is the leader, by the state replica and a valid session. */
   boolean isLeader() {
-    StateStore.Held stored = store.entry(StateStore.AUTOSCALER_LEADER_KEY);
+    StoredValue stored = store.entry(StateKeys.AUTOSCALER_LEADER_KEY);
     if (stored == null || !store.isSessionValid()) {
       return false;
     }
@@ -46,7 +49,7 @@
 
   /** Asks for leadership when nobody has it and no earlier request is under way. */
   void acquireIfVacant(long now) {
-    if (store.entry(StateStore.AUTOSCALER_LEADER_KEY) == null
+    if (store.entry(StateKeys.AUTOSCALER_LEADER_KEY) == null
         && !requestInFlight
         && retry.isDue(now)) {
       acquire();
@@ -58,12 +61,12 @@
     boolean accepted =
         store.transact(
             // as urgent as machines: behind registrations and jobs it would wait too long
-            StateStore.Urgency.MACHINE,
+            RequestPriority.MACHINE,
             new Transaction(
-                List.of(new Condition(StateStore.AUTOSCALER_LEADER_KEY, 0)),
+                List.of(new Condition(StateKeys.AUTOSCALER_LEADER_KEY, 0)),
                 List.of(
                     new PutOperation(
-                        StateStore.AUTOSCALER_LEADER_KEY,
+                        StateKeys.AUTOSCALER_LEADER_KEY,
                         new AutoscalerLeaderEntry(settings.node(), store.incarnation()),
                         store.leaseId())),
                 List.of()),
--- a/src/main/java/mallowstall/core/autoscaling/RegisteredMachines.java
+++ b/src/main/java/mallowstall/core/autoscaling/RegisteredMachines.java
@@ -5,7 +5,9 @@
 import mallowstall.Constants;
 import mallowstall.core.cluster.ClusterView;
 import mallowstall.core.cluster.MachineView;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.kv.StateStore;
+import mallowstall.core.kv.StoredValue;
 import mallowstall.core.model.CoreSettings;
 import mallowstall.core.model.MachineEntry;
 
@@ -33,9 +35,9 @@
 
   /** Counts all registered machines and forgets those that no longer are. */
   void count(MachineCensus census, long now) {
-    for (Map.Entry<String, StateStore.Held> entry :
-        store.entriesUnder(StateStore.MACHINE_PREFIX).entrySet()) {
-      String id = entry.getKey().substring(StateStore.MACHINE_PREFIX.length());
+    for (Map.Entry<String, StoredValue> entry :
+        store.entriesUnder(StateKeys.MACHINE_PREFIX).entrySet()) {
+      String id = StateKeys.machineOf(entry.getKey());
       countMachine(id, (MachineEntry) entry.getValue().value(), census, now);
     }
     census.resolveLost();
@@ -46,7 +48,7 @@
   private void countMachine(String id, MachineEntry entry, MachineCensus census, long now) {
     census.addRegistered(id);
     pendingMachines.remove(id);
-    MachineView machine = view.machines.get(id);
+    MachineView machine = view.machine(id);
     boolean leaderLive = store.isLive(entry.node(), entry.incarnation());
     if (view.isFullyReported(id, entry)
         && leaderLive
--- a/src/main/java/mallowstall/core/jobs/CompletionRecorder.java
+++ b/src/main/java/mallowstall/core/jobs/CompletionRecorder.java
@@ -5,6 +5,8 @@
 import mallowstall.core.kernel.ResultCode;
 import mallowstall.core.kernel.Transaction;
 import mallowstall.core.kv.JobBitmaps;
+import mallowstall.core.kv.RequestPriority;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.kv.StateStore;
 import mallowstall.core.model.JobOutcome;
 
@@ -61,7 +63,7 @@
     ledJob.writes().beginCompletionWrite(now);
     boolean accepted =
         store.transact(
-            StateStore.Urgency.JOB,
+            RequestPriority.JOB,
             new Transaction(write.conditions(), write.puts(), List.of()),
             reply -> handleWriteResult(ledJob, pieces, reply.code()));
     if (!accepted) {
@@ -93,8 +95,8 @@
     ledJob.writes().beginRead();
     boolean accepted =
         store.read(
-            StateStore.Urgency.JOB,
-            StateStore.JOB_PREFIX + ledJob.id(),
+            RequestPriority.JOB,
+            StateKeys.job(ledJob.id()),
             reply -> ledJob.writes().endRead(clock.now()));
     if (!accepted) {
       ledJob.writes().withdrawCompletionWrite();
--- a/src/main/java/mallowstall/core/jobs/JobFailover.java
+++ b/src/main/java/mallowstall/core/jobs/JobFailover.java
@@ -12,6 +12,8 @@
 import mallowstall.core.kernel.RetryDelay;
 import mallowstall.core.kernel.Transaction;
 import mallowstall.core.kv.JobBitmaps;
+import mallowstall.core.kv.RequestPriority;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.kv.StateStore;
 import mallowstall.core.model.CoreSettings;
 import mallowstall.core.model.JobEntry;
@@ -107,10 +109,10 @@
     claimsInFlight.put(id, now);
     JobEntry claimed = job.withLeader(settings.node(), store.incarnation());
     JobBitmaps.Write claim =
-        jobBitmaps.writePreservingBits(claimed, store.modRevision(StateStore.JOB_PREFIX + id));
+        jobBitmaps.writePreservingBits(claimed, store.modRevision(StateKeys.job(id)));
     boolean accepted =
         store.transact(
-            StateStore.Urgency.JOB,
+            RequestPriority.JOB,
             new Transaction(claim.conditions(), claim.puts(), List.of()),
             reply -> {
               claimsInFlight.remove(id);
--- a/src/main/java/mallowstall/core/jobs/JobLeader.java
+++ b/src/main/java/mallowstall/core/jobs/JobLeader.java
@@ -150,7 +150,7 @@
    */
   private void removeScaledInMachines() {
     for (String id : attempts.machines()) {
-      MachineView machine = view.machines.get(id);
+      MachineView machine = view.machine(id);
       if (machine == null
           || machine.status() == null
           || !store.returned(id, machine.status().entryRevision())) {
--- a/src/main/java/mallowstall/core/jobs/JobLeadership.java
+++ b/src/main/java/mallowstall/core/jobs/JobLeadership.java
@@ -4,6 +4,7 @@
 import mallowstall.core.kernel.EventClock;
 import mallowstall.core.kernel.PlacementTrigger;
 import mallowstall.core.kv.JobBitmaps;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.kv.StateStore;
 import mallowstall.core.model.CoreSettings;
 import mallowstall.core.model.JobEntry;
@@ -58,13 +59,13 @@
       }
       return;
     }
-    long modRevision = store.modRevision(StateStore.JOB_PREFIX + id);
+    long modRevision = store.modRevision(StateKeys.job(id));
     boolean newEpoch = ledJob == null || ledJob.entry().epoch() != entry.epoch();
     if (newEpoch) {
       if (ledJob != null) {
         endLeading(ledJob);
       }
-      ledJob = new LedJob(entry, modRevision, view.updatesReceived, clock.now());
+      ledJob = new LedJob(entry, modRevision, view.updatesReceived(), clock.now());
       ledJob.completed().merge(jobBitmaps.completedTasks(entry));
       jobs.add(ledJob);
     }
--- a/src/main/java/mallowstall/core/jobs/LeadershipRecovery.java
+++ b/src/main/java/mallowstall/core/jobs/LeadershipRecovery.java
@@ -4,7 +4,9 @@
 import mallowstall.core.cluster.ClusterView;
 import mallowstall.core.cluster.PeerState;
 import mallowstall.core.kernel.PlacementTrigger;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.kv.StateStore;
+import mallowstall.core.kv.StoredValue;
 import mallowstall.core.model.MachineEntry;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -74,10 +76,10 @@
     long coveredRevision = Long.MAX_VALUE;
     long oldestUpdate = Long.MAX_VALUE;
     String blockingMachine = null;
-    for (Map.Entry<String, StateStore.Held> entry :
-        store.entriesUnder(StateStore.MACHINE_PREFIX).entrySet()) {
+    for (Map.Entry<String, StoredValue> entry :
+        store.entriesUnder(StateKeys.MACHINE_PREFIX).entrySet()) {
       MachineEntry machineEntry = (MachineEntry) entry.getValue().value();
-      String id = entry.getKey().substring(StateStore.MACHINE_PREFIX.length());
+      String id = StateKeys.machineOf(entry.getKey());
       PeerState peer = view.peer(machineEntry.node());
       long revision = view.isFullyReported(id, machineEntry) ? peer.replicaRevision() : -1;
       if (revision >= 0) {
--- a/src/main/java/mallowstall/core/jobs/StatusReconciliation.java
+++ b/src/main/java/mallowstall/core/jobs/StatusReconciliation.java
@@ -60,7 +60,7 @@
       }
     }
     for (MachineStatus status : update.machines()) {
-      MachineView machine = view.machines.get(status.machine());
+      MachineView machine = view.machine(status.machine());
       if (machine != null && isCurrentStatus(machine, status)) {
         applyMachineStatus(update, status);
       }
@@ -81,7 +81,7 @@
   private void releaseUndeliveredStarts(StatusUpdate update) {
     PeerState peer = view.peer(update.node());
     for (ActiveAttempt active : attempts.unobservedStarts()) {
-      MachineView machine = view.machines.get(active.machine());
+      MachineView machine = view.machine(active.machine());
       boolean reported =
           machine != null
               && machine.status() != null
@@ -140,7 +140,7 @@
    * incremental: a task overlooked here would be placed a second time.
    */
   void applyKnownTaskStatuses(String job) {
-    for (MachineView machine : view.machines.values()) {
+    for (MachineView machine : view.machines()) {
       if (machine.status() == null || machine.leader() == null) {
         continue; // its next leader sends a full update
       }
--- a/src/main/java/mallowstall/core/machines/LeaderRedirects.java
+++ b/src/main/java/mallowstall/core/machines/LeaderRedirects.java
@@ -60,7 +60,7 @@
    */
   private boolean isLedElsewhere(String id, long now) {
     MachineEntry entry = store.machine(id);
-    MachineView machine = view.machines.get(id);
+    MachineView machine = view.machine(id);
     if (entry == null
         || machine == null
         || machine.status() == null
--- a/src/main/java/mallowstall/core/machines/MachineEntryWriter.java
+++ b/src/main/java/mallowstall/core/machines/MachineEntryWriter.java
@@ -10,6 +10,8 @@
 import mallowstall.core.kernel.PutOperation;
 import mallowstall.core.kernel.Transaction;
 import mallowstall.core.kernel.TransactionResult;
+import mallowstall.core.kv.RequestPriority;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.kv.StateStore;
 import mallowstall.core.model.CoreSettings;
 import mallowstall.core.model.MachineEntry;
@@ -87,11 +89,11 @@
   /** Makes this controller the machine's recorded leader; false: refused because of the backlog. */
   boolean writeEntry(
       String id, String type, String zone, boolean spot, Consumer<TransactionResult> callback) {
-    String key = StateStore.MACHINE_PREFIX + id;
+    String key = StateKeys.machine(id);
     MachineEntry machineEntry =
         new MachineEntry(settings.node(), store.incarnation(), 0, type, zone, spot);
     return store.transact(
-        StateStore.Urgency.MACHINE,
+        RequestPriority.MACHINE,
         new Transaction(
             List.of(new Condition(key, store.modRevision(key)), sessionCondition()),
             List.of(new PutOperation(key, machineEntry, 0)),
@@ -101,10 +103,10 @@
 
   /** The same for many machines by one entry; false: refused because of the backlog. */
   boolean writeGroup(List<MachineGroupMember> machines, Consumer<TransactionResult> callback) {
-    String key = StateStore.MACHINE_GROUP_PREFIX + store.incarnation() + "-" + ++groupCounter;
+    String key = StateKeys.MACHINE_GROUP_PREFIX + store.incarnation() + "-" + ++groupCounter;
     PutOperation put = new PutOperation(key, groupEntry(machines), 0);
     return store.transact(
-        StateStore.Urgency.MACHINE,
+        RequestPriority.MACHINE,
         new Transaction(
             List.of(new Condition(key, 0), sessionCondition()), List.of(put), List.of()),
         callback);
@@ -121,7 +123,7 @@
 
   /** A write applied late, after this process has ended, must not make it a leader again. */
   private Condition sessionCondition() {
-    String key = StateStore.SESSION_PREFIX + settings.node();
+    String key = StateKeys.session(settings.node());
     return new Condition(key, store.modRevision(key));
   }
 
@@ -139,7 +141,7 @@
         continue;
       }
       store.transact(
-          StateStore.Urgency.BACKGROUND,
+          RequestPriority.BACKGROUND,
           new Transaction(List.of(), List.of(), List.of(key)),
           reply -> {});
       return;
--- a/src/main/java/mallowstall/core/machines/MachineFailover.java
+++ b/src/main/java/mallowstall/core/machines/MachineFailover.java
@@ -10,7 +10,9 @@
 import mallowstall.core.cluster.MachineView;
 import mallowstall.core.cluster.Membership;
 import mallowstall.core.kernel.Effects;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.kv.StateStore;
+import mallowstall.core.kv.StoredValue;
 import mallowstall.core.model.CoreSettings;
 import mallowstall.core.model.Heartbeat;
 import mallowstall.core.model.MachineEntry;
@@ -67,13 +69,13 @@
     nextScanMs = now + Constants.MACHINE_FAILOVER_SCAN_INTERVAL_MS;
     Set<String> leaderless = new HashSet<>();
     int probesLeft = Constants.MACHINE_FAILOVER_BATCH;
-    for (Map.Entry<String, StateStore.Held> stored :
-        store.entriesUnder(StateStore.MACHINE_PREFIX).entrySet()) {
+    for (Map.Entry<String, StoredValue> stored :
+        store.entriesUnder(StateKeys.MACHINE_PREFIX).entrySet()) {
       MachineEntry entry = (MachineEntry) stored.getValue().value();
       if (store.isLive(entry.node(), entry.incarnation())) {
         continue;
       }
-      String id = stored.getKey().substring(StateStore.MACHINE_PREFIX.length());
+      String id = StateKeys.machineOf(stored.getKey());
       leaderless.add(id);
       leaderlessSinceMs.putIfAbsent(id, now);
       if (probesLeft > 0 && probeDue(id, entry, now)) {
@@ -87,7 +89,7 @@
 
   /** Whether this controller is the one to probe the machine, and may do so now. */
   private boolean probeDue(String id, MachineEntry entry, long now) {
-    MachineView machine = view.machines.get(id);
+    MachineView machine = view.machine(id);
     return now - leaderlessSinceMs.get(id) >= Constants.MACHINE_FAILOVER_DELAY_MS
         && machine != null
         && machine.status() != null
@@ -100,7 +102,7 @@
 
   private void probe(String id, MachineEntry entry, long now) {
     lastProbeMs.put(id, now);
-    String address = view.machines.get(id).status().address();
+    String address = view.machine(id).status().address();
     // no session is 0, so the worker refuses the request and answers with its heartbeat
     effects.sendCommands(
         address, 0, 0, List.of(), reply -> handleAnswer(id, entry, reply.heartbeat()));
--- a/src/main/java/mallowstall/core/machines/MachineRegistration.java
+++ b/src/main/java/mallowstall/core/machines/MachineRegistration.java
@@ -9,7 +9,9 @@
 import mallowstall.core.kernel.EventClock;
 import mallowstall.core.kernel.ResultCode;
 import mallowstall.core.kernel.TransactionResult;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.kv.StateStore;
+import mallowstall.core.kv.StoredValue;
 import mallowstall.core.kv.ValueSize;
 import mallowstall.core.model.CoreSettings;
 import mallowstall.core.model.Heartbeat;
@@ -192,7 +194,7 @@
     Heartbeat heartbeat = pending.heartbeat;
     String id = heartbeat.machine();
     entryWriter.clearInFlight(id);
-    StateStore.Held stored = store.entry(StateStore.MACHINE_PREFIX + id);
+    StoredValue stored = store.entry(StateKeys.machine(id));
     if (reply.code() != ResultCode.OK
         || stored == null
         || stored.modRevision() != reply.revision()) {
--- a/src/main/java/mallowstall/core/machines/ManagedMachines.java
+++ b/src/main/java/mallowstall/core/machines/ManagedMachines.java
@@ -61,7 +61,7 @@
   ManagedMachine add(String id, MachineType type, String zone, boolean spot, long revision) {
     ManagedMachine machine = new ManagedMachine(id, type, zone, spot, revision, clock.now());
     // heartbeats don't name images, so the previous leader's knowledge is kept
-    MachineView machineView = view.machines.get(id);
+    MachineView machineView = view.machine(id);
     if (machineView != null && machineView.status() != null) {
       machine.images().addAll(machineView.status().images());
     }
--- a/src/main/java/mallowstall/core/machines/StaleHeartbeats.java
+++ b/src/main/java/mallowstall/core/machines/StaleHeartbeats.java
@@ -42,7 +42,7 @@
     if (returnedMachines.contains(heartbeat.machine())) {
       return true;
     }
-    MachineView machine = view.machines.get(heartbeat.machine());
+    MachineView machine = view.machine(heartbeat.machine());
     if (machine == null
         || machine.status() == null
         || heartbeat.session() > machine.status().session()) {
--- a/src/main/java/mallowstall/core/placement/CapacitySnapshot.java
+++ b/src/main/java/mallowstall/core/placement/CapacitySnapshot.java
@@ -44,7 +44,7 @@
   /** Machines in service with a recent status update and free capacity. */
   List<MachineView> availableMachines() {
     List<MachineView> machines = new ArrayList<>();
-    for (MachineView machine : view.machines.values()) {
+    for (MachineView machine : view.machines()) {
       if (machine.isSchedulable()
           && view.hasRecentUpdate(machine)
           && machine.freeCpus() > FREE_CPUS_MIN) {
@@ -56,7 +56,7 @@
 
   /** Renews the reservations on machines, and then the work that waits. */
   void refreshReservations() {
-    for (MachineView machine : view.machines.values()) {
+    for (MachineView machine : view.machines()) {
       machine.clearReservations();
     }
     for (LedJob ledJob : jobLeader.jobs()) {
@@ -68,7 +68,7 @@
 
   private void reserveRelocations(LedJob ledJob) {
     for (Map.Entry<String, Integer> entry : ledJob.relocations().replicasByTarget().entrySet()) {
-      MachineView target = view.machines.get(entry.getKey());
+      MachineView target = view.machine(entry.getKey());
       if (target != null) {
         target.reserve(ledJob.spec(), entry.getValue());
       }
@@ -81,7 +81,7 @@
       if (active.observedOnMachine() || active.inLatestStatus()) {
         continue;
       }
-      MachineView machine = view.machines.get(active.machine());
+      MachineView machine = view.machine(active.machine());
       if (machine != null) {
         machine.reserve(ledJob.spec(), 1);
       }
--- a/src/main/java/mallowstall/core/placement/Preemption.java
+++ b/src/main/java/mallowstall/core/placement/Preemption.java
@@ -77,7 +77,7 @@
       LedJob ledJob, Policy policy, String chosenZone, long now) {
     JobSpec spec = ledJob.spec();
     List<PreemptionCandidate> candidates = new ArrayList<>();
-    for (MachineView machine : view.machines.values()) {
+    for (MachineView machine : view.machines()) {
       if (!machine.isSchedulable() || !view.hasRecentUpdate(machine) || !machine.allows(spec)) {
         continue;
       }
@@ -109,9 +109,7 @@
     MachineView machine = candidate.machine;
     for (TaskStatus victim : candidate.victims) {
       machine.reserve(store.job(victim.job()).spec(), -1);
-      machine
-          .preemptedUntilMs()
-          .put(TaskAttempt.of(victim), now + Constants.PREEMPTION_INTERVAL_MIN_MS);
+      machine.recordPreemption(TaskAttempt.of(victim), now + Constants.PREEMPTION_INTERVAL_MIN_MS);
     }
   }
 
@@ -138,7 +136,7 @@
   private List<TaskStatus> preemptibleTasks(LedJob ledJob, MachineView machine, long now) {
     boolean urgent = isUrgent(ledJob);
     boolean owedShare = isOwedGuaranteedShare(ledJob, now);
-    machine.preemptedUntilMs().values().removeIf(untilMs -> untilMs <= now);
+    machine.forgetPreemptions(now);
     List<TaskStatus> preemptible = new ArrayList<>();
     for (TaskStatus task : machine.status().tasks()) {
       JobEntry job = task.state() == null ? null : store.job(task.job());
@@ -147,7 +145,7 @@
           || task.state() == TaskState.CHECKPOINTING) {
         continue;
       }
-      if (machine.preemptedUntilMs().containsKey(TaskAttempt.of(task)) || isProtected(job)) {
+      if (machine.isPreempted(TaskAttempt.of(task)) || isProtected(job)) {
         continue;
       }
       boolean lowerPriority =
--- a/src/main/java/mallowstall/core/quota/QuotaLedger.java
+++ b/src/main/java/mallowstall/core/quota/QuotaLedger.java
@@ -16,6 +16,8 @@
 import mallowstall.core.kernel.RetryDelay;
 import mallowstall.core.kernel.TransactionResult;
 import mallowstall.core.kv.JobBitmaps;
+import mallowstall.core.kv.RequestPriority;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.kv.StateStore;
 import mallowstall.core.model.CoreSettings;
 import mallowstall.core.model.JobSpec;
@@ -156,7 +158,7 @@
   }
 
   private void send(String team, TeamWrites writes, QuotaTransaction change, long now) {
-    String key = StateStore.TEAM_PREFIX + team;
+    String key = StateKeys.team(team);
     for (LedJob ledJob : change.jobs()) {
       ledJob.writes().beginQuotaWrite();
     }
@@ -164,7 +166,7 @@
     writes.nextWriteMs = now + Constants.QUOTA_TRANSACTION_INTERVAL_MIN_MS;
     boolean accepted =
         store.transact(
-            StateStore.Urgency.JOB,
+            RequestPriority.JOB,
             change.build(key, store.modRevision(key)),
             reply -> handleResult(key, writes, change, reply));
     if (!accepted) {
@@ -200,7 +202,7 @@
   /** Reads the team's usage after a conflict; it isn't written before the answer. */
   private void refreshUsage(String teamKey, TeamWrites writes) {
     writes.inFlight = true;
-    boolean accepted = store.read(StateStore.Urgency.JOB, teamKey, read -> writes.inFlight = false);
+    boolean accepted = store.read(RequestPriority.JOB, teamKey, read -> writes.inFlight = false);
     if (!accepted) {
       writes.inFlight = false;
     }
--- a/src/main/java/mallowstall/core/quota/QuotaTransaction.java
+++ b/src/main/java/mallowstall/core/quota/QuotaTransaction.java
@@ -6,7 +6,7 @@
 import mallowstall.core.kernel.Condition;
 import mallowstall.core.kernel.PutOperation;
 import mallowstall.core.kernel.Transaction;
-import mallowstall.core.kv.StateStore;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.model.TeamUsageEntry;
 
 /**
@@ -41,7 +41,7 @@
     }
     reservedCpus += tasks * ledJob.spec().cpus();
     reservedGpus += tasks * ledJob.spec().gpus();
-    String key = StateStore.JOB_PREFIX + ledJob.id();
+    String key = StateKeys.job(ledJob.id());
     conditions.add(new Condition(key, ledJob.modRevision()));
     puts.add(
         new PutOperation(
--- a/src/main/java/mallowstall/core/quota/TeamQuotas.java
+++ b/src/main/java/mallowstall/core/quota/TeamQuotas.java
@@ -1,7 +1,9 @@
 package mallowstall.core.quota;
 
 import mallowstall.Constants;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.kv.StateStore;
+import mallowstall.core.kv.StoredValue;
 import mallowstall.core.model.CoreSettings;
 import mallowstall.core.model.JobSpec;
 import mallowstall.core.model.Team;
@@ -28,7 +30,7 @@
 
   /** What the team's jobs have reserved by the state replica. */
   TeamUsageEntry usage(String team) {
-    StateStore.Held stored = store.entry(StateStore.TEAM_PREFIX + team);
+    StoredValue stored = store.entry(StateKeys.team(team));
     return stored == null ? new TeamUsageEntry(0, 0) : (TeamUsageEntry) stored.value();
   }
 
--- a/src/test/java/mallowstall/core/DelayedRequestsTest.java
+++ b/src/test/java/mallowstall/core/DelayedRequestsTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import mallowstall.core.kernel.PutOperation;
 import mallowstall.core.kernel.Transaction;
-import mallowstall.core.kv.StateStore;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.model.ApiResponse;
 import mallowstall.core.model.JobSpec;
 import mallowstall.core.model.SessionEntry;
@@ -36,7 +36,7 @@
     sim.runUntil(8_000);
     SimulatedController node = sim.controllers.get("n1");
     long former = node.core.incarnation();
-    long lease = sim.stateService.entries.get(StateStore.SESSION_PREFIX + "n1").leaseId();
+    long lease = sim.stateService.entries.get(StateKeys.session("n1")).leaseId();
     node.crash(150);
     while (node.core.incarnation() == 0 || node.core.store().sessionRemainingMs() <= 0) {
       sim.runUntil(sim.nowMs + 10);
@@ -44,20 +44,19 @@
     assertTrue(sim.stateService.leases.containsKey(lease), "the former lease hasn't ended yet");
     // as a former version would have asked for it, compared with nothing
     PutOperation late =
-        new PutOperation(StateStore.SESSION_PREFIX + "n1", new SessionEntry("n1", former), lease);
+        new PutOperation(StateKeys.session("n1"), new SessionEntry("n1", former), lease);
     sim.stateService.transact(new Transaction(List.of(), List.of(late), List.of()));
     long until = sim.nowMs + 12_000;
     boolean lost = false;
     while (sim.nowMs < until) {
       sim.runUntil(sim.nowMs + 50);
-      lost |= !sim.stateService.entries.containsKey(StateStore.SESSION_PREFIX + "n1");
+      lost |= !sim.stateService.entries.containsKey(StateKeys.session("n1"));
       SimulatedStateService.StoredValue value =
-          sim.stateService.entries.get(StateStore.SESSION_PREFIX + "n1");
+          sim.stateService.entries.get(StateKeys.session("n1"));
       lost |= value != null && ((SessionEntry) value.value()).incarnation() == former;
     }
     assertTrue(lost, "it was replaced");
-    SimulatedStateService.StoredValue now =
-        sim.stateService.entries.get(StateStore.SESSION_PREFIX + "n1");
+    SimulatedStateService.StoredValue now = sim.stateService.entries.get(StateKeys.session("n1"));
     assertEquals(node.core.incarnation(), ((SessionEntry) now.value()).incarnation());
     assertTrue(sim.stateService.leases.containsKey(now.leaseId()));
     sim.users.submit(batchJob(CANCELLED_JOB).tasks(12).build());
@@ -82,7 +81,7 @@
                 txn ->
                     txn.conditions().stream()
                         .anyMatch(
-                            condition -> condition.key().startsWith(StateStore.SESSION_PREFIX))));
+                            condition -> condition.key().startsWith(StateKeys.SESSION_PREFIX))));
     assertTrue(
         asked.stream()
             .anyMatch(t -> t.puts().stream().anyMatch(p -> p.value() instanceof SessionEntry)));
--- a/src/test/java/mallowstall/core/DerivedCountsCheck.java
+++ b/src/test/java/mallowstall/core/DerivedCountsCheck.java
@@ -20,7 +20,7 @@
     }
     Map<String, Integer> placed = new HashMap<>();
     Map<String, Integer> running = new HashMap<>();
-    for (MachineView machine : core.view().machines.values()) {
+    for (MachineView machine : core.view().machines()) {
       if (machine.status() == null) {
         continue;
       }
--- a/src/test/java/mallowstall/core/FailoverSafetyTest.java
+++ b/src/test/java/mallowstall/core/FailoverSafetyTest.java
@@ -15,7 +15,7 @@
 import mallowstall.core.kernel.PutOperation;
 import mallowstall.core.kernel.ResultCode;
 import mallowstall.core.kernel.Transaction;
-import mallowstall.core.kv.StateStore;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.model.AutoscalerLeaderEntry;
 import mallowstall.core.model.JobEntry;
 import mallowstall.core.model.JobOutcome;
@@ -44,7 +44,7 @@
       }
       claimant.stateDelayMs = 900;
       // its failover is executed, the answer is lost, and its watch is late
-      String key = StateStore.JOB_PREFIX + "wk-000001";
+      String key = StateKeys.job("wk-000001");
       JobEntry mine = sim.jobEntry("wk-000001").withLeader(name, claimant.core.incarnation());
       long version = sim.stateService.entries.get(key).version();
       assertEquals(
@@ -83,7 +83,7 @@
     node.crash(60_000);
     SimulatedController next = awaitFailover(sim, "wk-000001", node);
     assertFalse(next.core.mayPlace("wk-000001"));
-    long lease = sim.stateService.entries.get(StateStore.SESSION_PREFIX + next.name).leaseId();
+    long lease = sim.stateService.entries.get(StateKeys.session(next.name)).leaseId();
     sim.stateService.revokeLease(lease);
     sim.runUntil(sim.nowMs + 75_000);
     boolean over = sim.jobEntry("wk-000001").outcome() == JobOutcome.DONE;
@@ -117,10 +117,10 @@
   void quickRestartDuringFailoverKeepsInvariants() {
     for (String prefix :
         List.of(
-            StateStore.AUTOSCALER_LEADER_KEY,
-            StateStore.JOB_PREFIX,
-            StateStore.MACHINE_GROUP_PREFIX,
-            StateStore.MACHINE_PREFIX)) {
+            StateKeys.AUTOSCALER_LEADER_KEY,
+            StateKeys.JOB_PREFIX,
+            StateKeys.MACHINE_GROUP_PREFIX,
+            StateKeys.MACHINE_PREFIX)) {
       Simulation sim = new Simulation(74);
       sim.duplicateHeartbeatRate = 0.2;
       sim.messageLossRate = 0.03;
--- a/src/test/java/mallowstall/core/FaultCombination.java
+++ b/src/test/java/mallowstall/core/FaultCombination.java
@@ -11,7 +11,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import mallowstall.core.kv.StateStore;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.model.Heartbeat;
 import mallowstall.core.model.HeartbeatResponse;
 import mallowstall.core.model.JobEntry;
@@ -132,8 +132,7 @@
           used < 22 && sim.nowMs < until;
           sim.runUntil(sim.nowMs + 200)) {
         used =
-            ((TeamUsageEntry)
-                    sim.stateService.entries.get(StateStore.TEAM_PREFIX + "tight").value())
+            ((TeamUsageEntry) sim.stateService.entries.get(StateKeys.team("tight")).value())
                 .reservedCpus();
       }
       SimulatedController node = sim.controllers.get(sim.jobEntry("wk-000005").leader());
--- a/src/test/java/mallowstall/core/FaultSafetyTest.java
+++ b/src/test/java/mallowstall/core/FaultSafetyTest.java
@@ -16,7 +16,7 @@
 import mallowstall.core.kernel.ResultCode;
 import mallowstall.core.kernel.Transaction;
 import mallowstall.core.kernel.TransactionResult;
-import mallowstall.core.kv.StateStore;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.model.ApiResponse;
 import mallowstall.core.model.JobEntry;
 import mallowstall.core.model.TeamUsageEntry;
@@ -45,14 +45,14 @@
     sim.users.submit(batchJob("wk-000001").tasks(6).team("tight").build());
     sim.runUntil(7_000);
     JobEntry before = sim.jobEntry("wk-000001");
-    long version = sim.stateService.entries.get(StateStore.JOB_PREFIX + "wk-000001").version();
+    long version = sim.stateService.entries.get(StateKeys.job("wk-000001")).version();
     sim.runUntil(60_000);
     assertFinished(sim, "wk-000001");
     TransactionResult late =
         sim.stateService.transact(
             new Transaction(
-                List.of(new Condition(StateStore.JOB_PREFIX + "wk-000001", version)),
-                List.of(new PutOperation(StateStore.JOB_PREFIX + "wk-000001", before, 0)),
+                List.of(new Condition(StateKeys.job("wk-000001"), version)),
+                List.of(new PutOperation(StateKeys.job("wk-000001"), before, 0)),
                 List.of()));
     assertEquals(ResultCode.CONFLICT, late.code());
     sim.runUntil(70_000);
@@ -65,7 +65,7 @@
       Simulation sim = new Simulation(33);
       sim.runUntil(6_000);
       sim.users.submit(batchJob("wk-000001").tasks(10).build());
-      while (!sim.stateService.entries.containsKey(StateStore.JOB_PREFIX + "wk-000001")) {
+      while (!sim.stateService.entries.containsKey(StateKeys.job("wk-000001"))) {
         sim.runUntil(sim.nowMs + 1);
       }
       sim.runUntil(sim.nowMs + after);
@@ -124,7 +124,7 @@
       Simulation sim = new Simulation(39);
       sim.runUntil(6_000);
       sim.users.submit(batchJob("wk-000001").tasks(12).team("tight").build());
-      while (!sim.stateService.entries.containsKey(StateStore.JOB_PREFIX + "wk-000001")) {
+      while (!sim.stateService.entries.containsKey(StateKeys.job("wk-000001"))) {
         sim.runUntil(sim.nowMs + 1);
       }
       sim.runUntil(sim.nowMs + after);
@@ -134,8 +134,7 @@
       assertEquals("cancelled", sim.checker.lastState("wk-000001"));
       assertEquals(
           0, sim.jobEntry("wk-000001").quotaReservedTasks(), "the quota reservation is released");
-      SimulatedStateService.StoredValue sum =
-          sim.stateService.entries.get(StateStore.TEAM_PREFIX + "tight");
+      SimulatedStateService.StoredValue sum = sim.stateService.entries.get(StateKeys.team("tight"));
       assertEquals(0, sum == null ? 0 : ((TeamUsageEntry) sum.value()).reservedCpus(), 1e-9);
     }
   }
@@ -149,7 +148,7 @@
     assertAllFinished(sim, 9);
     assertEquals(
         0,
-        ((TeamUsageEntry) sim.stateService.entries.get(StateStore.TEAM_PREFIX + "tight").value())
+        ((TeamUsageEntry) sim.stateService.entries.get(StateKeys.team("tight")).value())
             .reservedCpus(),
         1e-9);
   }
--- a/src/test/java/mallowstall/core/HeartbeatSafetyTest.java
+++ b/src/test/java/mallowstall/core/HeartbeatSafetyTest.java
@@ -14,7 +14,7 @@
 import mallowstall.core.cluster.MachineView;
 import mallowstall.core.kernel.PutOperation;
 import mallowstall.core.kernel.Transaction;
-import mallowstall.core.kv.StateStore;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.model.Heartbeat;
 import mallowstall.core.model.HeartbeatResponse;
 import mallowstall.core.model.MachineEntry;
@@ -63,7 +63,7 @@
     List<HeartbeatResponse> responses = new ArrayList<>();
     leader.enqueueEvent(() -> leader.core.handleHeartbeat(staleHeartbeat, responses::add));
     assertEquals(503, responses.get(0).status());
-    MachineView machineView = leader.core.view().machines.get(worker.id);
+    MachineView machineView = leader.core.view().machine(worker.id);
     assertNotNull(machineView);
     assertEquals(List.of(), machineView.status().tasks());
   }
@@ -103,16 +103,14 @@
     sim.runUntil(sim.nowMs + 3_000);
     assertEquals(before, sim.machineEntry(worker.id));
     for (SimulatedController peer : sim.controllers.values()) {
-      assertEquals(List.of(), peer.core.view().machines.get(worker.id).status().tasks());
+      assertEquals(List.of(), peer.core.view().machine(worker.id).status().tasks());
     }
     // scaled in: at the cloud and in the state service
     sim.killMachine(worker.id);
     sim.stateService.transact(
         new Transaction(
             List.of(),
-            List.of(
-                new PutOperation(
-                    StateStore.MACHINE_PREFIX + worker.id, MachineEntry.tombstone(), 0)),
+            List.of(new PutOperation(StateKeys.machine(worker.id), MachineEntry.tombstone(), 0)),
             List.of()));
     sim.runUntil(sim.nowMs + 3_000);
     for (long token : new long[] {0, worker.token}) {
@@ -151,7 +149,7 @@
     node.enqueueEvent(() -> node.core.handleHeartbeat(late, responses::add));
     assertEquals(200, responses.get(0).status(), "taken for the worker's own");
     sim.runUntil(sim.nowMs + Simulation.LEASE_MS + 4_000);
-    MachineView machineView = node.core.view().machines.get(worker.id);
+    MachineView machineView = node.core.view().machine(worker.id);
     assertTrue(machineView == null || machineView.status().leaseExpired());
   }
 
@@ -188,7 +186,7 @@
       StopRequest stop = stops.get(i);
       node.enqueueEvent(() -> node.core.sendStop(node.name, stop));
       if (i == 1) {
-        MachineView machineView = node.core.view().machines.get(mute.id);
+        MachineView machineView = node.core.view().machine(mute.id);
         assertFalse(
             machineView.isSchedulable(), "it answers commands, but loses its tasks each lease");
         assertFalse(machineView.status().unresponsive());
@@ -196,17 +194,16 @@
     }
     sim.runUntil(sim.nowMs + 400);
     assertEquals(2, worker.epoch);
-    MachineView machineView = node.core.view().machines.get(worker.id);
+    MachineView machineView = node.core.view().machine(worker.id);
     assertEquals(2, machineView.status().session(), "known from the answer");
     long known = sim.nowMs;
     while (sim.nowMs < known + Simulation.LEASE_MS - 600) {
       sim.runUntil(sim.nowMs + 200);
       assertFalse(
-          node.core.view().machines.get(worker.id).status().leaseExpired(),
-          "at " + (sim.nowMs - known));
+          node.core.view().machine(worker.id).status().leaseExpired(), "at " + (sim.nowMs - known));
     }
     sim.runUntil(known + Simulation.LEASE_MS + 4_000);
-    machineView = node.core.view().machines.get(worker.id);
+    machineView = node.core.view().machine(worker.id);
     assertTrue(machineView == null || machineView.status().leaseExpired(), "and not a longer one");
   }
 
@@ -233,7 +230,7 @@
     sim.runUntil(11_000 + Simulation.LEASE_MS + 4_000);
     assertTrue(worker.epoch > 1, "its lease expired although its heartbeats were answered");
     for (SimulatedController node : sim.controllers.values()) {
-      MachineView machineView = node.core.view().machines.get(worker.id);
+      MachineView machineView = node.core.view().machine(worker.id);
       assertFalse(
           machineView != null && machineView.isSchedulable(),
           "no start goes to an unreachable machine");
--- a/src/test/java/mallowstall/core/MachineLeadershipTest.java
+++ b/src/test/java/mallowstall/core/MachineLeadershipTest.java
@@ -16,7 +16,7 @@
 import mallowstall.Constants;
 import mallowstall.core.cluster.MachineView;
 import mallowstall.core.kernel.KeyValue;
-import mallowstall.core.kv.StateStore;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.model.MachineEntry;
 import mallowstall.core.model.MachineGroupEntry;
 import mallowstall.core.model.MachineGroupMember;
@@ -32,8 +32,8 @@
         .filter(item -> item.modRevision() > since)
         .filter(
             i ->
-                i.key().startsWith(StateStore.MACHINE_GROUP_PREFIX)
-                    || i.key().startsWith(StateStore.MACHINE_PREFIX))
+                i.key().startsWith(StateKeys.MACHINE_GROUP_PREFIX)
+                    || i.key().startsWith(StateKeys.MACHINE_PREFIX))
         .count();
   }
 
@@ -180,11 +180,11 @@
             () ->
                 node.core
                     .store()
-                    .applyItem(
-                        new KeyValue(StateStore.MACHINE_GROUP_PREFIX + "9-9", group, revision)));
+                    .applyChange(
+                        new KeyValue(StateKeys.MACHINE_GROUP_PREFIX + "9-9", group, revision)));
       }
       sim.runUntil(first + Simulation.LEASE_MS + 6_000);
-      assertEquals(!between, node.core.view().machines.get(worker.id).status().leaseExpired());
+      assertEquals(!between, node.core.view().machine(worker.id).status().leaseExpired());
     }
   }
 
@@ -222,8 +222,8 @@
             other.name,
             other.core.incarnation(),
             List.of(new MachineGroupMember(worker.id, "t8", worker.zone, worker.spot)));
-    sim.stateService.applyChange(StateStore.MACHINE_GROUP_PREFIX + "9-9", group, revision, 0);
-    String key = StateStore.MACHINE_PREFIX + worker.id;
+    sim.stateService.applyChange(StateKeys.MACHINE_GROUP_PREFIX + "9-9", group, revision, 0);
+    String key = StateKeys.machine(worker.id);
     SimulatedStateService.StoredValue before = sim.stateService.entries.get(key);
     if (inFlight) {
       node.machineWriteDelayMs = 600;
@@ -240,11 +240,10 @@
     }
     sim.runUntil(sim.nowMs + 1_000);
     assertFalse(
-        node.core.view().machines.get(worker.id).status().leaseExpired(),
-        "nobody knows what is on it");
+        node.core.view().machine(worker.id).status().leaseExpired(), "nobody knows what is on it");
     node.watchStalled = false;
     sim.runUntil(sim.nowMs + 6_000);
-    MachineView machineView = node.core.view().machines.get(worker.id);
+    MachineView machineView = node.core.view().machine(worker.id);
     assertTrue(
         machineView == null || !machineView.status().leaseExpired(),
         "its worker must acknowledge the fencing token, or it be scaled in, first");
@@ -264,7 +263,7 @@
     SimulatedController ends = sim.controllers.get("n0");
     SimulatedController stays = sim.controllers.get("n1");
     List<String> machines = new ArrayList<>();
-    for (MachineView machineView : stays.core.view().machines.values()) {
+    for (MachineView machineView : stays.core.view().machines()) {
       if ("n0".equals(machineView.leader())
           && machineView.status().images().contains("wk-000001")) {
         machines.add(machineView.id());
@@ -274,7 +273,7 @@
     ends.crash(30_000);
     sim.runUntil(sim.nowMs + 15_000);
     for (String id : machines) {
-      MachineView machineView = stays.core.view().machines.get(id);
+      MachineView machineView = stays.core.view().machine(id);
       if (machineView == null) {
         continue; // it was idle and has been returned
       }
--- a/src/test/java/mallowstall/core/RandomizedSimulationTest.java
+++ b/src/test/java/mallowstall/core/RandomizedSimulationTest.java
@@ -98,14 +98,14 @@
 
   private static final int HISTORIES = 10;
   private static int historiesRun;
-  private static final Map<String, Integer> faultCounts = new TreeMap<>();
+  private static final Map<String, Integer> FAULT_COUNTS = new TreeMap<>();
 
   /** Combined faults meet the basic ones, and each other. */
   @ParameterizedTest
   @ValueSource(longs = {101, 102, 103, 104, 105, 106, 107, 108, 1188, 1753})
   void invariantsHoldUnderCombinedFaults(long seed) {
     Simulation sim = runCombinedFaults(seed);
-    sim.faultCounts.forEach((k, v) -> faultCounts.merge(k, v, Integer::sum));
+    sim.faultCounts.forEach((k, v) -> FAULT_COUNTS.merge(k, v, Integer::sum));
     historiesRun++;
     assertEquals(List.of(), sim.checker.violations);
     assertFinishedForUsers(sim);
@@ -118,7 +118,7 @@
       return; // only some of the seeds were asked for
     }
     Set<String> missing = new TreeSet<>(FAULTS);
-    missing.removeAll(faultCounts.keySet());
+    missing.removeAll(FAULT_COUNTS.keySet());
     assertEquals(Set.of(), missing, "injected in none of the histories");
   }
 
--- a/src/test/java/mallowstall/core/ReplicasTest.java
+++ b/src/test/java/mallowstall/core/ReplicasTest.java
@@ -8,7 +8,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import mallowstall.core.kv.StateStore;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.model.ExitReason;
 import mallowstall.core.model.Priority;
 import org.junit.jupiter.api.Test;
@@ -29,8 +29,7 @@
       sim.runUntil(8_000);
       sim.users.submit(service(SERVICE).tasks(3).team("tight").build());
       long until = sim.nowMs + 2_000;
-      while (sim.nowMs < until
-          && !sim.stateService.entries.containsKey(StateStore.JOB_PREFIX + SERVICE)) {
+      while (sim.nowMs < until && !sim.stateService.entries.containsKey(StateKeys.job(SERVICE))) {
         sim.runUntil(sim.nowMs + 1);
       }
       sim.messageLossRate = 0.99;
--- a/src/test/java/mallowstall/core/StateLimitsTest.java
+++ b/src/test/java/mallowstall/core/StateLimitsTest.java
@@ -17,7 +17,7 @@
 import mallowstall.core.kernel.KeyValue;
 import mallowstall.core.kernel.Transaction;
 import mallowstall.core.kv.JobBitmaps;
-import mallowstall.core.kv.StateStore;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.model.ApiResponse;
 import mallowstall.core.model.CompletionBitsEntry;
 import mallowstall.core.model.JobEntry;
@@ -107,10 +107,7 @@
   /** Changes of the controller's session entry since then, its end among them. */
   private static long countSessionChanges(Simulation sim, String node, long revision) {
     return sim.stateService.changes.stream()
-        .filter(
-            item ->
-                item.modRevision() > revision
-                    && item.key().equals(StateStore.SESSION_PREFIX + node))
+        .filter(item -> item.modRevision() > revision && item.key().equals(StateKeys.session(node)))
         .count();
   }
 
@@ -368,7 +365,7 @@
     }
     assertTrue(retained.size() > sim.workers.size() * 9 / 10, "kept: " + retained.size());
     assertTrue(
-        sim.stateService.entries.containsKey(StateStore.AUTOSCALER_LEADER_KEY),
+        sim.stateService.entries.containsKey(StateKeys.AUTOSCALER_LEADER_KEY),
         "some controller leads the autoscaling again");
     int registered = 0;
     for (KeyValue item : sim.stateService.changes) {
--- a/src/test/java/mallowstall/core/StateServiceLink.java
+++ b/src/test/java/mallowstall/core/StateServiceLink.java
@@ -15,7 +15,7 @@
 import mallowstall.core.kernel.Transaction;
 import mallowstall.core.kernel.TransactionResult;
 import mallowstall.core.kernel.WatchResult;
-import mallowstall.core.kv.StateStore;
+import mallowstall.core.kv.StateKeys;
 import mallowstall.core.model.JobEntry;
 import mallowstall.core.model.JobKind;
 import mallowstall.core.model.JobOutcome;
@@ -320,7 +320,7 @@
     if (node.supportsServices()) {
       return true;
     }
-    if (key.startsWith(StateStore.VERSION_PREFIX)) {
+    if (key.startsWith(StateKeys.VERSION_PREFIX)) {
       return false;
     }
     return value == null || decodeForVersion(value) != null;
--- a/src/test/java/mallowstall/core/StatusUpdateSafetyTest.java
+++ b/src/test/java/mallowstall/core/StatusUpdateSafetyTest.java
@@ -46,11 +46,11 @@
     MachineStatus state = statusOf("m-900001").build();
     node.enqueueEvent(() -> node.core.handleMessage(statusUpdate(1, 0, List.of(state), List.of())));
     assertEquals(1, peer.serial());
-    assertTrue(peer.machines().contains("m-900001"));
+    assertTrue(peer.leads("m-900001"));
     node.enqueueEvent(
         () -> node.core.handleMessage(statusUpdate(4, 3, List.of(), List.of("m-900001"))));
     assertEquals(1, peer.serial(), "builds on the third, which was lost");
-    assertTrue(peer.machines().contains("m-900001"));
+    assertTrue(peer.leads("m-900001"));
     node.enqueueEvent(
         () ->
             node.core.handleMessage(
@@ -58,11 +58,11 @@
     assertEquals(5, peer.serial());
     node.enqueueEvent(
         () -> node.core.handleMessage(statusUpdate(4, 1, List.of(), List.of("m-900002"))));
-    assertTrue(peer.machines().contains("m-900002"), "an older one comes late");
+    assertTrue(peer.leads("m-900002"), "an older one comes late");
     node.enqueueEvent(
         () -> node.core.handleMessage(statusUpdate(6, 5, List.of(), List.of("m-900001"))));
-    assertFalse(peer.machines().contains("m-900001"));
-    assertTrue(peer.machines().contains("m-900002"), "what isn't repeated still holds");
+    assertFalse(peer.leads("m-900001"));
+    assertTrue(peer.leads("m-900002"), "what isn't repeated still holds");
   }
 
   /**
--- a/src/test/java/mallowstall/core/cluster/MachineViewTest.java
+++ b/src/test/java/mallowstall/core/cluster/MachineViewTest.java
@@ -10,12 +10,14 @@
 class MachineViewTest {
   private static MachineView machineView(double noticeS, boolean replace) {
     MachineView machineView = new MachineView("m-000001");
-    machineView.setLeader("n0");
-    machineView.setStatus(
+    machineView.applyStatus(
+        "n0",
+        1,
         MachineStatusBuilder.statusOf("m-000001")
             .interruptionNoticeS(noticeS)
             .needsReplacement(replace)
-            .build());
+            .build(),
+        0);
     return machineView;
   }
 
@@ -26,7 +28,7 @@
     assertTrue(machineView(12, false).isDeparting());
     assertTrue(machineView(-1, true).isDeparting());
     MachineView withoutLeader = machineView(12, false);
-    withoutLeader.setLeader(null);
+    withoutLeader.clearLeader();
     assertFalse(withoutLeader.isDeparting(), "nobody could be asked to stop its replicas");
   }
 }
--- a/src/test/java/mallowstall/core/kv/JobBitmapsTest.java
+++ b/src/test/java/mallowstall/core/kv/JobBitmapsTest.java
@@ -30,7 +30,7 @@
   private static final String JOB = "wk-000001";
   private static final int MANY_TASKS = 100_000;
 
-  private final Map<String, StateStore.Held> storedEntries = new HashMap<>();
+  private final Map<String, StoredValue> storedEntries = new HashMap<>();
   private boolean allVersionsReadPieces = true;
   private long version;
 
@@ -73,7 +73,7 @@
   private void store(List<PutOperation> puts) {
     version++;
     for (PutOperation put : puts) {
-      storedEntries.put(put.key(), new StateStore.Held(put.value(), version));
+      storedEntries.put(put.key(), new StoredValue(put.value(), version));
     }
   }
 
@@ -94,7 +94,7 @@
           encodedSize(put.value()) <= valueBytes, put.key() + " has " + encodedSize(put.value()));
     }
     for (Condition condition : write.conditions()) {
-      StateStore.Held held = storedEntries.get(condition.key());
+      StoredValue held = storedEntries.get(condition.key());
       assertEquals(held == null ? 0 : held.modRevision(), condition.modRevision(), condition.key());
     }
     store(write.puts());
