--- a/src/main/java/mallowstall/core/kernel/Backoff.java
+++ b/src/main/java/mallowstall/core/kernel/Backoff.java
@@ -2,37 +2,40 @@
 
 import mallowstall.Constants;
 
-/** A wait after a failure, doubled with each further one and reset on success. Mutable. */
+/**
+ * The wait after a failed try: doubled with each failure in a row, up to a limit, and reset by
+ * success. Times are steady, in ms. Mutable.
+ */
 public final class Backoff {
   private long waitUntilMs;
   private long delayMs = Constants.BACKOFF_INITIAL_MS;
 
-  /** How much news of room had come when it last failed. */
-  private long capacityChangesSeen;
+  /** {@link PlacementTrigger#capacityVersion} at the last failure. */
+  private long failedCapacityVersion;
 
-  /** Whether the delay still runs at this time, in ms. */
+  /** Whether the delay still runs at this time. */
   public boolean isWaiting(long now) {
     return now < waitUntilMs;
   }
 
-  /** Whether it still waits, and no room has become known since it failed. */
-  public boolean isWaiting(long now, long capacityChanges) {
-    return isWaiting(now) && capacityChanges <= capacityChangesSeen;
+  /** Whether the delay still runs and no capacity has been reported since the failure. */
+  public boolean isWaiting(long now, long capacityVersion) {
+    return isWaiting(now) && capacityVersion <= failedCapacityVersion;
   }
 
-  /** Records a failed try at this time, in ms, and starts the next, doubled delay. */
+  /** A try failed at this time: starts the delay, and doubles the next one. */
   public void recordFailure(long now) {
     waitUntilMs = now + delayMs;
     delayMs = Math.min(Constants.BACKOFF_MAX_MS, delayMs * 2);
   }
 
-  /** Records a failed try at this time, in ms, and starts the next, doubled delay. */
-  public void recordFailure(long now, long capacityChanges) {
+  /** As above; capacity reported after this version ends the delay early. */
+  public void recordFailure(long now, long capacityVersion) {
     recordFailure(now);
-    capacityChangesSeen = capacityChanges;
+    failedCapacityVersion = capacityVersion;
   }
 
-  /** A try succeeded: the next failure starts with the initial delay. */
+  /** A try succeeded: ends the delay; the next failure starts with the initial one. */
   public void reset() {
     waitUntilMs = 0;
     delayMs = Constants.BACKOFF_INITIAL_MS;
--- a/src/main/java/mallowstall/core/kernel/CommandResult.java
+++ b/src/main/java/mallowstall/core/kernel/CommandResult.java
@@ -3,8 +3,9 @@
 import mallowstall.core.model.Heartbeat;
 
 /**
- * Commands sent straight to a worker. {@code report} is the worker's report after them, null when
- * there is none; code OK: executed; CONFLICT: not executed; REFUSED: never sent; UNKNOWN: may be
- * executed at any later time.
+ * How commands sent to a worker's own address have ended.
+ *
+ * @param code OK; CONFLICT: not executed; REJECTED: never sent; or OUTCOME_UNKNOWN
+ * @param heartbeat the worker's state after the commands; null if it sent none
  */
 public record CommandResult(ResultCode code, Heartbeat heartbeat) {}
--- a/src/main/java/mallowstall/core/kernel/Condition.java
+++ b/src/main/java/mallowstall/core/kernel/Condition.java
@@ -1,4 +1,8 @@
 package mallowstall.core.kernel;
 
-/** A key that must stand at this version; 0: it must not exist. */
+/**
+ * A condition of a transaction.
+ *
+ * @param modRevision the revision of the key's last change; 0: the key doesn't exist
+ */
 public record Condition(String key, long modRevision) {}
--- a/src/main/java/mallowstall/core/kernel/EventClock.java
+++ b/src/main/java/mallowstall/core/kernel/EventClock.java
@@ -3,14 +3,14 @@
 import java.util.PriorityQueue;
 
 /**
- * The time of the event being handled, and what is scheduled for later. Time doesn't advance while
- * an event is handled. Not thread-safe.
+ * The time of the event being handled, and the timers. Time doesn't advance while an event is
+ * handled. Steady time counts ms from an unspecified start. Not thread-safe.
  */
 public final class EventClock {
-  /** Bounds the timers run for one event, should one keep scheduling itself without delay. */
+  /** Keeps a timer that schedules itself again without delay from blocking the event loop. */
   private static final int TIMERS_PER_EVENT = 10_000;
 
-  /** A scheduled action; of those due at the same time the first one scheduled runs first. */
+  /** A scheduled action. */
   private record Timer(long dueMs, long sequence, Runnable action) {}
 
   private final PriorityQueue<Timer> timers =
@@ -24,7 +24,7 @@
   private long nextTimerSequence;
   private long startedAtMs;
 
-  /** Sets the steady time and the time of day, both in ms; steady time never goes back. */
+  /** Sets steady time and time of day, both in ms; a smaller steady time is ignored. */
   public void advance(long steadyMs, long wallMs) {
     now = Math.max(now, steadyMs);
     wallClockMs = wallMs;
@@ -40,12 +40,12 @@
     return wallClockMs;
   }
 
-  /** Runs the action after so many ms of steady time. */
+  /** Runs the action once so many ms of steady time have passed. */
   public void schedule(long delayMs, Runnable action) {
     timers.add(new Timer(now + delayMs, nextTimerSequence++, action));
   }
 
-  /** Runs the timers that are due. */
+  /** Runs the timers that are due, the earliest first; of equal ones the one scheduled first. */
   public void runDue() {
     for (int i = 0; i < TIMERS_PER_EVENT && !timers.isEmpty() && timers.peek().dueMs <= now; i++) {
       timers.poll().action.run();
@@ -57,14 +57,14 @@
     return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().dueMs;
   }
 
-  /** Notes that the process has begun its regular work; only the first call counts. */
+  /** The process begins its regular work now; only the first call counts. */
   public void markStarted() {
     if (startedAtMs == 0) {
       startedAtMs = now;
     }
   }
 
-  /** When this process began; whatever answered in its name before was dead by then. */
+  /** Steady time in ms at which this process began; any former process had ended by then. */
   public long startedAtMs() {
     return startedAtMs;
   }
--- a/src/main/java/mallowstall/core/kernel/GetResult.java
+++ b/src/main/java/mallowstall/core/kernel/GetResult.java
@@ -1,4 +1,8 @@
 package mallowstall.core.kernel;
 
-/** A key that was read. */
+/**
+ * How the read of a key has ended.
+ *
+ * @param item the key with its value, or without one if it doesn't exist; null unless code is OK
+ */
 public record GetResult(ResultCode code, KeyValue item) {}
--- a/src/main/java/mallowstall/core/kernel/LeaseResult.java
+++ b/src/main/java/mallowstall/core/kernel/LeaseResult.java
@@ -1,4 +1,8 @@
 package mallowstall.core.kernel;
 
-/** How a request for a lease has ended. */
+/**
+ * How the grant or renewal of a lease has ended.
+ *
+ * @param leaseId the lease; of no meaning for a grant unless code is OK
+ */
 public record LeaseResult(ResultCode code, long leaseId) {}
--- a/src/main/java/mallowstall/core/kernel/Metrics.java
+++ b/src/main/java/mallowstall/core/kernel/Metrics.java
@@ -1,10 +1,10 @@
 package mallowstall.core.kernel;
 
-/** Receives counts and durations of notable events. */
+/** Receives counts and durations of notable events, by the names of their series. */
 public interface Metrics {
   /** Counts one more event of this name. */
-  void increment(String what);
+  void increment(String name);
 
-  /** Records a duration in ms. */
-  void recordDuration(String what, long ms);
+  /** Records one more duration, in ms, of this name. */
+  void recordDuration(String name, long durationMs);
 }
--- a/src/main/java/mallowstall/core/kernel/PlacementTrigger.java
+++ b/src/main/java/mallowstall/core/kernel/PlacementTrigger.java
@@ -2,7 +2,7 @@
 
 import mallowstall.Constants;
 
-/** When the next placement round is due, and whether capacity has changed since. Mutable. */
+/** When the next placement pass is due, and how often capacity has changed. Mutable. */
 public final class PlacementTrigger {
   private final EventClock clock;
   private final EventLoopLag lag;
@@ -11,36 +11,36 @@
   private long capacityVersion = 1;
   private long capacityReportedAtMs;
 
-  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  /** No pass is due before the first request; {@code lag} stretches the gap between passes. */
   public PlacementTrigger(EventClock clock, EventLoopLag lag) {
     this.clock = clock;
     this.lag = lag;
   }
 
-  /** Something has changed that a placement round should consider. */
+  /** Requests a pass: something has changed that it should consider. */
   public void request() {
     requested = true;
   }
 
   /**
-   * A status update has been taken in; {@code news} tells whether it said anything new. One that
-   * only restates counts once in a while, since what policies ask may change with time alone.
+   * A status update has been applied; {@code changed} tells whether it changed anything. One that
+   * only repeats counts once in a while, since what policies evaluate may change with time alone.
    */
-  public void capacityReported(boolean news) {
+  public void capacityReported(boolean changed) {
     long now = clock.now();
-    if (news || now - capacityReportedAtMs >= Constants.REFRESH_CAPACITY_CHANGE_INTERVAL_MS) {
+    if (changed || now - capacityReportedAtMs >= Constants.REFRESH_CAPACITY_CHANGE_INTERVAL_MS) {
       capacityReportedAtMs = now;
       capacityVersion++;
       requested = true;
     }
   }
 
-  /** Grows whenever capacity may have changed, so that jobs that back off try again. */
+  /** Grows with each report of capacity, so that jobs that back off try again. */
   public long capacityVersion() {
     return capacityVersion;
   }
 
-  /** Whether a round is to be run now; the next one is due after the usual gap at the earliest. */
+  /** Whether to run a pass now; if so, the next one is due after the usual gap at the earliest. */
   public boolean takeDue() {
     if (!requested || clock.now() < nextPassMs) {
       return false;
--- a/src/main/java/mallowstall/core/kernel/PutOperation.java
+++ b/src/main/java/mallowstall/core/kernel/PutOperation.java
@@ -2,5 +2,9 @@
 
 import mallowstall.core.model.StoredEntry;
 
-/** A key's new value, attached to this lease; 0: to none. */
+/**
+ * A new value of a key.
+ *
+ * @param leaseId the lease with which the key is deleted; 0: it stays
+ */
 public record PutOperation(String key, StoredEntry value, long leaseId) {}
--- a/src/main/java/mallowstall/core/kernel/ResultCode.java
+++ b/src/main/java/mallowstall/core/kernel/ResultCode.java
@@ -2,14 +2,18 @@
 
 /** How a request to the state service, or to a worker, has ended. */
 public enum ResultCode {
+  /** Executed. */
   OK,
+  /** Not executed: a condition of the transaction, or the worker's token or session, differs. */
   CONFLICT,
+  /** Not executed: a lease that the transaction names has ended. */
   LEASE_NOT_FOUND,
+  /** Not executed: the lease has ended, or the revision is older than what the service keeps. */
   EXPIRED,
-  /** Surely not executed. */
+  /** Not executed, now or later; may be tried again. */
   REJECTED,
-  /** Surely not executed, nor ever as it is: a value or the transaction is too large. */
+  /** Not executed, nor ever as it is: a value or the transaction is too large. */
   INVALID,
-  /** Perhaps executed, perhaps later. */
+  /** No answer: perhaps executed, perhaps still to be, at any later time. */
   OUTCOME_UNKNOWN
 }
--- a/src/main/java/mallowstall/core/kernel/RetryDelay.java
+++ b/src/main/java/mallowstall/core/kernel/RetryDelay.java
@@ -3,20 +3,21 @@
 import mallowstall.Constants;
 
 /**
- * The wait before a change that the state service refused is tried again: doubled with each refusal
- * in a row. A change that is too large stays so until something else changes, so it is tried ever
- * more seldom; one that came too soon, or during an outage, is tried again within seconds.
+ * The wait before a transaction that the state service rejected is tried again: doubled with each
+ * rejection in a row. One that is too large stays so until something else changes, so it is tried
+ * ever more seldom; one that was over the rate or came in an outage is tried again within seconds.
+ * Times are steady, in ms. Mutable.
  */
 public final class RetryDelay {
   private long delayMs;
   private long retryAtMs = Long.MIN_VALUE / 2;
 
-  /** Whether the change may be tried now. */
+  /** Whether the transaction may be tried now. */
   public boolean isDue(long now) {
     return now >= retryAtMs;
   }
 
-  /** Takes in the state service's answer; only refusals make the next try wait. */
+  /** Records how a try ended; only REJECTED and INVALID make the next one wait. */
   public void recordResult(long now, ResultCode code) {
     if (code == ResultCode.OK) {
       delayMs = 0;
@@ -32,7 +33,7 @@
     retryAtMs = now + delayMs;
   }
 
-  /** When the change may be tried again. */
+  /** Steady time in ms from which the transaction may be tried again. */
   public long retryAtMs() {
     return retryAtMs;
   }
--- a/src/main/java/mallowstall/core/kernel/TokenBucket.java
+++ b/src/main/java/mallowstall/core/kernel/TokenBucket.java
@@ -1,20 +1,23 @@
 package mallowstall.core.kernel;
 
-/** A token bucket: one share of a limit that all controllers spend together. */
+/**
+ * A token bucket: this controller's share of a rate that all controllers have together. Times are
+ * steady, in ms. Mutable.
+ */
 public final class TokenBucket {
   private double tokensPerMs;
   private double burst;
   private double tokens;
   private long lastRefillMs;
 
-  /** Creates one without any history. */
+  /** A full bucket; {@code burst} is the most that it holds, at least 1. */
   public TokenBucket(double perSecond, double burst) {
     this.tokensPerMs = perSecond / 1000.0;
     this.burst = Math.max(1.0, burst);
     this.tokens = this.burst;
   }
 
-  /** A new share; one second's worth may come at once. */
+  /** Sets the share from now on; the bucket holds one second's worth of it, at least 1. */
   public void setRate(long now, double perSecond) {
     refill(now);
     tokensPerMs = perSecond / 1000.0;
@@ -29,13 +32,17 @@
     }
   }
 
-  /** Whether {@code n} may be spent while {@code reserve} stays for more urgent work. */
+  /**
+   * Whether {@code cost} may be spent while {@code reserve} stays for others; a negative reserve
+   * lets the bucket be overdrawn so far. What costs more than the bucket holds may go when it is
+   * full.
+   */
   public boolean canSpend(long now, double cost, double reserve) {
     refill(now);
     return tokens >= Math.min(burst, cost + reserve);
   }
 
-  /** Takes tokens, also beyond what is there, at this time in ms. */
+  /** Takes tokens, also more than there are: the bucket is then overdrawn. */
   public void spend(long now, double cost) {
     refill(now);
     tokens -= cost;
--- a/src/main/java/mallowstall/core/kernel/TransactionResult.java
+++ b/src/main/java/mallowstall/core/kernel/TransactionResult.java
@@ -1,4 +1,8 @@
 package mallowstall.core.kernel;
 
-/** How a transaction has ended, and its revision. */
+/**
+ * How a transaction has ended.
+ *
+ * @param revision with OK, that of all its changes; with CONFLICT, that of the answer; otherwise 0
+ */
 public record TransactionResult(ResultCode code, long revision) {}
