--- a/src/main/java/mallowstall/core/api/JobRead.java
+++ b/src/main/java/mallowstall/core/api/JobRead.java
@@ -14,7 +14,7 @@
   enum Status {
     FOUND,
     NOT_FOUND,
-    /** Not read, or read too long ago to be told. */
+    /** Not read, or read too long ago to be answered with. */
     UNAVAILABLE
   }
 
--- a/src/main/java/mallowstall/core/api/SchedulabilityCheck.java
+++ b/src/main/java/mallowstall/core/api/SchedulabilityCheck.java
@@ -18,7 +18,7 @@
     this.types = types;
   }
 
-  /** Why the job could never run, as its user is told; empty if it could. */
+  /** Why the job could never run, in the words sent to its user; empty if it could. */
   Optional<String> rejectionReason(JobSpec spec) {
     Team team = settings.teams().get(spec.team());
     if (team == null) {
--- a/src/main/java/mallowstall/core/autoscaling/MachineCensus.java
+++ b/src/main/java/mallowstall/core/autoscaling/MachineCensus.java
@@ -64,12 +64,12 @@
     toReturn.add(machine);
   }
 
-  /** The machine's leader is gone and it has registered with no other. */
+  /** The machine's leader has no session and it has registered with no other. */
   void addUnmanaged(String machine) {
     unmanaged.add(machine);
   }
 
-  /** The machine's leader hears nothing of it. */
+  /** The machine's leader gets no heartbeats from it. */
   void addUnresponsive() {
     unresponsive++;
   }
--- a/src/main/java/mallowstall/core/autoscaling/RegisteredMachines.java
+++ b/src/main/java/mallowstall/core/autoscaling/RegisteredMachines.java
@@ -102,7 +102,7 @@
     }
   }
 
-  /** How long a machine whose leader is gone may take to register with another. */
+  /** How long a machine whose leader has no session may take to register with another. */
   private long failoverGraceMs() {
     return Constants.WORKER_REREGISTRATION_MS + settings.heartbeatIntervalMs() * 3 / 2;
   }
--- a/src/main/java/mallowstall/core/cluster/CancellationExchange.java
+++ b/src/main/java/mallowstall/core/cluster/CancellationExchange.java
@@ -13,13 +13,14 @@
 import mallowstall.core.model.JobOutcome;
 
 /**
- * Cancellations as controllers tell each other. Whoever the state service refuses learns of them
- * from its peers, so that it can stop those tasks and need not let everybody's leases run out.
+ * Exchange of cancellations between controllers. A controller without the state service learns of
+ * them from its peers, so that it can stop those tasks and need not let all worker leases expire.
  *
- * <p>Every statement to a peer names all cancellations in this controller's mirror that are newer
- * than that peer's own mirror, as it has told; nothing is counted as heard, so a lost statement
- * costs nothing. Acting on a peer's word is safe, since a final state never changes; it only stops
- * tasks and refuses starts, and never makes an entry of the mirror, whose other fields it lacks.
+ * <p>Every status update names all cancellations in this controller's replica that are newer than
+ * the replica of the receiver, by the revision that it published; nothing counts as acknowledged,
+ * so a lost update costs nothing. Acting on a peer's cancellation is safe, since an outcome never
+ * changes: it only stops tasks and rejects starts. It makes no entry of the replica, since the
+ * other fields are unknown. See docs/design.md, "ran_cancelled".
  */
 public final class CancellationExchange {
   /** A cancelled job and the revision at which it was recorded. */
@@ -35,16 +36,21 @@
   private final StateStore store;
   private final Consumer<String> cancelled;
 
-  /** What the mirror holds, by the revision at which it came to know. */
+  /** Cancellations in the replica, in the order of their revisions. */
   private final TreeSet<Cancelled> recordedCancellations = new TreeSet<>();
 
   /** Cancellations up to this revision are no longer kept. */
   private long prunedRevision;
 
-  /** What only peers have told; the mirror doesn't say so yet. */
+  /** Cancellations known from peers alone, which the replica doesn't show yet. */
   private final Set<String> reportedByPeers = new HashSet<>();
 
-  /** {@code cancelled} is told of each job that becomes known as cancelled, from either source. */
+  /**
+   * Creates an exchange without cancellations.
+   *
+   * @param store the replica that recorded cancellations come from
+   * @param cancelled called with each job that becomes known as cancelled, from either source
+   */
   public CancellationExchange(StateStore store, Consumer<String> cancelled) {
     this.store = store;
     this.cancelled = cancelled;
@@ -65,7 +71,7 @@
     return (job != null && job.isTerminal()) || isReportedByPeer(id);
   }
 
-  /** The mirror has learnt of it. */
+  /** The replica shows the cancellation, recorded at this revision. */
   private void recordCancellation(String job, long revision) {
     reportedByPeers.remove(job);
     recordedCancellations.add(new Cancelled(revision, job));
@@ -88,7 +94,7 @@
     return jobs;
   }
 
-  /** A peer tells of these; false: too many to remember. */
+  /** Takes in cancellations that a peer has sent; false: too many to remember. */
   boolean applyPeerCancellations(List<String> jobs) {
     boolean allRemembered = true;
     for (String id : jobs) {
@@ -109,7 +115,7 @@
     return allRemembered;
   }
 
-  /** Whether a peer has told that the job is cancelled, and the mirror doesn't know. */
+  /** Whether only a peer has reported the job as cancelled, and the replica doesn't show it. */
   public boolean isReportedByPeer(String job) {
     return !reportedByPeers.isEmpty() && reportedByPeers.contains(job);
   }
--- a/src/main/java/mallowstall/core/cluster/ClusterVersion.java
+++ b/src/main/java/mallowstall/core/cluster/ClusterVersion.java
@@ -16,7 +16,7 @@
   private final CoreSettings settings;
   private final StateStore store;
 
-  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  /** Reads the versions that the replica holds, for the controllers in the settings. */
   public ClusterVersion(CoreSettings settings, StateStore store) {
     this.settings = settings;
     this.store = store;
--- a/src/main/java/mallowstall/core/cluster/Connectivity.java
+++ b/src/main/java/mallowstall/core/cluster/Connectivity.java
@@ -12,7 +12,7 @@
   private final StateStore store;
   private final ClusterView view;
 
-  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  /** Judges by the replica's age and by the peers' status updates. */
   public Connectivity(EventClock clock, CoreSettings settings, StateStore store, ClusterView view) {
     this.clock = clock;
     this.settings = settings;
@@ -21,9 +21,9 @@
   }
 
   /**
-   * Whether machines may be kept alive: a controller that can't be sure of having heard of every
-   * cancellation that anybody has confirmed lets their leases run out in time. It has heard of them
-   * up to when its replica was fresh, or else up to when each of its peers told it of theirs.
+   * Whether heartbeats may be answered, which renews worker leases: a controller that may have
+   * missed a confirmed cancellation lets the leases expire in time. It knows of all cancellations
+   * up to when its replica was fresh, or else up to when each of its peers last sent theirs.
    */
   public boolean mayRenewWorkerLeases() {
     long limit =
@@ -47,7 +47,7 @@
         && peerWithStateAccess() != null;
   }
 
-  /** A peer that is heard and that the state service serves; null if none is known. */
+  /** A peer with recent status updates that the state service serves; null: none is known. */
   public String peerWithStateAccess() {
     for (String name : settings.peers()) {
       PeerState peer = view.peer(name);
--- a/src/main/java/mallowstall/core/cluster/DigestPublisher.java
+++ b/src/main/java/mallowstall/core/cluster/DigestPublisher.java
@@ -28,7 +28,7 @@
   private final RetryDelay retry = new RetryDelay();
   private long nextPublishMs;
 
-  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  /** Publishes what the two suppliers return: free capacity and the processors that wait. */
   public DigestPublisher(
       EventClock clock,
       CoreSettings settings,
--- a/src/main/java/mallowstall/core/cluster/MachineTypeCatalog.java
+++ b/src/main/java/mallowstall/core/cluster/MachineTypeCatalog.java
@@ -24,13 +24,13 @@
   private long nextRefreshMs;
   private boolean refreshing;
 
-  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  /** An empty catalog, which is read on the first tick. */
   public MachineTypeCatalog(EventClock clock, Effects effects) {
     this.clock = clock;
     this.effects = effects;
   }
 
-  /** Sets who is told whenever the types have been read; set once, before the first event. */
+  /** Sets the callback for each successful read of the types; once, before the first event. */
   public void subscribe(Runnable typesRead) {
     subscriber = typesRead;
   }
--- a/src/main/java/mallowstall/core/cluster/Membership.java
+++ b/src/main/java/mallowstall/core/cluster/Membership.java
@@ -11,7 +11,7 @@
   private final CoreSettings settings;
   private final StateStore store;
 
-  /** Wires this module to the ones that it uses; it does nothing before its first event. */
+  /** Reads the sessions that the replica holds, and zones from the settings. */
   public Membership(CoreSettings settings, StateStore store) {
     this.settings = settings;
     this.store = store;
--- a/src/main/java/mallowstall/core/kernel/Effects.java
+++ b/src/main/java/mallowstall/core/kernel/Effects.java
@@ -50,7 +50,7 @@
 
   /**
    * Sends a message to a peer. It may be lost or arrive late, after others or by a connection that
-   * has been replaced since; the sender isn't told.
+   * has been replaced since; the sender gets no answer.
    */
   void send(String node, PeerMessage message);
 
--- a/src/main/java/mallowstall/core/kv/JobBitmaps.java
+++ b/src/main/java/mallowstall/core/kv/JobBitmaps.java
@@ -246,9 +246,9 @@
   }
 
   /**
-   * The holder's change that records done tasks: {@code done} are all, {@code dirty} the pieces
-   * with bits that aren't recorded yet. If not all of those find room in one transaction the rest
-   * is for the next one, and the job's count and final state wait for it.
+   * The leader's transaction that records completed tasks: {@code done} are all, {@code dirty} the
+   * pieces with bits that aren't recorded yet. If not all of those find room in one transaction the
+   * rest is for the next one, and the job's count and final state wait for it.
    */
   public Write writeRecordingCompletions(
       JobEntry stored, long modRevision, BitSet done, Collection<Integer> unrecordedPieces) {
@@ -257,7 +257,7 @@
         !stored.spec().isService()
             && completedCount == stored.spec().tasks()
             && !stored.isTerminal();
-    // what was told of a job that is over doesn't change
+    // the outcome of a finished job never changes
     JobEntry job =
         stored.isTerminal()
             ? stored
--- a/src/main/java/mallowstall/core/kv/StateChangeDispatcher.java
+++ b/src/main/java/mallowstall/core/kv/StateChangeDispatcher.java
@@ -10,7 +10,7 @@
 
 /** Hands each change of the replica, typed, to the modules it concerns, in their fixed order. */
 public final class StateChangeDispatcher implements StateChangeListener {
-  /** Is told of changes of jobs; their entries are never deleted. */
+  /** Receives changes of jobs; their entries are never deleted. */
   public interface JobSubscriber {
     /** A job's entry has changed; {@code before} is null if it is new. */
     void jobChanged(JobEntry before, JobEntry after);
@@ -25,8 +25,8 @@
   private final LongConsumer synced;
 
   /**
-   * Subscribers are called in the order of their lists; {@code machineChanged} hears of removals
-   * too, by a null record, before {@code machineRemoved}.
+   * Subscribers are called in the order of their lists; {@code machineChanged} gets removals too,
+   * by a null record, before {@code machineRemoved}.
    */
   public StateChangeDispatcher(
       List<JobSubscriber> jobs,
--- a/src/main/java/mallowstall/core/kv/StateStore.java
+++ b/src/main/java/mallowstall/core/kv/StateStore.java
@@ -120,7 +120,7 @@
     return replica.obsoleteGroups();
   }
 
-  /** Applies one change that came apart from the watch; it may be older than what is known. */
+  /** Applies one change that did not come from the watch; it may be older than what is known. */
   public void applyChange(KeyValue change) {
     replica.apply(change);
   }
--- a/src/main/java/mallowstall/core/machines/HeartbeatApplier.java
+++ b/src/main/java/mallowstall/core/machines/HeartbeatApplier.java
@@ -82,7 +82,7 @@
   }
 
   /**
-   * Whether something in status updates, tasks apart, is about to change; most heartbeats change
+   * Whether something in status updates, but for tasks, is about to change; most heartbeats change
    * nothing and must not cause an update to every peer.
    */
   private static boolean changesBeyondTasks(ManagedMachine machine, Heartbeat heartbeat) {
@@ -93,7 +93,7 @@
         || !Objects.equals(heartbeat.address(), machine.address());
   }
 
-  /** The worker has begun a session that wasn't known: the tasks of earlier ones are gone. */
+  /** The worker has begun a session that wasn't known: the tasks of earlier ones have ended. */
   private void beginSession(ManagedMachine machine, long now) {
     machine.beginSession();
     if (machine.workerSession() != 0
--- a/src/main/java/mallowstall/core/machines/HeartbeatRouter.java
+++ b/src/main/java/mallowstall/core/machines/HeartbeatRouter.java
@@ -65,7 +65,7 @@
   /** Answers the worker of a machine led here. */
   private HeartbeatResponse respond(ManagedMachine machine, Heartbeat heartbeat) {
     if (machine.leaseExpired() && heartbeat.session() <= machine.workerSession()) {
-      // sent before the lease expired and delivered late: the tasks it lists are gone
+      // sent before the lease expired and delivered late: the tasks it lists have ended
       return HeartbeatResponse.unavailable();
     }
     if (heartbeat.session() < machine.workerSession()
--- a/src/main/java/mallowstall/core/machines/ManagedMachine.java
+++ b/src/main/java/mallowstall/core/machines/ManagedMachine.java
@@ -174,14 +174,14 @@
         || (heartbeat.session() == workerSession && heartbeat.sequence() > latestHeartbeatSequence);
   }
 
-  /** The worker's tasks of earlier sessions are gone, and it refuses commands for those. */
+  /** The worker's tasks of earlier sessions have ended, and it rejects commands for those. */
   void beginSession() {
     published.clearExits();
     commands.settle();
     handledHeartbeatSequence = 0;
   }
 
-  /** Takes in what a heartbeat says of the worker, apart from tasks. */
+  /** Takes in what a heartbeat says of the worker, but for its tasks. */
   void recordHeartbeat(Heartbeat heartbeat, long now) {
     workerSession = heartbeat.session();
     latestHeartbeatSequence = heartbeat.sequence();
--- a/src/main/java/mallowstall/core/machines/RestartRecovery.java
+++ b/src/main/java/mallowstall/core/machines/RestartRecovery.java
@@ -108,7 +108,7 @@
   /**
    * Whether the entry names a former process of this controller. That process has ended, so nobody
    * answers the machine unless another controller has taken it, of which {@link
-   * #handleCompetingEntry} is told before the lease can expire.
+   * #handleCompetingEntry} is called before the lease can expire.
    */
   private boolean isFromFormerIncarnation(MachineEntry machineEntry) {
     return machineEntry != null
--- a/src/main/java/mallowstall/core/model/ExitReason.java
+++ b/src/main/java/mallowstall/core/model/ExitReason.java
@@ -4,7 +4,7 @@
 public enum ExitReason {
   /** It has completed. */
   DONE,
-  /** It was told to stop. */
+  /** It was stopped by command. */
   STOPPED,
   /** It failed, or for a reason that this version doesn't know. */
   ERROR,
--- a/src/main/java/mallowstall/core/package-info.java
+++ b/src/main/java/mallowstall/core/package-info.java
@@ -6,7 +6,7 @@
  * <p>Everything below this package runs one event at a time on the caller's thread and does no I/O,
  * reads no clock and starts no thread: time comes in with {@code setTime}, requests leave through
  * {@code Effects}. Dependencies go model, kernel, kv, cluster, then jobs and machines side by side,
- * then quota and placement; autoscaling and api build on cluster only. This package may depend on
+ * then quota, autoscaling and placement; api builds on kv and cluster. This package may depend on
  * all of them. See docs/architecture.md for the picture and docs/design.md for the arguments.
  */
 package mallowstall.core;
--- a/src/main/java/mallowstall/core/placement/PendingJobs.java
+++ b/src/main/java/mallowstall/core/placement/PendingJobs.java
@@ -43,7 +43,10 @@
     pendingJobs.sort(ranking::compare);
   }
 
-  /** The collected jobs in their order: those of one priority together, starving ones apart. */
+  /**
+   * The collected jobs in their order: those of one priority together, starving ones as a group of
+   * their own.
+   */
   List<List<LedJob>> groups() {
     List<List<LedJob>> groups = new ArrayList<>();
     LedJob previous = null;
