--- a/src/main/java/mallowstall/core/machines/MachineStatuses.java
+++ b/src/main/java/mallowstall/core/machines/MachineStatuses.java
@@ -11,18 +11,21 @@
 import mallowstall.core.model.TaskState;
 import mallowstall.core.model.TaskStatus;
 
-/** Finds the machines whose status has changed since it was last published. */
+/** Finds the machines whose status differs from the status last published for them. */
 public final class MachineStatuses {
   private final EventClock clock;
   private final ManagedMachines machines;
 
-  /** Compares the machines with what was published of them. */
+  /** Creates a comparison of the given machines with their last published status. */
   public MachineStatuses(EventClock clock, ManagedMachines machines) {
     this.clock = clock;
     this.machines = machines;
   }
 
-  /** Records the new status of each machine that changed, and returns these machines. */
+  /**
+   * Returns the machines whose status has changed or is due for a refresh, and records the new
+   * status of each as published in the given update.
+   */
   List<ManagedMachine> publishChanges(long updateNumber, long now) {
     List<ManagedMachine> changed = new ArrayList<>();
     for (ManagedMachine machine : machines.all()) {
@@ -49,7 +52,7 @@
     return changed;
   }
 
-  /** Whether the status differs from the published one by the passing of time alone. */
+  /** Whether the status differs from the published one merely because time has passed. */
   private boolean changedByTime(ManagedMachine machine, long now) {
     MachineStatus published = machine.published().status();
     return machines.usable(machine) != published.usable()
@@ -58,9 +61,9 @@
   }
 
   /**
-   * Names of machines whose status differs from the published one although nothing marks them as
-   * changed. There must be none, or job leaders could take a start for one that never arrived; for
-   * tests, which compare with the slow way of publishing everything each time.
+   * Returns the ids of machines whose status differs from the published one although they are not
+   * marked as changed. The list must be empty: otherwise a job leader could treat a start as one
+   * that never arrived. Only tests call this method; it is slow since it computes every status.
    */
   public List<String> unpublishedChanges() {
     List<String> machineIds = new ArrayList<>();
@@ -105,7 +108,9 @@
         taskStatuses);
   }
 
-  /** Listed tasks, then accepted starts, which have neither state nor exit reason. */
+  /**
+   * Returns the reported tasks, followed by the reservations, whose state and exit reason are null.
+   */
   private static List<TaskStatus> taskStatuses(MachineTasks tasks) {
     List<TaskStatus> statuses = new ArrayList<>(tasks.reportCount() + tasks.reservations().size());
     for (TaskReport task : tasks.reports()) {
@@ -119,14 +124,20 @@
     return statuses;
   }
 
-  /** Seconds until the cloud takes the machine; -1, as on the wire: not announced. */
+  /**
+   * Returns the time in seconds until the cloud takes the machine, or -1, as in messages to peers,
+   * if the cloud has not announced an interruption.
+   */
   private static double interruptionNoticeSeconds(ManagedMachine machine, long now) {
     return machine.terminationAnnounced()
         ? Math.max(0, (machine.terminationDeadlineMs() - now) / 1000.0)
         : -1;
   }
 
-  /** How long the machine has been idle, or unresponsive; 0: it has work. */
+  /**
+   * Returns the time in milliseconds for which the machine has been idle, or without a heartbeat if
+   * it is unresponsive or its lease has expired; 0 if it has tasks or reservations.
+   */
   private long idleMs(ManagedMachine machine, long now) {
     if (machine.leaseExpired() || machines.unresponsive(machine)) {
       return Math.max(1, now - machine.lastHeartbeatMs());
--- a/src/main/java/mallowstall/core/machines/MachineTakeover.java
+++ b/src/main/java/mallowstall/core/machines/MachineTakeover.java
@@ -11,7 +11,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Takes the leadership of a machine that has answered a probe, and shows it the new token. */
+/**
+ * Takes over the leadership of a machine whose worker has answered a probe, and sends the new
+ * fencing token to the worker.
+ */
 public final class MachineTakeover {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.machines");
 
@@ -22,7 +25,7 @@
   private final MachineEntryWriter entryWriter;
   private final HeartbeatApplier heartbeatApplier;
 
-  /** Takes machines over through the entry writer. */
+  /** Creates an instance that writes machine entries through the given entry writer. */
   public MachineTakeover(
       EventClock clock,
       Effects effects,
@@ -38,7 +41,10 @@
     this.heartbeatApplier = heartbeatApplier;
   }
 
-  /** Takes the machine over, unless its entry is being changed or it is led here already. */
+  /**
+   * Takes over the machine, unless a change of its entry is in flight, this controller already
+   * leads it, or its machine type is unknown.
+   */
   void begin(String id, MachineEntry previousEntry, Heartbeat heartbeat) {
     MachineType type = types.find(previousEntry.type());
     if (type == null || entryWriter.inFlight(id) || machines.contains(id)) {
@@ -59,7 +65,7 @@
       String id, MachineType type, MachineEntry previousEntry, Heartbeat heartbeat, long revision) {
     ManagedMachine machine =
         machines.add(id, type, previousEntry.zone(), previousEntry.spot(), revision);
-    // the former leader may renew the worker's lease until it acknowledges the new token
+    // The former leader may renew the worker's lease until the worker acknowledges the new token.
     machine.recordResponse(clock.now());
     heartbeatApplier.apply(machine, heartbeat, false);
     LOG.info(
@@ -70,7 +76,7 @@
     sendFencingToken(machine);
   }
 
-  /** Shows the worker the token without any command. */
+  /** Sends the worker a request with the new fencing token and without commands. */
   private void sendFencingToken(ManagedMachine machine) {
     effects.sendCommands(
         machine.address(),
--- a/src/main/java/mallowstall/core/machines/MachineTasks.java
+++ b/src/main/java/mallowstall/core/machines/MachineTasks.java
@@ -17,65 +17,73 @@
 import mallowstall.core.model.TaskReport;
 
 /**
- * Tasks on one machine: those its worker lists, accepted starts, and stops that wait to be sent.
- * Whatever changes the tasks also marks the machine's status as changed and keeps the time from
- * which it has none, so that no caller can forget to. Mutable; times are in ms of the steady clock.
+ * Tasks on one machine: the tasks that its worker reports, the reservations for accepted starts,
+ * and the pending stops. Every change of the reported tasks or the reservations marks the machine's
+ * status as changed and updates the time since which the machine is idle, so that callers need not
+ * do so. Mutable; times are in milliseconds of the steady clock.
  */
 final class MachineTasks {
   private final Runnable markChanged;
 
-  /** When there was a task last, or when the machine was added or emptied. */
-  private long busyUntilMs;
+  /**
+   * The time of the last change of the reported tasks or the reservations, or the time at which the
+   * machine was added if there was none.
+   */
+  private long lastChangeMs;
 
   private final Map<TaskAttempt, TaskReport> reports = new LinkedHashMap<>();
   private final Map<TaskKey, Reservation> reservations = new Object2ObjectLinkedOpenHashMap<>();
   private final Map<TaskKey, StopRequest> pendingStops = new HashMap<>();
 
   /**
-   * Victims of accepted starts. Their stop goes out before or with any start that follows, so their
-   * resources count as free.
+   * Victims of accepted starts. The stop of a victim is sent before or together with any later
+   * start, so the resources of victims count as free.
    */
   private final Set<TaskAttempt> preempted = new HashSet<>();
 
-  /** Nothing is on the machine; {@code markChanged} is run with each change of its tasks. */
+  /**
+   * Creates the tasks of a machine that has none.
+   *
+   * @param markChanged is run on each change that the machine's status shows
+   */
   MachineTasks(Runnable markChanged, long now) {
     this.markChanged = markChanged;
-    this.busyUntilMs = now;
+    this.lastChangeMs = now;
   }
 
-  /** Since when nothing has been on the machine; meaningless while something is. */
+  /** The time since which the machine is idle; only meaningful if {@link #isEmpty} is true. */
   long idleSinceMs() {
-    return busyUntilMs;
+    return lastChangeMs;
   }
 
-  private void tasksChange(long now) {
-    busyUntilMs = now;
+  private void recordChange(long now) {
+    lastChangeMs = now;
     markChanged.run();
   }
 
-  /** What the worker last reported of its tasks, in its order. */
+  /** The tasks in the worker's last report, in the order of that report. */
   Iterable<TaskReport> reports() {
     return reports.values();
   }
 
-  /** How many tasks the worker lists, those that have exited included. */
+  /** The number of tasks in the worker's last report, including exited ones. */
   int reportCount() {
     return reports.size();
   }
 
-  /** What the worker last reported of the attempt; null: it doesn't list it. */
+  /** Returns the worker's last report of the attempt, or null if it doesn't contain the attempt. */
   TaskReport report(TaskAttempt attempt) {
     return reports.get(attempt);
   }
 
-  /** Whether the worker lists the attempt. */
+  /** Whether the worker's last report contains the attempt. */
   boolean isReported(TaskAttempt attempt) {
     return reports.containsKey(attempt);
   }
 
-  /** Takes over a new list of tasks and returns the previous one. */
+  /** Replaces the reported tasks and returns the previous ones. */
   Map<TaskAttempt, TaskReport> replaceReports(List<TaskReport> newReports, long now) {
-    tasksChange(now);
+    recordChange(now);
     Map<TaskAttempt, TaskReport> previous = new HashMap<>(reports);
     reports.clear();
     for (TaskReport task : newReports) {
@@ -85,7 +93,7 @@
     return previous;
   }
 
-  /** Whether the worker lists any attempt of the task, or a start of it was accepted. */
+  /** Whether the worker reports any attempt of the task, or the task has a reservation. */
   boolean hasTask(TaskKey key) {
     if (reservations.containsKey(key)) {
       return true;
@@ -98,37 +106,40 @@
     return false;
   }
 
-  /** Whether the worker lists nothing and no start was accepted. */
+  /** Whether the worker reports no task and there is no reservation. */
   boolean isEmpty() {
     return reports.isEmpty() && reservations.isEmpty();
   }
 
-  /** Accepts a start. */
+  /** Adds the reservation of an accepted start. */
   void reserve(Reservation reservation, long now) {
-    tasksChange(now);
+    recordChange(now);
     reservations.put(reservation.key(), reservation);
   }
 
-  /** The accepted start of the task; null: there is none. */
+  /** Returns the reservation of the task, or null if there is none. */
   Reservation reservation(TaskKey key) {
     return reservations.get(key);
   }
 
-  /** Accepted starts in order; a live view that can't be changed. */
+  /** The reservations in the order in which they were made; an unmodifiable live view. */
   Collection<Reservation> reservations() {
     return Collections.unmodifiableCollection(reservations.values());
   }
 
-  /** Drops the accepted starts for which the condition holds; returns whether there were any. */
+  /** Removes the reservations that match the condition; returns whether there were any. */
   boolean removeReservationsIf(Predicate<Reservation> condition, long now) {
     boolean removed = reservations.values().removeIf(condition);
     if (removed) {
-      tasksChange(now);
+      recordChange(now);
     }
     return removed;
   }
 
-  /** Marks a listed task as the victim of an accepted start; false: it isn't listed, or was. */
+  /**
+   * Marks a reported attempt as the victim of an accepted start. Returns false if the worker
+   * doesn't report the attempt or the attempt is marked already.
+   */
   boolean preempt(TaskAttempt attempt) {
     boolean added = reports.containsKey(attempt) && preempted.add(attempt);
     if (added) {
@@ -142,44 +153,43 @@
     return preempted.contains(attempt);
   }
 
-  /** Asks for the task to be stopped; a later request replaces an earlier one. */
+  /** Adds a pending stop of the task; it replaces an earlier one. */
   void requestStop(StopRequest stop) {
     pendingStops.put(new TaskKey(stop.job(), stop.task()), stop);
   }
 
-  /** The stop that waits for the task; null: there is none. */
+  /** Returns the pending stop of the task, or null if there is none. */
   StopRequest pendingStop(TaskKey key) {
     return pendingStops.get(key);
   }
 
-  /** Whether a stop waits for the task. */
+  /** Whether the task has a pending stop. */
   boolean hasPendingStop(TaskKey key) {
     return pendingStops.containsKey(key);
   }
 
-  /** Calls back for each stop that waits. */
   void forEachPendingStop(BiConsumer<TaskKey, StopRequest> action) {
     pendingStops.forEach(action);
   }
 
-  /** The task has exited: its stop needn't be sent. */
+  /** Removes the pending stop of a task that has exited, since it need not be sent any more. */
   void clearPendingStop(TaskKey key) {
     pendingStops.remove(key);
   }
 
-  /** Drops stops of tasks that are neither listed nor reserved. */
+  /** Removes the pending stops of tasks that are neither reported nor reserved. */
   void dropObsoleteStops() {
     pendingStops.keySet().removeIf(key -> !hasTask(key));
   }
 
-  /** Whether a start or a stop may wait to be sent. */
+  /** Whether there may be a start or a stop to send. */
   boolean hasPendingCommands() {
     return !pendingStops.isEmpty() || !reservations.isEmpty();
   }
 
-  /** Nothing is left on the machine. */
+  /** Removes all tasks, reservations and stops, since nothing is left on the machine. */
   void clear(long now) {
-    tasksChange(now);
+    recordChange(now);
     reports.clear();
     reservations.clear();
     pendingStops.clear();
--- a/src/main/java/mallowstall/core/machines/ManagedMachine.java
+++ b/src/main/java/mallowstall/core/machines/ManagedMachine.java
@@ -4,16 +4,17 @@
 import mallowstall.core.model.MachineType;
 
 /**
- * One machine that this controller leads: leadership, worker session, lease and health. Mutable.
+ * A machine that this controller leads: its leadership, worker session, worker lease and health.
+ * Mutable.
  */
 final class ManagedMachine {
-  /** Count. Errors in a row, no success between, that put a machine into quarantine. */
+  /** Number of consecutive errors, without a success in between, that quarantine a machine. */
   private static final int QUARANTINE_ERRORS = 2;
 
-  /** Count. Errors in a row after which a machine is replaced. */
+  /** Number of consecutive errors after which a machine is to be replaced. */
   private static final int REPLACEMENT_ERRORS = 3;
 
-  /** ms. A machine in quarantine gets no task for so long, then it is tried again. */
+  /** Time in milliseconds for which a quarantined machine gets no tasks; then it is used again. */
   private static final long QUARANTINE_MS = 25_000;
 
   private final String id;
@@ -28,10 +29,10 @@
   private long fencingToken;
   private boolean tokenAcknowledged;
 
-  /** Whether it was recovered from this controller's former process, which is dead. */
+  /** Whether the machine was led by this controller's former process, which has ended. */
   private boolean recovered;
 
-  /** Whether another controller may have answered it after that process had ended. */
+  /** Whether another controller may have answered the worker after the former process ended. */
   private boolean interveningLeader;
 
   private String address;
@@ -48,10 +49,10 @@
   private boolean faulty;
 
   /**
-   * A machine whose leadership was written at that revision.
+   * Creates a machine whose leadership is recorded in its entry.
    *
-   * @param fencingToken the revision of the machine's entry
-   * @param now in ms of the steady clock
+   * @param fencingToken the revision at which the machine's entry was written
+   * @param now the current time in milliseconds of the steady clock
    */
   ManagedMachine(
       String id, MachineType type, String zone, boolean spot, long fencingToken, long now) {
@@ -64,52 +65,54 @@
     this.images = new ImageCache(type.cacheGb());
   }
 
-  /** The machine's name. */
   String id() {
     return id;
   }
 
-  /** The machine's type. */
   MachineType type() {
     return type;
   }
 
-  /** The zone that it stands in. */
   String zone() {
     return zone;
   }
 
-  /** Whether the cloud may interrupt it. */
+  /** Whether the cloud may interrupt the machine. */
   boolean spot() {
     return spot;
   }
 
-  /** Tasks, accepted starts and stops. */
+  /** The reported tasks, reservations and pending stops. */
   MachineTasks tasks() {
     return tasks;
   }
 
-  /** Commands sent to the worker's own address. */
+  /** The state of the commands sent to the worker's own address. */
   CommandChannel commands() {
     return commands;
   }
 
-  /** What status updates have said of it. */
+  /** The status of the machine that was last published to peers. */
   PublishedStatus published() {
     return published;
   }
 
-  /** Images that it has cached. */
+  /** The images that the machine has most likely cached. */
   ImageCache images() {
     return images;
   }
 
-  /** The token of this leadership: the revision at which the machine's entry was written. */
+  /**
+   * The fencing token: the revision at which this leadership was written to the machine's entry.
+   */
   long fencingToken() {
     return fencingToken;
   }
 
-  /** A larger token is stored; commands under the old one are dead once it is acknowledged. */
+  /**
+   * Records that a larger fencing token is stored. Once the worker acknowledges that token, it
+   * ignores commands under the old one.
+   */
   void raiseFencingToken(long newToken) {
     fencingToken = newToken;
     tokenAcknowledged = false;
@@ -117,78 +120,89 @@
     published.markChanged();
   }
 
-  /** Whether the worker has acknowledged the token: it accepts no other leader's answers then. */
+  /**
+   * Whether the worker has acknowledged the fencing token. A worker that has done so ignores
+   * responses of former leaders.
+   */
   boolean tokenAcknowledged() {
     return tokenAcknowledged;
   }
 
   /**
-   * The machine was recovered from this controller's former process.
+   * Records that the machine was led by this controller's former process.
    *
-   * @param formerEndMs when that process may have answered last, in ms of the steady clock
-   * @param heartbeatMs when a heartbeat is assumed to have come last
+   * @param intervening whether another controller may have answered the worker since that process
+   *     ended
+   * @param formerProcessEndMs the latest time at which that process may have answered the worker,
+   *     in milliseconds of the steady clock
+   * @param heartbeatMs the assumed time of the last heartbeat, in milliseconds of the steady clock
    */
-  void markRecovered(boolean intervening, long formerEndMs, long heartbeatMs) {
+  void markRecovered(boolean intervening, long formerProcessEndMs, long heartbeatMs) {
     recovered = true;
     interveningLeader = intervening;
-    lastResponseMs = formerEndMs;
+    lastResponseMs = formerProcessEndMs;
     lastHeartbeatMs = heartbeatMs;
   }
 
-  /** Whether it was recovered from this controller's former process. */
+  /** Whether the machine was recovered from this controller's former process. */
   boolean recovered() {
     return recovered;
   }
 
-  /** Another controller may have answered the machine after the former process had ended. */
+  /**
+   * Records that another controller may have answered the worker after the former process ended.
+   */
   void markInterveningLeader() {
     interveningLeader = true;
   }
 
-  /** Whether a former leader may still be renewing the worker's lease. */
+  /** Whether a former leader may still renew the worker's lease. */
   boolean formerLeaderMayAnswer() {
     return !tokenAcknowledged && (!recovered || interveningLeader);
   }
 
-  /** The worker's own address; null before the first heartbeat. */
+  /** The worker's own address, or null before the first heartbeat. */
   String address() {
     return address;
   }
 
-  /** The worker's session; 0 before the first heartbeat. */
+  /** The worker's session, or 0 before the first heartbeat. */
   long workerSession() {
     return workerSession;
   }
 
-  /** The newest heartbeat of the session, those that answered direct commands included. */
+  /** The number of the session's newest heartbeat, including answers to direct commands. */
   long latestHeartbeatSequence() {
     return latestHeartbeatSequence;
   }
 
-  /** The newest heartbeat of the session that the worker sent by itself. */
+  /** The number of the session's newest handled heartbeat that did not answer a direct command. */
   long handledHeartbeatSequence() {
     return handledHeartbeatSequence;
   }
 
-  /** A heartbeat that the worker sent by itself is handled. */
+  /** Records the number of a handled heartbeat that did not answer a direct command. */
   void recordHandledSequence(long sequence) {
     handledHeartbeatSequence = sequence;
   }
 
-  /** Whether the heartbeat is newer than all that is known of the machine. */
+  /** Whether the heartbeat is newer than the newest one recorded for the machine. */
   boolean isNewer(Heartbeat heartbeat) {
     return heartbeat.session() > workerSession
         || (heartbeat.session() == workerSession && heartbeat.sequence() > latestHeartbeatSequence);
   }
 
-  /** The worker's tasks of earlier sessions have ended, and it rejects commands for those. */
+  /**
+   * Records that the worker has begun a new session. The worker's tasks of earlier sessions have
+   * ended, and it rejects commands that were sent for an earlier session.
+   */
   void beginSession() {
     published.clearExits();
     commands.settle();
     handledHeartbeatSequence = 0;
   }
 
-  /** Takes in what a heartbeat says of the worker, but for its tasks. */
+  /** Records the contents of a heartbeat except for its tasks. */
   void recordHeartbeat(Heartbeat heartbeat, long now) {
     workerSession = heartbeat.session();
     latestHeartbeatSequence = heartbeat.sequence();
@@ -204,22 +218,28 @@
             : now + (long) (heartbeat.interruptionNoticeS() * 1000);
   }
 
-  /** When the last heartbeat came, in ms of the steady clock. */
+  /** The time of the last heartbeat, in milliseconds of the steady clock. */
   long lastHeartbeatMs() {
     return lastHeartbeatMs;
   }
 
-  /** An answer that renews the worker's lease leaves at that time, in ms of the steady clock. */
+  /**
+   * Records the time at which a response that renews the worker's lease is sent, in milliseconds of
+   * the steady clock.
+   */
   void recordResponse(long atMs) {
     lastResponseMs = atMs;
   }
 
-  /** When the last answer left; the worker's lease counts from then at the latest. */
+  /**
+   * The time of the last response, in milliseconds of the steady clock. The worker's lease is
+   * counted from that time at the latest.
+   */
   long lastResponseMs() {
     return lastResponseMs;
   }
 
-  /** The worker's lease is over: nothing is left on the machine. */
+  /** Records that the worker's lease has expired, so that no task is left on the machine. */
   void expireLease(long now) {
     leaseExpired = true;
     tokenAcknowledged = true;
@@ -228,7 +248,7 @@
     published.markChanged();
   }
 
-  /** Whether the worker's lease is over and no heartbeat has come since. */
+  /** Whether the worker's lease has expired and no heartbeat has been received since. */
   boolean leaseExpired() {
     return leaseExpired;
   }
@@ -238,27 +258,35 @@
     return terminationDeadlineMs != Long.MAX_VALUE;
   }
 
-  /** When the cloud will take the machine; {@code Long.MAX_VALUE}: not announced. */
+  /**
+   * The time at which the cloud will take the machine, in milliseconds of the steady clock, or
+   * {@code Long.MAX_VALUE} if none is announced.
+   */
   long terminationDeadlineMs() {
     return terminationDeadlineMs;
   }
 
-  /** The machine gets no tasks until then, since it is to be returned. */
+  /**
+   * Excludes the machine from new tasks, since it is to be returned, until the given time in
+   * milliseconds of the steady clock.
+   */
   void drainUntil(long untilMs) {
     drainUntilMs = untilMs;
   }
 
-  /** Whether the machine is being drained. */
   boolean draining(long now) {
     return drainUntilMs > now;
   }
 
-  /** A task succeeded here. */
+  /** Records that a task succeeded, which ends a series of consecutive errors. */
   void recordSuccess() {
     consecutiveErrors = 0;
   }
 
-  /** A task failed here by no fault of its job: after several in a row the machine is suspect. */
+  /**
+   * Records that a task failed on the machine and that its job is not at fault. Several consecutive
+   * errors quarantine the machine, more of them mark it as faulty.
+   */
   void recordError(long now) {
     consecutiveErrors++;
     if (consecutiveErrors >= QUARANTINE_ERRORS) {
@@ -269,17 +297,17 @@
     }
   }
 
-  /** Tasks that failed here in a row. */
+  /** The number of tasks that failed on the machine since the last success. */
   int consecutiveErrors() {
     return consecutiveErrors;
   }
 
-  /** Whether the machine gets no tasks for now since several failed. */
+  /** Whether the machine gets no tasks for the moment, since several tasks failed on it. */
   boolean quarantined(long now) {
     return quarantineUntilMs > now;
   }
 
-  /** Whether so many tasks failed that the machine is to be replaced. */
+  /** Whether so many consecutive tasks failed that the machine is to be replaced. */
   boolean faulty() {
     return faulty;
   }
--- a/src/main/java/mallowstall/core/machines/ManagedMachines.java
+++ b/src/main/java/mallowstall/core/machines/ManagedMachines.java
@@ -19,12 +19,17 @@
 import mallowstall.core.model.TaskReport;
 import mallowstall.core.model.TaskState;
 
-/** The machines that this controller leads, in the order in which it became leader. Mutable. */
+/**
+ * The machines that this controller leads, in the order in which it became their leader. Mutable.
+ */
 public final class ManagedMachines {
-  /** Bytes. One machine's free capacity in a digest, with a long name. */
+  /** Size in bytes of one machine's free capacity in a digest, if the machine's name is long. */
   private static final int FREE_CAPACITY_BYTES = 80;
 
-  /** ms. A machine without a heartbeat for so long is unresponsive and gets no new tasks. */
+  /**
+   * Minimum time in milliseconds without a heartbeat after which a machine is unresponsive and gets
+   * no new tasks.
+   */
   static final long UNRESPONSIVE_AFTER_MS = 3_500;
 
   private final EventClock clock;
@@ -33,7 +38,7 @@
   private final StateStore store;
   private final Map<String, ManagedMachine> machines = new LinkedHashMap<>();
 
-  /** No machine is led before the first is added. */
+  /** Creates an empty collection. */
   public ManagedMachines(
       EventClock clock, CoreSettings settings, StateStore store, ClusterView view) {
     this.clock = clock;
@@ -42,7 +47,7 @@
     this.store = store;
   }
 
-  /** The machine; null: this controller doesn't lead it. */
+  /** Returns the machine, or null if this controller doesn't lead it. */
   ManagedMachine get(String id) {
     return machines.get(id);
   }
@@ -52,20 +57,23 @@
     return machines.containsKey(id);
   }
 
-  /** Whether the object still stands for the current leadership of that machine. */
+  /** Whether this object represents the machine's current leadership, not an earlier one. */
   boolean isCurrent(ManagedMachine machine) {
     return machines.get(machine.id()) == machine;
   }
 
-  /** All machines, in the order in which their names were added first; a live view. */
+  /** All machines, in the order in which their ids were first added; a live view. */
   Collection<ManagedMachine> all() {
     return machines.values();
   }
 
-  /** Begins the leadership that was written at that revision, which is its fencing token too. */
+  /**
+   * Adds a machine whose leadership was written to its entry at the given revision, which is also
+   * its fencing token. Replaces an earlier leadership of the machine.
+   */
   ManagedMachine add(String id, MachineType type, String zone, boolean spot, long revision) {
     ManagedMachine machine = new ManagedMachine(id, type, zone, spot, revision, clock.now());
-    // heartbeats don't name images, so the previous leader's knowledge is kept
+    // Heartbeats don't list images, so those published by the previous leader are kept.
     MachineView machineView = view.machine(id);
     if (machineView != null && machineView.status() != null) {
       machine.images().addAll(machineView.status().images());
@@ -74,12 +82,15 @@
     return machine;
   }
 
-  /** Ends the leadership of the machine; false: there was none. */
+  /** Removes the machine; returns false if this controller didn't lead it. */
   boolean remove(String id) {
     return machines.remove(id) != null;
   }
 
-  /** Whether the task restarts after this exit, which is recorded in status updates only. */
+  /**
+   * Whether the task restarts after this exit. The exit of a task that restarts is recorded in
+   * status updates only.
+   */
   boolean restartsAfterExit(TaskReport task) {
     if (task.exitReason() != ExitReason.DONE) {
       return true;
@@ -89,7 +100,8 @@
   }
 
   /**
-   * Whether the machine may get tasks: its lease is renewed, and it is neither suspect nor ending.
+   * Whether the machine may get tasks: its worker's lease is being renewed, and the machine is
+   * neither unresponsive, quarantined, faulty nor about to be taken by the cloud.
    */
   boolean usable(ManagedMachine machine) {
     long now = clock.now();
@@ -105,12 +117,15 @@
     return Math.max(UNRESPONSIVE_AFTER_MS, settings.heartbeatIntervalMs() * 2);
   }
 
-  /** Whether no heartbeat has come for so long that the machine gets no tasks. */
+  /** Whether the last heartbeat is so old that the machine gets no tasks. */
   boolean unresponsive(ManagedMachine machine) {
     return clock.now() - machine.lastHeartbeatMs() > unresponsiveAfterMs();
   }
 
-  /** What neither tasks nor accepted starts use; victims of accepted starts count as ended. */
+  /**
+   * Returns the resources that neither tasks nor reservations use. Victims of accepted starts count
+   * as ended.
+   */
   FreeResources freeResources(ManagedMachine machine) {
     FreeResources free = new FreeResources(machine.type());
     for (TaskReport task : machine.tasks().reports()) {
@@ -131,7 +146,10 @@
     return free;
   }
 
-  /** Free capacities of usable machines, the largest if not all fit one value of the state. */
+  /**
+   * Returns the free capacities of the usable machines, or only those with the most free CPUs if
+   * not all of them fit into one value of the state service.
+   */
   public List<FreeCapacity> freeCapacities() {
     List<FreeCapacity> capacities = new ArrayList<>();
     for (ManagedMachine machine : machines.values()) {
--- a/src/main/java/mallowstall/core/machines/PublishedStatus.java
+++ b/src/main/java/mallowstall/core/machines/PublishedStatus.java
@@ -5,9 +5,9 @@
 import mallowstall.core.model.TaskAttempt;
 import mallowstall.core.model.TaskKey;
 
-/** What status updates have last said of one machine. Mutable. */
+/** The last published status of one machine, and whether it may have changed since. Mutable. */
 final class PublishedStatus {
-  /** Exits of tasks that restart, by the attempt that was published last. */
+  /** The last attempt whose exit was published, by task; only of tasks that restart. */
   private final Object2LongOpenHashMap<TaskKey> exits = new Object2LongOpenHashMap<>();
 
   private boolean changed;
@@ -15,54 +15,54 @@
   private long updateNumber;
   private long publishedMs;
 
-  /** Something that status updates carry may have changed. */
+  /** Records that the machine's status may differ from the published one. */
   void markChanged() {
     changed = true;
   }
 
-  /** Whether something that status updates carry may have changed since the last look. */
+  /** Whether the status may have changed since it was last compared with the published one. */
   boolean changed() {
     return changed;
   }
 
-  /** The machine's status is compared with the published one now. */
+  /** Clears the mark, since the machine's status is being compared with the published one. */
   void clearChanged() {
     changed = false;
   }
 
-  /** The status goes out with the update of this number. */
+  /** Records that the status is published in the status update with the given number. */
   void publish(MachineStatus newStatus, long newUpdateNumber, long now) {
     status = newStatus;
     updateNumber = newUpdateNumber;
     publishedMs = now;
   }
 
-  /** The status published last; null before the first. */
+  /** The last published status, or null if none was published. */
   MachineStatus status() {
     return status;
   }
 
-  /** The update that carried the status first. */
+  /** The number of the first status update that contained the status. */
   long updateNumber() {
     return updateNumber;
   }
 
-  /** When the status was published, in ms of the steady clock. */
+  /** The time at which the status was published, in milliseconds of the steady clock. */
   long publishedMs() {
     return publishedMs;
   }
 
-  /** The attempt's exit is part of a published status. */
+  /** Records that a published status contains the attempt's exit. */
   void recordExit(TaskAttempt attempt) {
     exits.put(attempt.key(), attempt.attempt());
   }
 
-  /** Whether the attempt's exit was the last of its task to be published. */
+  /** Whether the last published exit of the task is that of this attempt. */
   boolean isExitPublished(TaskAttempt attempt) {
     return exits.getLong(attempt.key()) == attempt.attempt();
   }
 
-  /** A new worker session lists none of the tasks of earlier ones. */
+  /** Removes all exits, since a new worker session reports no tasks of earlier sessions. */
   void clearExits() {
     exits.clear();
   }
--- a/src/main/java/mallowstall/core/machines/Reservation.java
+++ b/src/main/java/mallowstall/core/machines/Reservation.java
@@ -5,7 +5,7 @@
 import mallowstall.core.model.TaskAttempt;
 import mallowstall.core.model.TaskKey;
 
-/** Capacity set aside for an accepted start that no heartbeat has listed yet. Mutable. */
+/** Capacity held for an accepted start that the worker has not reported yet. Mutable. */
 final class Reservation {
   private final StartRequest request;
   private final JobSpec spec;
@@ -16,32 +16,31 @@
     this.spec = spec;
   }
 
-  /** The accepted request. */
   StartRequest request() {
     return request;
   }
 
-  /** The job's specification, which says how much capacity is set aside. */
+  /** The job's specification, which determines the amount of reserved capacity. */
   JobSpec spec() {
     return spec;
   }
 
-  /** The task that is to be started. */
+  /** The task to start. */
   TaskKey key() {
     return new TaskKey(request.job(), request.task());
   }
 
-  /** The attempt that is to be started. */
+  /** The attempt to start. */
   TaskAttempt attempt() {
     return new TaskAttempt(request.job(), request.task(), request.attempt());
   }
 
-  /** Whether a command with this start has left for the worker. */
+  /** Whether a command with this start has been sent to the worker. */
   boolean sent() {
     return sent;
   }
 
-  /** A command with this start leaves for the worker. */
+  /** Records that a command with this start is sent to the worker. */
   void markSent() {
     sent = true;
   }
--- a/src/main/java/mallowstall/core/machines/RestartRecovery.java
+++ b/src/main/java/mallowstall/core/machines/RestartRecovery.java
@@ -18,7 +18,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Recovers the machines that this controller's former process led, which has ended. Mutable. */
+/** Recovers the machines that this controller's former, ended process led. Mutable. */
 public final class RestartRecovery {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.machines");
 
@@ -30,13 +30,16 @@
   private final MachineEntryWriter entryWriter;
   private final StatusPublisher statusPublisher;
 
-  /** Machines whose entry is being written, and whether another controller has led them since. */
+  /**
+   * Machines whose entry is being written for a recovery. The value is whether another controller
+   * has led the machine since the former process.
+   */
   private final Map<String, Boolean> recoveriesInFlight = new HashMap<>();
 
-  /** Machines still to be recovered; null before the first look. */
+  /** Machines still to be recovered; null before the first call of {@link #recover}. */
   private ArrayDeque<String> machinesToRecover;
 
-  /** Recovers nothing before the first call of {@link #recover}. */
+  /** Creates a recovery that does nothing before the first call of {@link #recover}. */
   public RestartRecovery(
       EventClock clock,
       CoreSettings settings,
@@ -55,8 +58,9 @@
   }
 
   /**
-   * Another controller led the machine between the former process and this one. It may have renewed
-   * the worker's lease, which can't expire then before the worker has acknowledged the new token.
+   * Handles a superseded entry of the machine, which another controller may have written between
+   * the former process and this one. That controller may have renewed the worker's lease, so the
+   * lease can't expire before the worker has acknowledged the new fencing token.
    */
   public void handleCompetingEntry(String id, MachineEntry machineEntry) {
     noteInterveningLeader(id, machineEntry);
@@ -66,7 +70,10 @@
     }
   }
 
-  /** The same while this process's own entry is still being written. */
+  /**
+   * Records that another controller wrote the machine's entry while the write of this process's own
+   * entry for the recovery is in flight.
+   */
   void noteInterveningLeader(String id, MachineEntry machineEntry) {
     if (!machineEntry.node().equals(settings.node())) {
       recoveriesInFlight.computeIfPresent(id, (k, v) -> true);
@@ -74,9 +81,9 @@
   }
 
   /**
-   * Recovers machines that are still recorded under the former incarnation, a few at a time: each
-   * takes a write of its own, and hundreds at once would use up the state service's rate limit for
-   * machines that register by themselves.
+   * Recovers machines whose entries still name the former incarnation, a few at a time. Each
+   * recovery takes a write of its own, and hundreds at once would use up the state service's rate
+   * limit, which machines that register by themselves need too.
    */
   public void recover() {
     if (machinesToRecover == null) {
@@ -106,9 +113,9 @@
   }
 
   /**
-   * Whether the entry names a former process of this controller. That process has ended, so nobody
-   * answers the machine unless another controller has taken it, of which {@link
-   * #handleCompetingEntry} is called before the lease can expire.
+   * Whether the entry names a former process of this controller. That process has ended, so no
+   * controller answers the worker unless another one has become the machine's leader. In that case
+   * {@link #handleCompetingEntry} is called before the lease can expire.
    */
   private boolean isFromFormerIncarnation(MachineEntry machineEntry) {
     return machineEntry != null
@@ -142,7 +149,7 @@
       boolean interveningLeader) {
     ManagedMachine machine =
         machines.add(id, type, machineEntry.zone(), machineEntry.spot(), revision);
-    // the former process may have answered until just before this one began
+    // The former process may have answered the worker until just before this process started.
     machine.markRecovered(
         interveningLeader,
         clock.startedAtMs(),
--- a/src/main/java/mallowstall/core/machines/StaleHeartbeats.java
+++ b/src/main/java/mallowstall/core/machines/StaleHeartbeats.java
@@ -7,24 +7,32 @@
 import mallowstall.core.model.Heartbeat;
 
 /**
- * Recognizes late copies of heartbeats. Taken for the worker itself, such a copy would take the
- * machine from its live leader, or bring back a machine that was returned. Mutable.
+ * Recognizes copies of heartbeats that arrive late. Without this check, a late copy would make this
+ * controller take over the machine from its live leader or register a machine that was returned.
+ * Mutable.
  */
 public final class StaleHeartbeats {
   private final StateStore store;
   private final ClusterView view;
   private final ReturnedMachines returnedMachines;
 
-  /** Judges heartbeats by the replica and by what the machines' leaders have published. */
+  /**
+   * Creates a check that compares heartbeats with the state replica and with the statuses that
+   * machine leaders have published.
+   */
   public StaleHeartbeats(StateStore store, ClusterView view, ReturnedMachines returnedMachines) {
     this.store = store;
     this.view = view;
     this.returnedMachines = returnedMachines;
   }
 
-  /** Whether the machine was returned, or its leader has published a newer heartbeat. */
+  /**
+   * Whether the machine was returned, or its leader has published this heartbeat, a newer one or
+   * the expiry of the worker's lease.
+   */
   boolean isStale(Heartbeat heartbeat) {
-    // the entry is written before the first token is shown and deleted after the return
+    // The entry is written before the worker gets its first token, and is deleted after the machine
+    // was returned, so a heartbeat with a token but without an entry is from a returned machine.
     if (heartbeat.fencingToken() > 0 && store.machine(heartbeat.machine()) == null) {
       return true;
     }
--- a/src/main/java/mallowstall/core/machines/StartAdmission.java
+++ b/src/main/java/mallowstall/core/machines/StartAdmission.java
@@ -16,8 +16,8 @@
 import mallowstall.core.model.TaskState;
 
 /**
- * Admits starts that job leaders request, by what is on the machine, its free resources, and what
- * the replica says of the job (docs/design.md).
+ * Decides whether starts that job leaders request are admitted, based on the tasks on the machine,
+ * its free resources and the job's entry in the state replica (docs/design.md).
  */
 public final class StartAdmission {
   private final EventClock clock;
@@ -27,7 +27,7 @@
   private final StateStore store;
   private final ManagedMachines machines;
 
-  /** Admits starts on machines led here. */
+  /** Creates an admission check for starts on the given machines. */
   public StartAdmission(
       EventClock clock,
       StateStore store,
@@ -44,8 +44,8 @@
   }
 
   /**
-   * Why the start is rejected, as peers receive it; null: it is admitted. The reasons are part of
-   * the protocol of the controllers.
+   * Returns the reason for which the start is rejected, or null if it is admitted. The reason is
+   * sent to peers, so its text is part of the protocol between controllers.
    */
   String rejectionReason(StartBatch startBatch, StartRequest start) {
     ManagedMachine machine = machines.get(start.machine());
@@ -59,12 +59,12 @@
     if (job == null) {
       return StartRejection.JOB_NOT_KNOWN;
     }
-    String reason = outdatedReason(startBatch, start, job);
+    String reason = obsoleteReason(startBatch, start, job);
     return reason != null ? reason : machineReason(machine, start, job.spec());
   }
 
-  /** Why the request is out of date; null: it isn't. */
-  private String outdatedReason(StartBatch startBatch, StartRequest start, JobEntry job) {
+  /** Returns the reason for which the request itself is obsolete, or null if it is current. */
+  private String obsoleteReason(StartBatch startBatch, StartRequest start, JobEntry job) {
     if (cancellations.isOver(start.job(), job)) {
       return "job is over";
     }
@@ -80,7 +80,7 @@
     return jobBitmaps.isRecordedCompleted(job, start.task()) ? "done already" : null;
   }
 
-  /** Why the machine can't run the task; null: it can. */
+  /** Returns the reason for which the machine can't run the task, or null if it can. */
   private String machineReason(ManagedMachine machine, StartRequest start, JobSpec spec) {
     if (!spec.allowsMachine(machine.type().name(), machine.zone(), machine.spot())) {
       return "machine not allowed";
@@ -98,14 +98,14 @@
     return fits(machine, start, spec) ? null : "no room";
   }
 
-  /** Whether the task fits once its victims have ended. */
+  /** Whether the task fits on the machine once the start's victims have ended. */
   private boolean fits(ManagedMachine machine, StartRequest start, JobSpec spec) {
     FreeResources free = machines.freeResources(machine);
     for (TaskAttempt attempt : start.victims()) {
       TaskReport victim = machine.tasks().report(attempt);
       JobEntry victimJob = store.job(attempt.job());
       boolean freed = victim == null || victim.state() == TaskState.EXITED || victimJob == null;
-      // the resources of a victim that is preempted already count as free
+      // The resources of a victim that is marked as preempted already count as free.
       if (!freed && !machine.tasks().isPreempted(attempt)) {
         free.release(victimJob.spec());
       }
--- a/src/main/java/mallowstall/core/machines/StartRequestHandler.java
+++ b/src/main/java/mallowstall/core/machines/StartRequestHandler.java
@@ -11,7 +11,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Reserves capacity for the starts that job leaders request, or rejects them. */
+/** Reserves capacity for the starts that job leaders request, or rejects the starts. */
 public final class StartRequestHandler {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.machines");
 
@@ -23,7 +23,7 @@
   private final DirectCommands commands;
   private final StartAdmission startAdmission;
 
-  /** Handles requests by admission, reservation and the command that follows. */
+  /** Creates a handler that enqueues direct commands for the starts that are admitted. */
   public StartRequestHandler(
       EventClock clock,
       Metrics metrics,
@@ -41,7 +41,10 @@
     this.startAdmission = startAdmission;
   }
 
-  /** Handles starts from a job leader: each is reserved or rejected in the next status update. */
+  /**
+   * Handles a batch of starts from a job leader. The next status update reports each of them as
+   * reserved or rejected.
+   */
   public void handle(StartBatch startBatch) {
     for (StartRequest start : startBatch.starts()) {
       String rejection = startAdmission.rejectionReason(startBatch, start);
@@ -72,7 +75,7 @@
         start.machine());
   }
 
-  /** Stops a victim of the accepted start. */
+  /** Requests the stop of a victim of the accepted start. */
   private void preempt(ManagedMachine machine, TaskAttempt attempt, StartRequest start) {
     LOG.info(
         "task preempted job={} task={} attempt={} machine={} reason={}/{}",
--- a/src/main/java/mallowstall/core/machines/StatusPublisher.java
+++ b/src/main/java/mallowstall/core/machines/StatusPublisher.java
@@ -15,14 +15,20 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Sends status updates of the machines led here to every peer and to the own view. Mutable. */
+/**
+ * Publishes status updates of the machines that this controller leads, to every peer and to this
+ * controller's own view. Mutable.
+ */
 public final class StatusPublisher {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.machines");
 
-  /** ms. Between two status updates to a peer when nothing changes. */
+  /** Time in milliseconds between two status updates to a peer while nothing changes. */
   static final long STATUS_UPDATE_INTERVAL_MS = 1_000;
 
-  /** ms. Least time between two status updates: joins what happens in one burst of heartbeats. */
+  /**
+   * Minimum time in milliseconds between two status updates, so that one update contains the
+   * changes of a burst of heartbeats.
+   */
   private static final long STATUS_UPDATE_INTERVAL_MIN_MS = 120;
 
   private final EventClock clock;
@@ -34,16 +40,16 @@
   private final StatusUpdateSequence updates;
   private final Consumer<StatusUpdate> localDelivery;
 
-  /** Rejections that the next update carries. */
+  /** Rejections that the next update will contain. */
   private final List<StartRejection> rejections = new ArrayList<>();
 
   private boolean publishRequested;
   private long lastPublishMs;
 
   /**
-   * Publishes nothing before its first tick.
+   * Creates a publisher that publishes nothing before its first tick.
    *
-   * @param localDelivery takes the update for this controller's own view
+   * @param localDelivery receives the updates for this controller's own view
    */
   public StatusPublisher(
       EventClock clock,
@@ -64,12 +70,12 @@
     this.localDelivery = localDelivery;
   }
 
-  /** Something has changed: the next update goes out as soon as the minimum interval allows. */
+  /** Requests an update after a change; it is sent as soon as the minimum interval has passed. */
   public void requestPublish() {
     publishRequested = true;
   }
 
-  /** The next update rejects the start. */
+  /** Adds the rejection of the start to the next update. */
   void rejectStart(StartRequest start, String reason) {
     LOG.debug(
         "start rejected job={} task={} attempt={} machine={} reason={}",
@@ -84,7 +90,7 @@
     publishRequested = true;
   }
 
-  /** Publishes when something has changed, and at least once each regular interval. */
+  /** Publishes an update if one is requested, and at least once in each regular interval. */
   void tick(long now) {
     long elapsedMs = now - lastPublishMs;
     long minGapMs = lag.stretchedGapMs(STATUS_UPDATE_INTERVAL_MIN_MS);
--- a/src/main/java/mallowstall/core/machines/StatusUpdateSequence.java
+++ b/src/main/java/mallowstall/core/machines/StatusUpdateSequence.java
@@ -14,16 +14,17 @@
 import mallowstall.core.model.StatusUpdate;
 
 /**
- * Numbers this controller's status updates and composes them for each receiver: what has changed
- * since the last update that the receiver has acknowledged, or everything. Mutable.
+ * Numbers this controller's status updates and composes them for each receiver. An update contains
+ * the changes since the last update that the receiver has acknowledged, or everything. Mutable.
  */
 public final class StatusUpdateSequence {
-  /** Count. Status updates whose time of sending is kept: more than a minute of them. */
+  /** Maximum number of status updates whose time is kept; they cover more than a minute. */
   private static final int STATUS_UPDATE_TIMES_MAX = 600;
 
   /**
-   * Count. Released machines that are remembered for incremental updates; beyond it peers get full
-   * ones. More than twice the largest fleet, whose machines may all change leader twice.
+   * Maximum number of released machines that are kept for incremental updates. Beyond it peers get
+   * full updates. It is more than twice the largest fleet, whose machines may all change their
+   * leader twice.
    */
   private static final int RELEASED_MACHINES_MAX = 10_000;
 
@@ -35,16 +36,25 @@
 
   private long updateNumber;
 
-  /** When the newest updates were composed, in ms of the steady clock. */
+  /**
+   * The times at which the newest updates were composed, in milliseconds of the steady clock, by
+   * update number.
+   */
   private final Long2LongLinkedOpenHashMap composedMs = new Long2LongLinkedOpenHashMap();
 
-  /** Machines that are no longer led here, with the update that says so. */
+  /**
+   * Machines that this controller no longer leads, each with the number of the update that first
+   * reports this.
+   */
   private final Map<String, Long> releasedMachines = new LinkedHashMap<>();
 
-  /** No increment can be built on earlier updates: the machines released since are forgotten. */
-  private long releasesKnownFrom;
+  /**
+   * The smallest number of an update on which an incremental update may build. The machines that
+   * were released after earlier updates are no longer kept.
+   */
+  private long minBaseUpdate;
 
-  /** Composes updates from the machines led here. */
+  /** Creates a sequence of updates about the given machines. */
   public StatusUpdateSequence(
       CoreSettings settings,
       StateStore store,
@@ -58,12 +68,15 @@
     this.machineStatuses = machineStatuses;
   }
 
-  /** Whether this process has its incarnation and a complete replica, which updates name. */
+  /**
+   * Whether this process has its incarnation and a complete state replica. Updates contain the
+   * incarnation and the replica's revision.
+   */
   boolean ready() {
     return store.incarnation() != 0 && store.synced();
   }
 
-  /** Begins the next update and returns the machines that have changed since the last. */
+  /** Begins the next update and returns the machines whose statuses were first published in it. */
   List<ManagedMachine> beginUpdate(long now) {
     updateNumber++;
     composedMs.put(updateNumber, now);
@@ -73,17 +86,17 @@
     return machineStatuses.publishChanges(updateNumber, now);
   }
 
-  /** The current update for a peer: an increment if possible, else everything. */
+  /** Composes the current update for a peer, incremental if possible, else full. */
   StatusUpdate composeFor(PeerState peer, long now, List<StartRejection> rejections) {
-    long baseUpdate =
-        peer.acknowledgedSerial() >= releasesKnownFrom ? peer.acknowledgedSerial() : 0;
+    long baseUpdate = peer.acknowledgedSerial() >= minBaseUpdate ? peer.acknowledgedSerial() : 0;
     List<MachineStatus> statuses = new ArrayList<>();
     for (ManagedMachine machine : machines.all()) {
       if (machine.published().updateNumber() > baseUpdate) {
         statuses.add(machine.published().status());
       }
     }
-    // an acknowledgement vouches for all cancellations that are newer than the peer's replica
+    // An acknowledgement implies that this update contains all cancellations that are newer than
+    // the peer's replica.
     boolean acknowledges =
         peer.replicaRevision() > 0 && cancellations.retainsSince(peer.replicaRevision());
     return new StatusUpdate(
@@ -104,7 +117,10 @@
         rejections);
   }
 
-  /** The current update for this controller's own view; it has applied all earlier ones. */
+  /**
+   * Composes the current update for this controller's own view, which has applied all earlier
+   * updates.
+   */
   StatusUpdate composeForSelf(
       PeerState self, List<ManagedMachine> changed, List<StartRejection> rejections) {
     List<MachineStatus> statuses = new ArrayList<>();
@@ -130,18 +146,18 @@
   }
 
   /**
-   * When an update was composed, in ms of the steady clock; long before the process began if the
-   * number is unknown or forgotten.
+   * Returns the time at which an update was composed, in milliseconds of the steady clock. If the
+   * number is unknown or no longer kept, returns a time long before the process started.
    */
   public long composedMs(long number) {
     return composedMs.getOrDefault(number, Long.MIN_VALUE / 2);
   }
 
-  /** The next update says that the machine is no longer led here. */
+  /** Adds to the next update that this controller no longer leads the machine. */
   void addReleased(String id) {
     releasedMachines.put(id, updateNumber + 1);
     if (releasedMachines.size() > RELEASED_MACHINES_MAX) {
-      releasesKnownFrom = updateNumber + 1;
+      minBaseUpdate = updateNumber + 1;
       releasedMachines.clear();
     }
   }
--- a/src/main/java/mallowstall/core/machines/StopRequestHandler.java
+++ b/src/main/java/mallowstall/core/machines/StopRequestHandler.java
@@ -10,11 +10,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Stops tasks on machines led here: as job leaders ask, or since their job is cancelled. */
+/**
+ * Stops tasks on machines that this controller leads, at the request of job leaders or because
+ * their job was cancelled.
+ */
 public final class StopRequestHandler {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.machines");
 
-  /** ms. A drain request expires after this if the machine wasn't returned. */
+  /** Time in milliseconds after which a drain request expires if the machine wasn't returned. */
   private static final long DRAIN_EXPIRY_MS = 20_000;
 
   private final EventClock clock;
@@ -22,7 +25,7 @@
   private final StatusPublisher statusPublisher;
   private final DirectCommands commands;
 
-  /** Handles stops by noting them on the machine and sending a command. */
+  /** Creates a handler that adds stops to the machines and enqueues direct commands for them. */
   public StopRequestHandler(
       EventClock clock,
       ManagedMachines machines,
@@ -34,7 +37,7 @@
     this.commands = commands;
   }
 
-  /** Handles stops from job leaders and drains from the autoscaler. */
+  /** Handles a batch of stops from job leaders and of drains from the autoscaler. */
   public void handle(StopBatch stopBatch) {
     for (StopRequest stop : stopBatch.stops()) {
       ManagedMachine machine = machines.get(stop.machine());
@@ -66,12 +69,12 @@
   }
 
   /**
-   * The job is cancelled: its tasks that fetch their image are stopped by a direct command, since
-   * they would begin to run before the next heartbeat is answered. That answer stops those that
-   * run, and these if the command is lost.
+   * Stops the tasks of a cancelled job that are fetching their image. They are stopped by a direct
+   * command, since they would begin to run before the next heartbeat is answered. The response to
+   * that heartbeat stops the running tasks, and also the fetching ones if the command is lost.
    */
   public void stopCancelled(String job) {
-    statusPublisher.requestPublish(); // it carries the cancellation to peers
+    statusPublisher.requestPublish(); // the update sends the cancellation to peers
     for (ManagedMachine machine : machines.all()) {
       for (TaskReport task : machine.tasks().reports()) {
         if (task.state() != TaskState.FETCHING || !task.job().equals(job)) {
