--- a/src/main/java/mallowstall/core/jobs/ActiveAttempt.java
+++ b/src/main/java/mallowstall/core/jobs/ActiveAttempt.java
@@ -5,8 +5,8 @@
 import mallowstall.core.model.TaskStatus;
 
 /**
- * One attempt of a task of a led job that is or may be on a machine. Times are in ms of the steady
- * clock. Mutable; not thread-safe.
+ * One attempt of a task of a led job that is or may be on a machine. Times are in milliseconds of
+ * the steady clock. Mutable; not thread-safe.
  */
 public final class ActiveAttempt {
   private final LedJob job;
@@ -24,14 +24,14 @@
   private TaskState state;
   private long placedAtMs;
 
-  /** When it was first seen to run; 0: not yet. */
+  /** The time at which the attempt was first observed running, or 0 if it was not observed yet. */
   private long runningSinceMs;
 
   /**
-   * An attempt whose start is being sent to a machine leader.
+   * Creates an attempt whose start request is being sent to a machine leader.
    *
-   * @param connection the connection to the machine leader on which the start is sent
-   * @param sequence the number of the start batch on that connection
+   * @param connection the connection to the machine leader on which the start request is sent
+   * @param sequence the number of the batch that contains the start request
    */
   public ActiveAttempt(
       LedJob job,
@@ -54,7 +54,7 @@
     this.sequence = sequence;
   }
 
-  /** An attempt that a machine leader reports and that this process hasn't started itself. */
+  /** Creates an attempt that a machine leader reports and that this process did not start. */
   static ActiveAttempt discovered(
       LedJob job,
       MachineStatus status,
@@ -83,100 +83,109 @@
     return discovered;
   }
 
-  /** The attempt is placed now. */
+  /** Records that the attempt is placed or discovered at this time. */
   void recordPlacement(long now) {
     placedAtMs = now;
   }
 
-  /** A status update lists the attempt in this state; null: its machine leader has accepted it. */
+  /**
+   * Records that a status update lists the attempt.
+   *
+   * @param newState the state of the attempt, or null if its machine leader has accepted the start
+   *     but no heartbeat of the worker has listed the attempt yet
+   */
   void recordObservation(TaskState newState, long session, long now) {
     if (newState == TaskState.RUNNING && runningSinceMs == 0) {
       runningSinceMs = now;
     }
     if (newState != null) {
-      // from now on the machine's status alone says where it is
+      // From now on, only the machine's status decides whether the attempt is still there.
       observedOnMachine = true;
       workerSession = session;
       state = newState;
     }
   }
 
-  /** The job, as led by this controller. */
+  /** Returns the job that the task belongs to. */
   LedJob job() {
     return job;
   }
 
-  /** The task's number within the job. */
+  /** Returns the number of the task within the job. */
   public int task() {
     return task;
   }
 
-  /** The attempt's number, which contains the leader epoch: later attempts have larger ones. */
+  /**
+   * Returns the attempt number. It contains the leader epoch, so later attempts have larger ones.
+   */
   public long attempt() {
     return attempt;
   }
 
-  /** The machine's id. */
+  /** Returns the id of the attempt's machine. */
   public String machine() {
     return machine;
   }
 
-  /** The machine's zone. */
+  /** Returns the zone of the attempt's machine. */
   public String zone() {
     return zone;
   }
 
-  /** The node to which the start was sent. */
+  /** Returns the node to which the start request was sent, or which reported the attempt. */
   String machineLeader() {
     return machineLeader;
   }
 
-  /** The incarnation of {@link #machineLeader} when the start was sent. */
+  /** Returns the incarnation of {@link #machineLeader} when the start was sent or reported. */
   long machineLeaderIncarnation() {
     return machineLeaderIncarnation;
   }
 
-  /** The connection on which the start was sent; 0 if this process didn't send it. */
+  /** Returns the connection on which the start was sent, or 0 if this process did not send it. */
   long connection() {
     return connection;
   }
 
-  /** The number of the start batch on its connection; 0 if this process didn't send it. */
+  /** Returns the number of the start batch, or 0 if this process did not send the start. */
   long sequence() {
     return sequence;
   }
 
-  /** Whether it has been seen on its machine, and wasn't only sent or accepted. */
+  /**
+   * Returns whether the worker has reported the attempt; a sent or accepted start is not enough.
+   */
   public boolean observedOnMachine() {
     return observedOnMachine;
   }
 
-  /** Whether the newest status of its machine lists it. */
+  /** Returns whether the newest status of its machine lists the attempt. */
   public boolean inLatestStatus() {
     return inLatestStatus;
   }
 
-  /** Says whether the newest status of its machine lists it. */
+  /** Sets whether the newest status of its machine lists the attempt. */
   void setInLatestStatus(boolean listed) {
     inLatestStatus = listed;
   }
 
-  /** The worker session in which it was last seen on its machine. */
+  /** Returns the worker session in which the attempt was last observed on its machine. */
   long workerSession() {
     return workerSession;
   }
 
-  /** Whether it was seen to run when it was last listed. */
+  /** Returns whether the attempt was running when it was last observed on its machine. */
   boolean isRunning() {
     return observedOnMachine && state == TaskState.RUNNING;
   }
 
-  /** When it was placed or discovered. */
+  /** Returns the time at which the attempt was placed or discovered. */
   long placedAtMs() {
     return placedAtMs;
   }
 
-  /** For how long it has run by this time, in ms; 0 if it wasn't seen to run. */
+  /** Returns for how many milliseconds the attempt has run, or 0 if it was not observed running. */
   long ranMs(long now) {
     return runningSinceMs == 0 ? 0 : now - runningSinceMs;
   }
--- a/src/main/java/mallowstall/core/jobs/AttemptTracker.java
+++ b/src/main/java/mallowstall/core/jobs/AttemptTracker.java
@@ -14,7 +14,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The attempts of led jobs that are or may be on machines, indexed by machine. An attempt is
+ * Tracks the attempts of led jobs that are or may be on machines, indexed by machine. An attempt is
  * tracked from its start until it is proven to be on no machine, so that no task runs twice.
  * Mutable; not thread-safe.
  */
@@ -25,7 +25,7 @@
   private final PlacementTrigger placementTrigger;
   private final Map<String, Set<ActiveAttempt>> attemptsByMachine = new HashMap<>();
 
-  /** Attempts that were sent to a machine leader and not yet seen on their machine. */
+  /** Attempts whose start was sent to a machine leader and that no worker has reported yet. */
   private final Set<ActiveAttempt> unobservedStarts = new LinkedHashSet<>();
 
   AttemptTracker(EventClock clock, PlacementTrigger placementTrigger) {
@@ -33,7 +33,7 @@
     this.placementTrigger = placementTrigger;
   }
 
-  /** Tracks an attempt until it is proven to be on no machine. */
+  /** Starts tracking an attempt, until it is proven to be on no machine. */
   void track(ActiveAttempt active) {
     active.job().addAttempt(active);
     active.recordPlacement(clock.now());
@@ -43,7 +43,11 @@
     attemptsByMachine.computeIfAbsent(active.machine(), key -> new LinkedHashSet<>()).add(active);
   }
 
-  /** The attempt is proven to be on no machine; {@code retry}: its task is to be placed again. */
+  /**
+   * Stops tracking an attempt that is proven to be on no machine.
+   *
+   * @param retry whether the task is queued to be placed again, unless it has completed
+   */
   void release(ActiveAttempt active, boolean retry) {
     active.job().removeAttempt(active, clock.now());
     removeFromIndex(active);
@@ -53,7 +57,10 @@
     placementTrigger.request();
   }
 
-  /** The attempt was not reported where it would be: it has ended there or never arrived. */
+  /**
+   * Releases an attempt that the status of its machine does not list: the attempt has ended there,
+   * or its start never arrived. The task is queued to be placed again.
+   */
   void releaseUnreported(ActiveAttempt active) {
     LOG.debug(
         "attempt no longer reported job={} task={} attempt={} machine={}",
@@ -64,7 +71,7 @@
     release(active, true);
   }
 
-  /** The machine's worker lists the attempt. */
+  /** Records that the status of the attempt's machine lists the attempt. */
   void recordObservation(ActiveAttempt active, MachineStatus status, TaskStatus taskStatus) {
     active.recordObservation(taskStatus.state(), status.session(), clock.now());
     if (taskStatus.state() != null) {
@@ -72,8 +79,11 @@
     }
   }
 
-  /** The job is no longer led here: its attempts are its next leader's concern. */
-  void forgetJob(LedJob ledJob) {
+  /**
+   * Stops tracking the attempts of a job that this controller no longer leads. The job's next
+   * leader tracks them.
+   */
+  void stopTrackingJob(LedJob ledJob) {
     for (ActiveAttempt active : ledJob.activeAttempts().values()) {
       removeFromIndex(active);
     }
@@ -91,22 +101,25 @@
     }
   }
 
-  /** The attempts that are or may be on the machine, a live view; null: none. */
+  /** Returns a live view of the attempts that are or may be on the machine, or null if none are. */
   Set<ActiveAttempt> attemptsOn(String machine) {
     return attemptsByMachine.get(machine);
   }
 
-  /** A copy of the machines that have or may have attempts. */
+  /** Returns a copy of the ids of all machines that tracked attempts are or may be on. */
   List<String> machines() {
     return new ArrayList<>(attemptsByMachine.keySet());
   }
 
-  /** A copy of the attempts that were sent and not yet seen on their machine, oldest first. */
+  /**
+   * Returns a copy of the attempts whose start was sent and that no worker has reported yet, oldest
+   * first.
+   */
   List<ActiveAttempt> unobservedStarts() {
     return new ArrayList<>(unobservedStarts);
   }
 
-  /** The machine is proven to be removed, which ends every attempt on it. */
+  /** Releases all attempts on a machine that is proven to be removed, which ended them. */
   void removeMachine(String machine) {
     Set<ActiveAttempt> attempts = attemptsByMachine.get(machine);
     if (attempts == null) {
--- a/src/main/java/mallowstall/core/jobs/CompletedTasks.java
+++ b/src/main/java/mallowstall/core/jobs/CompletedTasks.java
@@ -9,56 +9,59 @@
 import mallowstall.core.kv.JobBitmaps;
 
 /**
- * The completed tasks of a led job, and which pieces of its completion bitmap are dirty: they have
- * bits that aren't known to be recorded in the state service. Mutable; not thread-safe.
+ * The completed tasks of a led job, and the dirty pieces of its completion bitmap. A piece is dirty
+ * if it has bits that are not known to be recorded in the state service. Mutable; not thread-safe.
  */
 final class CompletedTasks {
   private final BitSet tasks = new BitSet();
   private int count;
   private final Set<Integer> dirtyPieces = new TreeSet<>();
 
-  /** The task has completed; its piece is dirty. */
+  /** Adds a completed task and marks its piece as dirty. */
   void add(int task) {
     tasks.set(task);
     count++;
     dirtyPieces.add(JobBitmaps.pieceIndex(task));
   }
 
-  /** Takes in completions that are recorded in the state service. */
+  /** Adds completions that are already recorded in the state service; no piece becomes dirty. */
   void merge(BitSet recorded) {
     tasks.or(recorded);
     count = tasks.cardinality();
   }
 
-  /** Whether the task has completed. */
+  /** Returns whether the task has completed. */
   boolean contains(int task) {
     return tasks.get(task);
   }
 
-  /** Number of completed tasks. */
+  /** Returns the number of completed tasks. */
   int count() {
     return count;
   }
 
-  /** One bit per completed task, to be read only. */
+  /** Returns a live view with one bit set per completed task; callers must not change it. */
   BitSet bits() {
     return tasks;
   }
 
-  /** Indices of the dirty pieces in ascending order, to be read only. */
+  /**
+   * Returns a live view of the indices of the dirty pieces in ascending order; callers must not
+   * change it.
+   */
   Set<Integer> dirtyPieces() {
     return dirtyPieces;
   }
 
-  /** Whether some completion isn't known to be recorded. */
+  /** Returns whether there are completions that are not known to be recorded. */
   boolean isDirty() {
     return !dirtyPieces.isEmpty();
   }
 
   /**
-   * A write of these pieces is being sent.
+   * Marks pieces as clean because a write of them is being sent.
    *
-   * @return those of the pieces that were dirty; they no longer are unless the write fails
+   * @return the pieces that were dirty; if the write fails, the caller must mark them dirty again
    */
   List<Integer> takeDirty(Collection<Integer> written) {
     List<Integer> pieces = new ArrayList<>(dirtyPieces);
@@ -67,12 +70,12 @@
     return pieces;
   }
 
-  /** The pieces aren't known to be recorded: they are dirty again. */
+  /** Marks pieces as dirty again, because the write of them is not known to be applied. */
   void markDirty(List<Integer> pieces) {
     dirtyPieces.addAll(pieces);
   }
 
-  /** Completions of a cancelled job need not be recorded. */
+  /** Marks all pieces as clean, because the completions of a cancelled job need not be recorded. */
   void discardDirty() {
     dirtyPieces.clear();
   }
--- a/src/main/java/mallowstall/core/jobs/CompletionRecorder.java
+++ b/src/main/java/mallowstall/core/jobs/CompletionRecorder.java
@@ -11,8 +11,8 @@
 import mallowstall.core.model.JobOutcome;
 
 /**
- * Writes the completion bits of led jobs to the state service, and a job's outcome once all its
- * tasks have completed. One write per job is in flight at a time. Not thread-safe.
+ * Writes the completion bits of led jobs to the state service, and the outcome of a job once all
+ * its tasks have completed. At most one write per job is in flight at a time. Not thread-safe.
  */
 final class CompletionRecorder {
   private final EventClock clock;
@@ -25,7 +25,10 @@
     this.jobBitmaps = jobBitmaps;
   }
 
-  /** Writes the job's entry if it has unrecorded completions or must be written again. */
+  /**
+   * Writes the job's entry if completions or the outcome are not recorded yet, if an earlier write
+   * has an unknown outcome, or if the completion bitmap needs a layout migration.
+   */
   void writeEntryIfDue(LedJob ledJob) {
     long now = clock.now();
     boolean allCompleted =
@@ -83,14 +86,18 @@
   }
 
   /**
-   * Whether the state replica has all bits recorded in earlier leader epochs. The entry may have
-   * been read on its own, and pieces written without those bits would clear them.
+   * Returns whether the state replica has all completion bits that were recorded in earlier leader
+   * epochs. The entry may have been read separately, before the replica has received those bits.
+   * Pieces written without them would clear them.
    */
   private boolean completionBitsReplicated(LedJob ledJob) {
     return JobBitmaps.isInline(ledJob.spec()) || ledJob.claimRevision() <= store.revision();
   }
 
-  /** Reads the entry after a conflict, since the state replica may lag; no write before that. */
+  /**
+   * Reads the job's entry after a conflict, because the state replica may lag. The entry is not
+   * written until the read is answered.
+   */
   void refreshEntry(LedJob ledJob) {
     ledJob.writes().beginRead();
     boolean accepted =
--- a/src/main/java/mallowstall/core/jobs/JobFailover.java
+++ b/src/main/java/mallowstall/core/jobs/JobFailover.java
@@ -21,17 +21,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Claims the leadership of jobs whose leader's session has ended. Each job is claimed first by the
- * live controller that its id hashes to, and after a while by any. Mutable; not thread-safe.
+ * Claims the leadership of jobs whose leader's session has ended. At first, only the preferred
+ * controller claims a job: the live one to which the job's id hashes. After a delay, any controller
+ * claims it. Mutable; not thread-safe.
  */
 final class JobFailover {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.jobs");
 
-  /** ms. A job without a leader is left to the controller whose turn it is for so long. */
-  private static final long JOB_FAILOVER_TURN_MS = 2_000;
+  /** Time in milliseconds during which only the preferred controller may claim a leaderless job. */
+  private static final long JOB_FAILOVER_PREFERRED_NODE_MS = 2_000;
 
   /**
-   * Count. Most jobs taken in one scan: spreads an ended leader's jobs over the other controllers.
+   * Maximum number of jobs claimed in one scan. The limit spreads the jobs of an ended leader over
+   * the other controllers.
    */
   private static final int JOB_FAILOVER_BATCH = 4;
 
@@ -42,15 +44,20 @@
   private final OpenJobs openJobs;
   private final Membership membership;
 
-  /** Leaderless jobs by id. */
-  private final Map<String, Vacancy> vacancies = new HashMap<>();
+  /** The jobs without a live leader, by job id. */
+  private final Map<String, Vacancy> leaderlessJobs = new HashMap<>();
 
-  /** When the unanswered claim of a job was sent, by job id. */
+  /** The time at which the unanswered claim of a job was sent, by job id. */
   private final Map<String, Long> claimsInFlight = new HashMap<>();
 
   private long nextScanMs;
 
-  /** Since when a job has been seen without a live leader, and when it may be claimed again. */
+  /**
+   * A job without a live leader.
+   *
+   * @param sinceMs the time at which this controller first found the job without a live leader
+   * @param claimRetry the delay before the job may be claimed again after a rejected claim
+   */
   private record Vacancy(long sinceMs, RetryDelay claimRetry) {}
 
   JobFailover(
@@ -68,7 +75,7 @@
     this.membership = membership;
   }
 
-  /** Claims leaderless jobs if a scan is due, a limited number with each scan. */
+  /** Claims leaderless jobs if a scan is due, at most {@link #JOB_FAILOVER_BATCH} per scan. */
   void claimLeaderlessJobs() {
     long now = clock.now();
     if (now < nextScanMs || !store.isSessionValid()) {
@@ -80,38 +87,43 @@
     for (JobEntry job : new ArrayList<>(openJobs.all())) {
       String id = job.spec().id();
       if (store.isLive(job.leader(), job.incarnation())) {
-        vacancies.remove(id);
+        leaderlessJobs.remove(id);
         continue;
       }
-      Vacancy vacancy = vacancies.computeIfAbsent(id, key -> new Vacancy(now, new RetryDelay()));
-      if (!claimable(id, vacancy, liveNodes, now)) {
+      Vacancy leaderlessJob =
+          leaderlessJobs.computeIfAbsent(id, key -> new Vacancy(now, new RetryDelay()));
+      if (!claimable(id, leaderlessJob, liveNodes, now)) {
         continue;
       }
       if (claims == JOB_FAILOVER_BATCH) {
         break;
       }
       claims++;
-      claim(job, vacancy, now);
+      claim(job, leaderlessJob, now);
     }
   }
 
-  /** Whether it is this controller's turn to claim the job. */
-  private boolean claimable(String id, Vacancy vacancy, List<String> liveNodes, long now) {
+  /**
+   * Returns whether this controller may claim the job now: it is the preferred controller or the
+   * preferred controller's time is over, no recent claim is unanswered, and no retry delay runs.
+   */
+  private boolean claimable(String id, Vacancy leaderlessJob, List<String> liveNodes, long now) {
     String preferredNode =
         liveNodes.isEmpty()
             ? settings.node()
             : liveNodes.get(Math.floorMod(id.hashCode(), liveNodes.size()));
-    if (!preferredNode.equals(settings.node()) && now - vacancy.sinceMs() < JOB_FAILOVER_TURN_MS) {
+    if (!preferredNode.equals(settings.node())
+        && now - leaderlessJob.sinceMs() < JOB_FAILOVER_PREFERRED_NODE_MS) {
       return false;
     }
     Long claimedAtMs = claimsInFlight.get(id);
     if (claimedAtMs != null && now - claimedAtMs < 2 * Constants.STATE_TIMEOUT_MS) {
       return false;
     }
-    return vacancy.claimRetry().isDue(now);
+    return leaderlessJob.claimRetry().isDue(now);
   }
 
-  private void claim(JobEntry job, Vacancy vacancy, long now) {
+  private void claim(JobEntry job, Vacancy leaderlessJob, long now) {
     String id = job.spec().id();
     claimsInFlight.put(id, now);
     JobEntry claimed = job.withLeader(settings.node(), store.incarnation());
@@ -123,7 +135,7 @@
             new Transaction(claim.conditions(), claim.puts(), List.of()),
             reply -> {
               claimsInFlight.remove(id);
-              vacancy.claimRetry().recordResult(clock.now(), reply.code());
+              leaderlessJob.claimRetry().recordResult(clock.now(), reply.code());
               if (reply.code() == ResultCode.OK) {
                 LOG.info("job failover job={} epoch={} peer={}", id, claimed.epoch(), job.leader());
               }
--- a/src/main/java/mallowstall/core/jobs/JobLeader.java
+++ b/src/main/java/mallowstall/core/jobs/JobLeader.java
@@ -16,8 +16,8 @@
 import mallowstall.core.model.StatusUpdate;
 
 /**
- * Entry of the package: wires its modules, hands each event to the one that it concerns, and runs
- * the periodic work in its fixed order. Not thread-safe.
+ * Entry point of the package. Creates the package's components, passes each event to the component
+ * that handles it, and runs the periodic work in a fixed order. Not thread-safe.
  */
 public final class JobLeader {
   private final EventClock clock;
@@ -31,7 +31,10 @@
   private final JobFailover failover;
   private final CompletionRecorder completions;
 
-  /** Leads no job before the first entry that names this process as a leader. */
+  /**
+   * Creates a job leader that leads no job until {@link #applyJobEntry} receives an entry that
+   * names this process as the leader.
+   */
   public JobLeader(
       EventClock clock,
       CoreSettings settings,
@@ -65,43 +68,46 @@
     completions = new CompletionRecorder(clock, store, jobBitmaps);
   }
 
-  /** The led jobs in the order in which this controller became their leader; a live view. */
+  /** Returns a live view of the led jobs, in the order in which this controller became leader. */
   public Collection<LedJob> jobs() {
     return jobs.all();
   }
 
-  /** Whether this controller leads the job and may place its tasks. */
+  /** Returns whether this controller leads the job and has recovered it, so it may place tasks. */
   public boolean mayPlace(String id) {
     return jobs.mayPlace(id);
   }
 
-  /** Number of the job's tasks that are known to run, whoever leads it. */
+  /** Returns the number of the job's tasks that are known to run, whichever controller leads it. */
   public int running(String id) {
     LedJob ledJob = jobs.get(id);
     return ledJob != null ? ledJob.runningCount() : view.runningTasks(id);
   }
 
-  /** Whether the job is led here and fails on so many machines that it is at fault itself. */
+  /**
+   * Returns whether this controller leads the job and its tasks have failed on so many machines
+   * that the job itself is considered faulty.
+   */
   public boolean atFault(String id) {
     return jobs.atFault(id);
   }
 
-  /** Processors that the pending tasks of all led jobs need. */
+  /** Returns the number of processors that the pending tasks of all led jobs need. */
   public double pendingCpus() {
     return jobs.pendingCpus();
   }
 
-  /** Whether some led job is a service. */
+  /** Returns whether any led job is a service. */
   public boolean anyService() {
     return jobs.anyService();
   }
 
-  /** Begins, continues or ends leading a job, as its new entry in the state replica says. */
+  /** Begins, continues or ends leading a job according to its new entry in the state replica. */
   public void applyJobEntry(JobEntry entry) {
     leadership.applyJobEntry(entry);
   }
 
-  /** Takes in completion bits that came after the job's entry. */
+  /** Adds completion bits that reached the state replica after the job's entry. */
   public void reloadCompletionBits(String id) {
     leadership.reloadCompletionBits(id);
   }
@@ -111,22 +117,25 @@
     attempts.track(active);
   }
 
-  /** Takes in a status update that the cluster view has already taken in. */
+  /** Applies a status update that has already been applied to the cluster view. */
   public void applyStatusUpdate(StatusUpdate update) {
     reconciliation.applyStatusUpdate(update);
   }
 
-  /** The machine is proven to be removed, which ends every attempt on it. */
+  /** Releases all attempts on a machine that is proven to be removed, which ended them. */
   public void removeMachineAttempts(String id) {
     attempts.removeMachine(id);
   }
 
-  /** Reads the job's entry after a conflict; nothing of it is written before the answer. */
+  /** Reads the job's entry after a conflict. It is not written until the read is answered. */
   public void refreshEntry(LedJob ledJob) {
     completions.refreshEntry(ledJob);
   }
 
-  /** Periodic work: recovery and failover of jobs, restarts of replicas, recorded completions. */
+  /**
+   * Runs the periodic work: job recovery and failover, restarts of replicas, and writes of
+   * completions. Does nothing until the state replica is synced.
+   */
   public void tick() {
     if (!store.synced()) {
       return;
@@ -138,12 +147,15 @@
       if (ledJob.spec().isService()) {
         ledJob.restarts().releaseDue(clock.now(), ledJob::requeue);
       }
-      // a service has no completions, but a write of unknown outcome is resolved by the next one
+      // A service has no completions, but its next write resolves one with an unknown outcome.
       completions.writeEntryIfDue(ledJob);
     }
   }
 
-  /** Ends what was tracked on machines that prove to be returned without a deletion being seen. */
+  /**
+   * Releases the attempts on machines that are proven to be returned although this controller saw
+   * no deletion of their entries.
+   */
   private void removeReturnedMachines() {
     for (String id : view.removeReturnedMachines()) {
       attempts.removeMachine(id);
@@ -151,8 +163,9 @@
   }
 
   /**
-   * Names of machines with tracked attempts of which neither the view nor the replica knows
-   * anything: nothing would end these attempts any more. There must be none; for tests.
+   * Returns the ids of machines that have tracked attempts but are in neither the cluster view nor
+   * the state replica. No event would release these attempts any more, so the list must be empty.
+   * Used by tests.
    */
   public List<String> unknownAttemptMachines() {
     return attempts.machines().stream()
--- a/src/main/java/mallowstall/core/jobs/JobLeadership.java
+++ b/src/main/java/mallowstall/core/jobs/JobLeadership.java
@@ -10,8 +10,8 @@
 import mallowstall.core.model.JobEntry;
 
 /**
- * Decides by the job entries of the state replica which jobs this process leads: a job is led by
- * the process that its entry names, for the leader epoch that the entry names. Not thread-safe.
+ * Decides by the job entries in the state replica which jobs this process leads. The entry of a job
+ * names the process that leads it and the leader epoch. Not thread-safe.
  */
 final class JobLeadership {
   private final EventClock clock;
@@ -45,7 +45,7 @@
     this.reconciliation = reconciliation;
   }
 
-  /** Begins, continues or ends leading the job, as its entry in the state replica says. */
+  /** Begins, continues or ends leading the job according to its entry in the state replica. */
   void applyJobEntry(JobEntry entry) {
     String id = entry.spec().id();
     LedJob ledJob = jobs.get(id);
@@ -76,7 +76,10 @@
     placementTrigger.request();
   }
 
-  /** Takes in completion bits that came after the job's entry, which may be read on its own. */
+  /**
+   * Adds completion bits that reached the state replica after the job's entry. This happens because
+   * the entry may be read separately from the bits.
+   */
   void reloadCompletionBits(String id) {
     LedJob ledJob = jobs.get(id);
     if (ledJob != null) {
@@ -86,6 +89,6 @@
 
   private void endLeading(LedJob ledJob) {
     jobs.remove(ledJob);
-    attempts.forgetJob(ledJob);
+    attempts.stopTrackingJob(ledJob);
   }
 }
--- a/src/main/java/mallowstall/core/jobs/JobWrites.java
+++ b/src/main/java/mallowstall/core/jobs/JobWrites.java
@@ -5,17 +5,24 @@
 import mallowstall.core.kernel.RetryDelay;
 
 /**
- * Which writes of a led job's entry are unanswered, in doubt or to be retried later. The entry is
- * written for completions and for quota, never for both at a time. Times are in ms of the steady
- * clock. Mutable; not thread-safe.
+ * Tracks which writes of a led job's entry are unanswered, have an unknown outcome or are to be
+ * retried later. The entry is written for completions and for quota, but never for both at the same
+ * time. Times are in milliseconds of the steady clock. Mutable; not thread-safe.
  */
 public final class JobWrites {
-  /** ms. Least time between two writes of one job's entry: completions in between are one batch. */
+  /**
+   * Minimum time in milliseconds between two writes of one job's entry. All completions within that
+   * time are written together.
+   */
   static final long JOB_WRITE_INTERVAL_MIN_MS = 150;
 
   private boolean completionInFlight;
 
-  /** When the last write for completions was sent; later than that after a failed one. */
+  /**
+   * The time from which the interval to the next write for completions is measured. It is the time
+   * at which the last write was sent or the last read was answered, or a later time after a failed
+   * write.
+   */
   private long lastCompletionWriteMs = Long.MIN_VALUE / 2;
 
   private final RetryDelay completionRetry = new RetryDelay();
@@ -24,19 +31,24 @@
   private boolean outcomeUnknown;
 
   /**
-   * Whether a write has an unknown outcome and may still be applied: no task may be started on the
-   * quota that it would reserve.
+   * Returns whether a write has an unknown outcome and may still be applied. Until that is
+   * resolved, no task may be started on the quota that the write would reserve.
    */
   public boolean outcomeUnknown() {
     return outcomeUnknown;
   }
 
-  /** A newer entry has been read, so writes that were in doubt are resolved. */
+  /** Records that a newer entry has been read, which resolves writes with an unknown outcome. */
   void resolveOutcome() {
     outcomeUnknown = false;
   }
 
-  /** Whether nothing holds a write for completions back; the last one of a job needs no gap. */
+  /**
+   * Returns whether the entry may be written for completions now.
+   *
+   * @param allCompleted whether all tasks have completed; this last write need not wait for the
+   *     minimum interval between writes
+   */
   boolean mayWriteCompletions(boolean allCompleted, long now) {
     return completionRetry.isDue(now)
         && !completionInFlight
@@ -44,18 +56,18 @@
         && (allCompleted || now - lastCompletionWriteMs >= JOB_WRITE_INTERVAL_MIN_MS);
   }
 
-  /** A write for completions is being sent. */
+  /** Records that a write for completions is being sent. */
   void beginCompletionWrite(long now) {
     completionInFlight = true;
     lastCompletionWriteMs = now;
   }
 
-  /** The write for completions, or the read, could not be sent. */
+  /** Records that the write for completions, or the read of the entry, could not be sent. */
   void withdrawCompletionWrite() {
     completionInFlight = false;
   }
 
-  /** The write for completions is answered. */
+  /** Records the result of the write for completions. */
   void endCompletionWrite(long now, ResultCode code) {
     completionInFlight = false;
     completionRetry.recordResult(now, code);
@@ -67,41 +79,41 @@
     }
   }
 
-  /** The entry is being read after a conflict; it isn't written meanwhile. */
+  /** Records that the entry is being read after a conflict; it is not written until the answer. */
   void beginRead() {
     completionInFlight = true;
   }
 
-  /** The read of the entry is answered. */
+  /** Records that the read of the entry is answered. */
   void endRead(long now) {
     completionInFlight = false;
     lastCompletionWriteMs = now;
   }
 
-  /** Whether a change of the quota reservation is unanswered. */
+  /** Returns whether a change of the quota reservation is unanswered. */
   public boolean quotaInFlight() {
     return quotaInFlight;
   }
 
-  /** Whether nothing holds a change of the quota reservation back. */
+  /** Returns whether the quota reservation may be changed now. */
   public boolean mayWriteQuota(long now) {
     return !completionInFlight && !quotaInFlight && !outcomeUnknown && quotaRetry.isDue(now);
   }
 
-  /** A change of the quota reservation is being sent. */
+  /** Records that a change of the quota reservation is being sent. */
   public void beginQuotaWrite() {
     quotaInFlight = true;
   }
 
-  /** The change of the quota reservation could not be sent. */
+  /** Records that the change of the quota reservation could not be sent. */
   public void withdrawQuotaWrite() {
     quotaInFlight = false;
   }
 
-  /** The change of the quota reservation is answered. */
+  /** Records the result of the change of the quota reservation. */
   public void endQuotaWrite(long now, ResultCode code) {
     quotaInFlight = false;
-    // a rejection delays the team's next transaction, not this job's
+    // A rejection delays the next quota transaction of the team rather than of this job.
     if (code != ResultCode.REJECTED) {
       quotaRetry.recordResult(now, code);
     }
--- a/src/main/java/mallowstall/core/jobs/LeadershipRecovery.java
+++ b/src/main/java/mallowstall/core/jobs/LeadershipRecovery.java
@@ -12,8 +12,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Holds back the placement of claimed jobs until every machine that may have got a start of an
- * earlier leader epoch is accounted for by its leader's status updates. Not thread-safe.
+ * Holds back the placement of claimed jobs until the status updates of machine leaders cover every
+ * machine that may have received a start of an earlier leader epoch. Not thread-safe.
  */
 final class LeadershipRecovery {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.jobs");
@@ -31,16 +31,25 @@
     this.jobs = jobs;
   }
 
-  /** How far the status updates of all machines go; an update restates what hasn't changed. */
+  /**
+   * The point up to which status updates cover all machines. An update also covers the machines of
+   * its sender that it does not list, because these are unchanged.
+   *
+   * @param revision the lowest state replica revision of the latest updates; -1 if a machine is not
+   *     fully reported
+   * @param oldestUpdateOrdinal the ordinal of the oldest of these updates
+   * @param blockingMachine a machine with the lowest revision, or null if there are no machines
+   */
   private record Coverage(long revision, long oldestUpdateOrdinal, String blockingMachine) {
     boolean includes(LedJob ledJob) {
-      // guards against updates sent after the claim but received before this controller knew of it
+      // The second condition guards against updates that were sent after the claim but received
+      // before this controller applied the claimed entry.
       return revision >= ledJob.claimRevision()
           && oldestUpdateOrdinal > ledJob.statusUpdatesBeforeClaim();
     }
   }
 
-  /** Lets those claimed jobs be placed whose attempts are all known by now. */
+  /** Marks the claimed jobs whose attempts are all known as recovered, so that they are placed. */
   void completeRecoveries() {
     if (!anyRecovering()) {
       return;
--- a/src/main/java/mallowstall/core/jobs/LedJob.java
+++ b/src/main/java/mallowstall/core/jobs/LedJob.java
@@ -13,9 +13,9 @@
 import mallowstall.core.model.JobSpec;
 
 /**
- * A job led by this controller in one leader epoch: its entry, its completed tasks, its attempts
- * and what holds its next starts and writes back. Times are in ms of the steady clock. Mutable; not
- * thread-safe.
+ * A job that this controller leads in one leader epoch: its entry, its completed tasks, its
+ * attempts and the conditions that delay its next starts and writes. Times are in milliseconds of
+ * the steady clock. Mutable; not thread-safe.
  */
 public final class LedJob {
   private final String id;
@@ -36,39 +36,46 @@
   private final JobWrites writes = new JobWrites();
   private int requestedQuota;
 
-  /** Since when part of the quota reservation may be unused; 0: placement has just used it. */
+  /**
+   * The time since which part of the quota reservation may be unused, or 0 if no attempt has ended
+   * and the reservation has not grown since placement last used it.
+   */
   private long quotaIdleSinceMs;
 
   private long lastPreemptionMs;
 
-  /** When placement last started a task; 0: never. */
+  /** The time at which placement last started a task, or 0 if it never did. */
   private long lastStartMs;
 
-  /** When a task was last seen to run; 0: never. Starts that were rejected don't count. */
+  /** The time at which a task was last observed running, or 0. Rejected starts do not count. */
   private long lastRunningMs;
 
-  /** Since when jobs of other leaders come first; 0: they don't. */
+  /** The time since which jobs of other leaders have taken precedence, or 0 if they do not. */
   private long outrankedSinceMs;
 
   private long startNotBeforeMs;
   private final Map<String, Long> machineCooldownUntilMs = new HashMap<>();
   private final Set<String> machinesWithErrors = new HashSet<>();
 
-  /** Used for services only. */
+  /** The restarts of ended replicas; used for services only. */
   private final ReplicaRestarts restarts = new ReplicaRestarts();
 
-  /** Used for services only. */
+  /** The relocations in progress; used for services only. */
   private final ReplicaMoves relocations = new ReplicaMoves();
 
-  /** Of a service, whose wait for a zone must not hold up other jobs of its policy. */
+  /**
+   * The placement backoff of a service. A service has one of its own because its wait for a zone
+   * must not delay other jobs of its policy.
+   */
   private final Backoff backoff = new Backoff();
 
   /**
-   * A job in a new leader epoch; {@link #applyEntry} must follow.
+   * Creates a job in a new leader epoch. The caller must call {@link #applyEntry} next.
    *
    * @param claimRevision the revision at which this controller became leader
-   * @param statusUpdatesBeforeClaim how many status updates had been received when it learned of
-   *     that: those may have shown tasks of the job that were not looked at
+   * @param statusUpdatesBeforeClaim the number of status updates that had been received when this
+   *     controller found that it is the leader; they may have listed tasks of the job that this
+   *     controller ignored
    */
   LedJob(JobEntry entry, long claimRevision, long statusUpdatesBeforeClaim, long now) {
     this.id = entry.spec().id();
@@ -76,11 +83,11 @@
     this.claimRevision = claimRevision;
     this.statusUpdatesBeforeClaim = statusUpdatesBeforeClaim;
     this.leaderSinceMs = now;
-    // in the first epoch no earlier leader can have started anything
+    // In the first leader epoch, no earlier leader can have started a task.
     this.recovered = entry.epoch() == 1;
   }
 
-  /** Takes in the job's entry as of this revision, in the same leader epoch. */
+  /** Applies the job's entry as of this revision; the entry must be of the same leader epoch. */
   void applyEntry(JobEntry newEntry, long newModRevision, long now) {
     if (newModRevision > modRevision) {
       writes.resolveOutcome();
@@ -92,72 +99,72 @@
     modRevision = newModRevision;
   }
 
-  /** The job's id. */
+  /** Returns the id of the job. */
   public String id() {
     return id;
   }
 
-  /** What the job's user asked for. */
+  /** Returns the description that the user submitted. */
   public JobSpec spec() {
     return spec;
   }
 
-  /** The job's newest known entry. */
+  /** Returns the newest known entry of the job. */
   public JobEntry entry() {
     return entry;
   }
 
-  /** The revision at which {@link #entry} was written. */
+  /** Returns the revision at which {@link #entry} was written. */
   public long modRevision() {
     return modRevision;
   }
 
-  /** When this controller became the job's leader. */
+  /** Returns the time at which this controller began to lead the job. */
   public long leaderSinceMs() {
     return leaderSinceMs;
   }
 
-  /** The revision at which this controller became the job's leader. */
+  /** Returns the revision at which this controller became the job's leader. */
   long claimRevision() {
     return claimRevision;
   }
 
-  /** How many status updates had been received when this controller learned of its leadership. */
+  /** Returns the number of status updates received before this controller found that it leads. */
   long statusUpdatesBeforeClaim() {
     return statusUpdatesBeforeClaim;
   }
 
-  /** Whether all attempts of earlier leader epochs are known, so that tasks may be placed. */
+  /** Returns whether all attempts of earlier leader epochs are known, so tasks may be placed. */
   public boolean recovered() {
     return recovered;
   }
 
-  /** All attempts of earlier leader epochs are known. */
+  /** Records that all attempts of earlier leader epochs are known. */
   void markRecovered() {
     recovered = true;
   }
 
-  /** Whether the job is done or cancelled. */
+  /** Returns whether the job is done or cancelled. */
   public boolean finished() {
     return entry.isTerminal();
   }
 
-  /** Which tasks have completed. */
+  /** Returns the completed tasks. */
   CompletedTasks completed() {
     return completed;
   }
 
-  /** Number of completed tasks. */
+  /** Returns the number of completed tasks. */
   public int completedCount() {
     return completed.count();
   }
 
-  /** Tasks that could be started now. */
+  /** Returns the number of pending tasks, which could be started now. */
   public int pending() {
     return spec.tasks() - completed.count() - activeAttempts.size() - restarts.waitingCount();
   }
 
-  /** Number of tasks seen to run. */
+  /** Returns the number of tasks that are known to run. */
   int runningCount() {
     int count = 0;
     for (ActiveAttempt attempt : activeAttempts.values()) {
@@ -168,19 +175,20 @@
     return count;
   }
 
-  /** Whether the task could be started now. */
+  /** Returns whether the task could be started now. */
   public boolean isPending(int task) {
     return isUnplaced(task) && !restarts.isWaiting(task);
   }
 
-  /** Whether the task is neither completed nor possibly on a machine. */
+  /** Returns whether the task is neither completed nor possibly on a machine. */
   private boolean isUnplaced(int task) {
     return !completed.contains(task) && !activeAttempts.containsKey(task);
   }
 
   /**
-   * The next task that is neither completed nor possibly on a machine, of those that qualify; -1:
-   * none. The others keep their turn for a later call.
+   * Removes and returns the next queued task that is neither completed nor possibly on a machine
+   * and that qualifies, or returns -1 if there is none. Tasks that do not qualify stay queued for a
+   * later call.
    */
   public int pollTask(IntPredicate qualifies) {
     for (int queued = retryQueue.size(); queued > 0; queued--) {
@@ -206,34 +214,34 @@
     return -1;
   }
 
-  /** The task may be placed again. */
+  /** Queues the task to be placed again. */
   void requeue(int task) {
     retryQueue.enqueue(task);
   }
 
-  /** The task may be placed again if it isn't completed. */
+  /** Queues the task to be placed again unless it has completed. */
   void requeueUnlessCompleted(int task) {
     if (!completed.contains(task)) {
       requeue(task);
     }
   }
 
-  /** The number of the next attempt within the leader epoch; each is taken once. */
+  /** Returns the number of the next attempt within the leader epoch, a new one on each call. */
   public int takeAttemptNumber() {
     return ++attemptCounter;
   }
 
-  /** The attempts that are or may be on machines, by task, to be read only. */
+  /** Returns a live, read-only view of the attempts that are or may be on machines, by task. */
   public Int2ObjectOpenHashMap<ActiveAttempt> activeAttempts() {
     return activeAttempts;
   }
 
-  /** The attempt is or may be on a machine. */
+  /** Adds an attempt that is or may be on a machine. */
   void addAttempt(ActiveAttempt active) {
     activeAttempts.put(active.task(), active);
   }
 
-  /** The attempt is proven to be on no machine. */
+  /** Removes an attempt that is proven to be on no machine. */
   void removeAttempt(ActiveAttempt active, long now) {
     if (activeAttempts.get(active.task()) == active) {
       activeAttempts.remove(active.task());
@@ -243,22 +251,22 @@
     }
   }
 
-  /** Which writes of the job's entry are unanswered, in doubt or to be retried later. */
+  /** Returns the state of the writes of the job's entry. */
   public JobWrites writes() {
     return writes;
   }
 
-  /** Whether a write has an unknown outcome: see {@link JobWrites#outcomeUnknown}. */
+  /** Returns whether a write has an unknown outcome; see {@link JobWrites#outcomeUnknown}. */
   public boolean writeOutcomeUnknown() {
     return writes.outcomeUnknown();
   }
 
-  /** Whether a change of the quota reservation is unanswered. */
+  /** Returns whether a change of the quota reservation is unanswered. */
   public boolean quotaWriteInFlight() {
     return writes.quotaInFlight();
   }
 
-  /** The change of the quota reservation is answered. */
+  /** Records the result of the change of the quota reservation. */
   public void endQuotaWrite(long now, ResultCode code) {
     writes.endQuotaWrite(now, code);
     if (code == ResultCode.OK) {
@@ -266,62 +274,66 @@
     }
   }
 
-  /** Tasks that placement could have started with a larger quota reservation. */
+  /** Returns how many more tasks placement could have started with a larger quota reservation. */
   public int requestedQuota() {
     return requestedQuota;
   }
 
-  /** Placement could start so many tasks more with a larger quota reservation. */
+  /** Records that placement could start this many more tasks with a larger quota reservation. */
   public void requestQuota(int tasks) {
     requestedQuota = Math.max(requestedQuota, tasks);
   }
 
-  /** Placement has started tasks on the quota reservation. */
+  /** Records that placement has started tasks on the quota reservation. */
   public void recordQuotaUse() {
     quotaIdleSinceMs = 0;
   }
 
-  /** Whether part of the quota reservation has been unused for longer than this. */
+  /** Returns whether part of the quota reservation has been unused for longer than this time. */
   public boolean quotaIdleLongerThan(long durationMs, long now) {
     return quotaIdleSinceMs > 0 && now - quotaIdleSinceMs > durationMs;
   }
 
-  /** When the job last preempted others; 0: never. */
+  /** Returns the time at which the job last preempted other jobs, or 0 if it never did. */
   public long lastPreemptionMs() {
     return lastPreemptionMs;
   }
 
-  /** The job preempts others now. */
+  /** Records that the job preempts other jobs now. */
   public void recordPreemption(long now) {
     lastPreemptionMs = now;
   }
 
-  /** When placement last started a task of the job; 0: never. */
+  /** Returns the time at which placement last started a task of the job, or 0 if it never did. */
   public long lastStartMs() {
     return lastStartMs;
   }
 
-  /** Placement has started a task of the job. */
+  /** Records that placement has started a task of the job. */
   public void recordStart(long now) {
     lastStartMs = now;
   }
 
-  /** When a task of the job was last seen to run; 0: never. Rejected starts don't count. */
+  /** Returns the time a task was last observed running, or 0. Rejected starts do not count. */
   public long lastRunningMs() {
     return lastRunningMs;
   }
 
-  /** A task of the job is seen to run, or has completed. */
+  /** Records that a task of the job is running or has completed. */
   void recordRunning(long now) {
     lastRunningMs = now;
   }
 
-  /** Jobs of other leaders no longer come first. */
+  /** Records that jobs of other leaders no longer take precedence over this job. */
   public void clearOutranked() {
     outrankedSinceMs = 0;
   }
 
-  /** Jobs of other leaders come first now; returns for how long they have, in ms. */
+  /**
+   * Records that jobs of other leaders take precedence over this job.
+   *
+   * @return for how long they have done so without interruption, in milliseconds
+   */
   public long recordOutranked(long now) {
     if (outrankedSinceMs == 0) {
       outrankedSinceMs = now;
@@ -329,54 +341,54 @@
     return now - outrankedSinceMs;
   }
 
-  /** Before this time no task of the job is started. */
+  /** Returns the time before which no task of the job is started. */
   public long startNotBeforeMs() {
     return startNotBeforeMs;
   }
 
-  /** No task of the job is started before this time. */
+  /** Delays the start of all tasks of the job until this time. */
   void delayStartsUntil(long untilMs) {
     startNotBeforeMs = untilMs;
   }
 
-  /** Whether no task of the job is to be started on the machine for now. */
+  /** Returns whether the machine is on cooldown, so that no task of the job is started on it. */
   public boolean isOnCooldown(String machine, long now) {
     Long untilMs = machineCooldownUntilMs.get(machine);
     return untilMs != null && untilMs > now;
   }
 
-  /** No task of the job is started on the machine before this time. */
+  /** Puts the machine on cooldown for this job until this time. */
   void avoidMachineUntil(String machine, long untilMs) {
     machineCooldownUntilMs.put(machine, untilMs);
   }
 
-  /** A task has failed on the machine, which is avoided until this time. */
+  /** Records that a task has failed on the machine, and puts it on cooldown until this time. */
   void recordError(String machine, long avoidUntilMs) {
     machinesWithErrors.add(machine);
     avoidMachineUntil(machine, avoidUntilMs);
   }
 
-  /** Number of machines on which tasks have failed since one last succeeded. */
+  /** Returns the number of machines on which tasks have failed since {@link #clearErrors}. */
   int errorMachineCount() {
     return machinesWithErrors.size();
   }
 
-  /** A task has succeeded, so the job isn't at fault. */
+  /** Clears the machines with errors, since a success shows that the job itself is not faulty. */
   void clearErrors() {
     machinesWithErrors.clear();
   }
 
-  /** Of a service: which ended replicas wait before they start again. */
+  /** Returns, for a service, the ended replicas that must wait before they are started again. */
   ReplicaRestarts restarts() {
     return restarts;
   }
 
-  /** Of a service: which replicas are being moved, and where to. */
+  /** Returns, for a service, the replicas that are being relocated and their target machines. */
   public ReplicaMoves relocations() {
     return relocations;
   }
 
-  /** Of a service: the wait after a scheduling pass that found no machine for it. */
+  /** Returns, for a service, the backoff after a scheduling pass that found no machine for it. */
   public Backoff backoff() {
     return backoff;
   }
--- a/src/main/java/mallowstall/core/jobs/LedJobs.java
+++ b/src/main/java/mallowstall/core/jobs/LedJobs.java
@@ -12,12 +12,12 @@
 final class LedJobs {
   private final Map<String, LedJob> jobs = new LinkedHashMap<>();
 
-  /** The led jobs in the order in which this controller became their leader; a live view. */
+  /** Returns a live view of the led jobs, in the order in which this controller became leader. */
   Collection<LedJob> all() {
     return jobs.values();
   }
 
-  /** The led job of this id; null if this controller doesn't lead it. */
+  /** Returns the led job with this id, or null if this controller does not lead it. */
   LedJob get(String id) {
     return jobs.get(id);
   }
@@ -30,19 +30,22 @@
     jobs.remove(ledJob.id());
   }
 
-  /** Whether the job is led here and its attempts are known, so that its tasks may be placed. */
+  /** Returns whether this controller leads the job and has recovered it, so it may place tasks. */
   boolean mayPlace(String id) {
     LedJob ledJob = jobs.get(id);
     return ledJob != null && ledJob.recovered();
   }
 
-  /** Whether the job is led here and fails on so many machines that it is at fault itself. */
+  /**
+   * Returns whether this controller leads the job and its tasks have failed on at least {@link
+   * Constants#JOB_FAULT_MACHINES} machines, so that the job itself is considered faulty.
+   */
   boolean atFault(String id) {
     LedJob ledJob = jobs.get(id);
     return ledJob != null && ledJob.errorMachineCount() >= Constants.JOB_FAULT_MACHINES;
   }
 
-  /** Processors that the pending tasks of all led jobs need. */
+  /** Returns the number of processors that the pending tasks of all led jobs need. */
   double pendingCpus() {
     double pending = 0;
     for (LedJob ledJob : jobs.values()) {
@@ -53,7 +56,7 @@
     return pending;
   }
 
-  /** Whether some led job is a service. */
+  /** Returns whether any led job is a service. */
   boolean anyService() {
     for (LedJob ledJob : jobs.values()) {
       if (ledJob.spec().isService()) {
--- a/src/main/java/mallowstall/core/jobs/ReplicaMoves.java
+++ b/src/main/java/mallowstall/core/jobs/ReplicaMoves.java
@@ -6,50 +6,50 @@
 import mallowstall.Constants;
 
 /**
- * The replicas of one service that are being moved off departing machines: where to, for as long as
- * capacity is reserved for them there. Times are in ms of the steady clock. Mutable; not
- * thread-safe.
+ * The replicas of one service that are being relocated from departing machines. A relocation is
+ * kept here as long as capacity is reserved on the target machine. Times are in milliseconds of the
+ * steady clock. Mutable; not thread-safe.
  */
 public final class ReplicaMoves {
-  /** Where a replica goes, and until when capacity is reserved for it. */
+  /** The target machine of a relocation, and the time until which capacity is reserved there. */
   private record Move(String target, long untilMs) {}
 
   private final Int2ObjectOpenHashMap<Move> moves = new Int2ObjectOpenHashMap<>();
 
-  /** The replica is being moved to the target machine from this time on. */
+  /** Records that the relocation of the replica to the target machine begins at this time. */
   public void begin(int replica, String target, long now) {
     moves.put(replica, new Move(target, now + Constants.RELOCATION_RESERVATION_MS));
   }
 
-  /** Whether the replica is being moved. */
+  /** Returns whether the replica is being relocated. */
   public boolean inProgress(int replica) {
     return moves.containsKey(replica);
   }
 
-  /** The machine chosen for the replica; null: it isn't being moved. */
+  /** Returns the target machine of the replica, or null if the replica is not being relocated. */
   public String target(int replica) {
     Move move = moves.get(replica);
     return move == null ? null : move.target();
   }
 
-  /** The move is over, whether the replica was started or not. */
+  /** Records that the relocation has ended, whether or not the replica was started. */
   public void end(int replica) {
     moves.remove(replica);
   }
 
-  /** Gives up moves that have taken too long by this time. */
+  /** Removes the relocations whose reservation has expired by this time. */
   public void expire(long now) {
     if (!moves.isEmpty()) {
       moves.values().removeIf(move -> move.untilMs() <= now);
     }
   }
 
-  /** A copy of the replicas that are being moved. */
+  /** Returns a copy of the numbers of the replicas that are being relocated. */
   public int[] replicas() {
     return moves.keySet().toIntArray();
   }
 
-  /** For how many replicas capacity is reserved, by target machine. */
+  /** Returns the number of replicas for which capacity is reserved, by target machine. */
   public Map<String, Integer> replicasByTarget() {
     Map<String, Integer> counts = new HashMap<>();
     for (Move move : moves.values()) {
--- a/src/main/java/mallowstall/core/jobs/ReplicaRestarts.java
+++ b/src/main/java/mallowstall/core/jobs/ReplicaRestarts.java
@@ -7,12 +7,16 @@
 import mallowstall.core.kernel.Backoff;
 
 /**
- * When the exited replicas of one service may start again. The first exit of a replica is followed
- * by a start at once; one that exits again and again backs off, since a worker keeps the result of
- * a completed task and ends it as soon as it is started. Mutable; not thread-safe.
+ * Decides when the exited replicas of one service may be started again. After its first early exit,
+ * a replica may be started at once; after each further one, it backs off. The backoff limits the
+ * starts of a replica whose worker keeps the result of a completed task and therefore ends each new
+ * start at once. Mutable; not thread-safe.
  */
 public final class ReplicaRestarts {
-  /** ms. A replica that ran for so long before it ended is started again at once. */
+  /**
+   * Time in milliseconds that a replica must have run before its exit so that it may be started
+   * again at once.
+   */
   static final long REPLICA_STABLE_MS = 10_000;
 
   /** The backoff of one replica that has exited early. Mutable. */
@@ -24,23 +28,25 @@
   private final Int2ObjectOpenHashMap<Delay> delays = new Int2ObjectOpenHashMap<>();
   private int waitingCount;
 
-  /** Number of replicas that must not be started yet. */
+  /** Returns the number of replicas that must not be started yet. */
   public int waitingCount() {
     return waitingCount;
   }
 
-  /** Whether the replica must not be started yet. */
+  /** Returns whether the replica must not be started yet. */
   boolean isWaiting(int replica) {
     Delay delay = delays.get(replica);
     return delay != null && delay.waiting;
   }
 
   /**
-   * A replica has exited.
+   * Records the exit of a replica.
    *
-   * @param ranMs for how long it had run; 0 if it wasn't seen to run
-   * @param now ms of the steady clock
-   * @return whether it may be started again at once; else {@link #releaseDue} releases it later
+   * @param ranMs the time in milliseconds for which the replica ran, or 0 if it was not observed
+   *     running
+   * @param now the time of the steady clock in milliseconds
+   * @return whether the replica may be started again at once; if not, {@link #releaseDue} releases
+   *     it later
    */
   public boolean recordExit(int replica, long ranMs, long now) {
     if (ranMs >= REPLICA_STABLE_MS) {
@@ -60,7 +66,11 @@
     return false;
   }
 
-  /** Passes each replica whose wait is over by this time, in ms of the steady clock, once. */
+  /**
+   * Releases the replicas whose backoff has ended, and passes each of them to {@code startable}.
+   *
+   * @param now the time of the steady clock in milliseconds
+   */
   public void releaseDue(long now, IntConsumer startable) {
     if (waitingCount == 0) {
       return;
--- a/src/main/java/mallowstall/core/jobs/StatusReconciliation.java
+++ b/src/main/java/mallowstall/core/jobs/StatusReconciliation.java
@@ -20,13 +20,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Squares the status updates of machine leaders with the attempts that this controller tracks:
- * finds attempts, sees them run and end, and proves that a start never arrived. Not thread-safe.
+ * Reconciles the status updates of machine leaders with the attempts that this controller tracks.
+ * It discovers attempts, records that they run or have ended, and detects starts that are proven
+ * never to have arrived. Not thread-safe.
  */
 final class StatusReconciliation {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.jobs");
 
-  /** ms. Added to a start's expiry for clock skew and the machine leader's own delay. */
+  /**
+   * Margin in milliseconds added to the expiry of a start for clock skew and for the delay of the
+   * machine leader.
+   */
   private static final long START_EXPIRY_MARGIN_MS = 1_000;
 
   private final EventClock clock;
@@ -54,7 +58,7 @@
     this.exits = exits;
   }
 
-  /** Takes in a status update that the cluster view has already taken in. */
+  /** Applies a status update that has already been applied to the cluster view. */
   void applyStatusUpdate(StatusUpdate update) {
     for (StartRejection rejection : update.rejections()) {
       LedJob ledJob = jobs.get(rejection.job());
@@ -71,15 +75,20 @@
     releaseUndeliveredStarts(update);
   }
 
-  /** Whether the view took in this very status; any other there is of a higher fencing token. */
+  /**
+   * Returns whether the cluster view holds this status object. If not, the view has kept a status
+   * with a higher fencing token.
+   */
   @SuppressWarnings("ReferenceEquality")
   private static boolean isCurrentStatus(MachineView machine, MachineStatus status) {
     return machine.status() == status;
   }
 
   /**
-   * Ends the attempts whose start is proven not to have arrived. An acknowledgement of the start
-   * proves it, and comes without a new status of the machine.
+   * Releases the attempts whose start is proven not to have arrived. One proof is that the machine
+   * leader has acknowledged the start while the status of the machine does not list the attempt.
+   * The acknowledgement may arrive in an update without a new status of the machine, so this checks
+   * all unobserved starts.
    */
   private void releaseUndeliveredStarts(StatusUpdate update) {
     PeerState peer = view.peer(update.node());
@@ -110,7 +119,7 @@
       return;
     }
     for (ActiveAttempt active : new ArrayList<>(onMachine)) {
-      // a later worker session has no task of an earlier one, whoever leads the machine
+      // No task survives into a later worker session, whichever controller leads the machine.
       boolean reported = status.tokenAcknowledged() || status.session() > active.workerSession();
       if (!active.inLatestStatus() && active.observedOnMachine() && reported) {
         attempts.releaseUnreported(active);
@@ -118,12 +127,15 @@
     }
   }
 
-  /** Whether the machine leader's status already includes the outcome of a start sent to it. */
+  /**
+   * Returns whether the status of the machine already includes the outcome of the start, so that an
+   * attempt that the status does not list is on no machine.
+   */
   private boolean startOutcomeKnown(ActiveAttempt active, StatusUpdate update, PeerState sender) {
     PeerState peer = sender;
     if (!active.machineLeader().equals(update.node())) {
-      // The machine has a new leader, but the start may still be on its way to the former one,
-      // which may lead the machine again by the time it arrives.
+      // The machine has a new leader, but the start may still be in flight to the former leader,
+      // which may lead the machine again when the start arrives.
       peer = view.peer(active.machineLeader());
       if (clock.now() - active.placedAtMs() > Constants.START_EXPIRY_MS + START_EXPIRY_MARGIN_MS) {
         return true;
@@ -138,13 +150,14 @@
   }
 
   /**
-   * Takes in where the job's tasks are by the status updates received so far. Later updates are
-   * incremental: a task overlooked here would be placed a second time.
+   * Applies the task statuses of the job that the cluster view already holds. Later updates are
+   * incremental and need not list those tasks again, so a task overlooked here would be placed a
+   * second time.
    */
   void applyKnownTaskStatuses(String job) {
     for (MachineView machine : view.machines()) {
       if (machine.status() == null || machine.leader() == null) {
-        continue; // its next leader sends a full update
+        continue; // The machine's next leader sends a full update.
       }
       for (TaskStatus taskStatus : machine.status().tasks()) {
         if (taskStatus.job().equals(job)) {
@@ -155,7 +168,7 @@
     }
   }
 
-  /** Takes in the status of one task, whose job may be led here. */
+  /** Applies the status of one task; does nothing if this controller does not lead the job. */
   private void applyTaskStatus(
       String machineLeader, long incarnation, MachineStatus status, TaskStatus taskStatus) {
     LedJob ledJob = jobs.get(taskStatus.job());
@@ -178,12 +191,12 @@
     } else if (sameAttempt) {
       attempts.recordObservation(active, status, taskStatus);
     } else if (!ledJob.completed().contains(taskStatus.task())) {
-      // a completed task is stopped by its machine leader once the bit is recorded
+      // A completed task needs no handling: its machine leader stops it once the bit is recorded.
       resolveAttemptConflict(ledJob, active, machineLeader, incarnation, status, taskStatus);
     }
   }
 
-  /** A task is on a machine in another attempt than the tracked one, or none is tracked. */
+  /** Handles the status of an untracked attempt; {@code active} is the tracked one or null. */
   private void resolveAttemptConflict(
       LedJob ledJob,
       ActiveAttempt active,
@@ -194,13 +207,15 @@
     if (active == null) {
       trackDiscoveredAttempt(ledJob, machineLeader, incarnation, status, taskStatus);
     } else if (taskStatus.attempt() > active.attempt()) {
-      // both are on machines: the task isn't free before the later one has ended too
+      // Both attempts are on machines. Only the later one is tracked from here on, and the task
+      // must not be placed again before that attempt has ended too.
       attempts.release(active, false);
       applyTaskStatus(machineLeader, incarnation, status, taskStatus);
     } else if (taskStatus.attempt() < active.attempt()
         && status.tokenAcknowledged()
         && store.isSessionValid()) {
-      // without a session the view may be outdated: the machine may have been scaled in since
+      // Without a valid session the cluster view may be stale: the machine may have been scaled in
+      // since.
       LOG.error(
           "task on two machines job={} task={} attempt={} machine={} other_attempt={}"
               + " other_machine={}",
--- a/src/main/java/mallowstall/core/jobs/TaskExitHandler.java
+++ b/src/main/java/mallowstall/core/jobs/TaskExitHandler.java
@@ -9,25 +9,31 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What follows from the end of a task or the rejection of a start: the task is completed, or runs
- * again, after a cooldown of the machine, of the replica or of the whole job. Not thread-safe.
+ * Handles the exit of a task and the rejection of a start. The task has completed, or it is placed
+ * again after a cooldown of the machine, of the replica or of the whole job. Not thread-safe.
  */
 final class TaskExitHandler {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.jobs");
 
-  /** ms. A job gets no task on a machine for so long after an error there. */
+  /** Cooldown in milliseconds of a machine for a job after a task of the job failed on it. */
   private static final long JOB_MACHINE_COOLDOWN_MS = 15_000;
 
-  /** ms. Between tries of a job that fails everywhere. */
+  /** Delay in milliseconds before the next start of a job that fails on every machine. */
   private static final long JOB_FAULT_RETRY_INTERVAL_MS = 10_000;
 
-  /** ms. A machine whose leader rejected a start isn't tried again for that job for so long. */
+  /** Cooldown in milliseconds of a machine for a job after its leader rejected a start. */
   private static final long START_REJECTED_COOLDOWN_MS = 1_000;
 
-  /** ms. The same if the leader's state replica only lagged: about as long as a watch takes. */
-  private static final long REPLICA_LAG_COOLDOWN_MS = 150;
+  /**
+   * Cooldown in milliseconds of a machine for a job after its leader rejected a start only because
+   * the leader's state replica lagged. It is about the time that a watch takes.
+   */
+  private static final long STATE_REPLICA_LAG_COOLDOWN_MS = 150;
 
-  /** ms. A machine whose worker had no free capacity isn't tried again for that job for so long. */
+  /**
+   * Cooldown in milliseconds of a machine for a job after its worker had no free capacity for a
+   * task of the job.
+   */
   private static final long INSUFFICIENT_CAPACITY_COOLDOWN_MS = 3_000;
 
   private final EventClock clock;
@@ -39,9 +45,9 @@
   }
 
   /**
-   * Takes in the end of a task.
+   * Handles the exit of a task.
    *
-   * @param active the tracked attempt if it is the one that has ended, else null
+   * @param active the tracked attempt if it is the one that has exited, otherwise null
    */
   void handleExit(LedJob ledJob, ActiveAttempt active, String machine, TaskStatus taskStatus) {
     if (ledJob.spec().isService()) {
@@ -62,24 +68,28 @@
     }
   }
 
-  /** A machine leader has answered that it never passed this start on and never will. */
+  /** Handles a rejection: the machine leader never sent the start to the worker and never will. */
   void handleRejection(LedJob ledJob, StartRejection rejection) {
     ActiveAttempt active = ledJob.activeAttempts().get(rejection.task());
     if (active == null || active.attempt() != rejection.attempt() || active.observedOnMachine()) {
       return;
     }
-    boolean replicaLags = rejection.reason().equals(StartRejection.JOB_NOT_KNOWN);
-    if (replicaLags && ledJob.spec().isService()) {
-      // guards spreading: until the lag ends, the one leader that knows the job would get them all
+    boolean stateReplicaLags = rejection.reason().equals(StartRejection.JOB_NOT_KNOWN);
+    if (stateReplicaLags && ledJob.spec().isService()) {
+      // Guards against placing all replicas on the machines of one leader: until the lag ends, only
+      // a machine leader whose state replica already has the job accepts its starts.
       ledJob.delayStartsUntil(
-          Math.max(ledJob.startNotBeforeMs(), clock.now() + REPLICA_LAG_COOLDOWN_MS));
+          Math.max(ledJob.startNotBeforeMs(), clock.now() + STATE_REPLICA_LAG_COOLDOWN_MS));
     }
-    long cooldownMs = replicaLags ? REPLICA_LAG_COOLDOWN_MS : START_REJECTED_COOLDOWN_MS;
+    long cooldownMs = stateReplicaLags ? STATE_REPLICA_LAG_COOLDOWN_MS : START_REJECTED_COOLDOWN_MS;
     ledJob.avoidMachineUntil(rejection.machine(), clock.now() + cooldownMs);
     attempts.release(active, true);
   }
 
-  /** A task has ended and must run again: remembers where it shouldn't be tried. */
+  /**
+   * Logs the end of an attempt whose task must run again, and puts its machine on cooldown if the
+   * reason calls for it.
+   */
   private void recordFailure(ActiveAttempt active, ExitReason reason) {
     if (reason == ExitReason.ERROR) {
       recordError(active.job(), active.machine());
@@ -97,16 +107,20 @@
         reason);
   }
 
-  /** A replica runs again until its job is cancelled, whatever the reason of its exit. */
+  /**
+   * Handles the exit of a replica. It is started again, whatever the exit reason, until its job is
+   * cancelled.
+   */
   private void handleReplicaExit(ActiveAttempt active, String machine, ExitReason reason) {
     LedJob ledJob = active.job();
     long ranMs = active.ranMs(clock.now());
-    // errors of long ago, each on another machine, don't make it the job's own fault
+    // Old errors, each on another machine, must not add up to a fault of the job itself.
     if (ranMs >= ReplicaRestarts.REPLICA_STABLE_MS) {
       ledJob.clearErrors();
     }
     recordFailure(active, reason);
-    // the worker keeps the result; the cooldown outlasts the backoff, so it is tried elsewhere
+    // The worker keeps the result of the task and would end each new start at once. The cooldown
+    // is longer than the backoff, so that the replica is started on another machine.
     if (reason == ExitReason.DONE) {
       ledJob.avoidMachineUntil(machine, clock.now() + JOB_MACHINE_COOLDOWN_MS);
     }
@@ -122,7 +136,7 @@
   private void recordError(LedJob ledJob, String machine) {
     long now = clock.now();
     ledJob.recordError(machine, now + JOB_MACHINE_COOLDOWN_MS);
-    // replicas back off one by one: the others may be well
+    // Each replica of a service backs off on its own, because the others may be healthy.
     if (ledJob.errorMachineCount() >= Constants.JOB_FAULT_MACHINES && !ledJob.spec().isService()) {
       ledJob.delayStartsUntil(now + JOB_FAULT_RETRY_INTERVAL_MS);
       LOG.info(
