--- a/src/main/java/mallowstall/core/placement/PreemptingPlacer.java
+++ b/src/main/java/mallowstall/core/placement/PreemptingPlacer.java
@@ -5,21 +5,24 @@
 import mallowstall.core.jobs.LedJob;
 import mallowstall.core.model.JobSpec;
 
-/** Starts a job's tasks in the place of others where it found no free capacity. */
+/** Preempts tasks of other jobs to start tasks of a job that found no free capacity. */
 public final class PreemptingPlacer {
-  /** Count. Most tasks of one job started in the place of preempted work in one pass. */
+  /** Maximum number of tasks of one job started in place of preempted tasks in one pass. */
   private static final int PREEMPTIONS_PER_PASS_MAX = 32;
 
   private final Preemption preemption;
   private final StartSender startSender;
 
-  /** Victims are named in the start request; the machine's leader stops them. */
+  /** Creates a placer whose start requests name the victims that the machine leader stops. */
   public PreemptingPlacer(Preemption preemption, StartSender startSender) {
     this.preemption = preemption;
     this.startSender = startSender;
   }
 
-  /** Starts tasks in the place of others if the job may preempt them and has waited in vain. */
+  /**
+   * Preempts tasks and starts pending tasks of the job in their place, if the job may preempt now.
+   * Requests quota instead if the job's quota reservation covers no further task.
+   */
   void place(JobPlacement placement, long now) {
     LedJob ledJob = placement.ledJob();
     if (!preemption.mayPreempt(ledJob, now)) {
@@ -42,13 +45,16 @@
     }
   }
 
-  /** Starts at most so many tasks in the place of the candidate's victims; returns how many. */
+  /**
+   * Starts at most {@code maxStarts} tasks on the candidate's machine in place of its victims.
+   * Returns the number of tasks started.
+   */
   private int startOn(
       Preemption.PreemptionCandidate candidate, JobPlacement placement, int maxStarts, long now) {
     JobSpec spec = placement.spec();
     MachineView machine = candidate.machine();
     String zone = machine.status().zone();
-    // with no free capacity anywhere the first start chooses the zone of a single-zone job
+    // chosenZone is null if no zone has free capacity; then the first start determines the zone
     if (spec.singleZone()
         && placement.chosenZone() != null
         && !zone.equals(placement.chosenZone())) {
--- a/src/main/java/mallowstall/core/placement/Preemption.java
+++ b/src/main/java/mallowstall/core/placement/Preemption.java
@@ -20,30 +20,34 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Finds tasks that a job may preempt: lower ones for urgent jobs, and for jobs covered by their
- * team's guaranteed share those of other teams that aren't.
+ * Finds tasks that a job may preempt. An urgent job may preempt tasks of lower priority. A job
+ * covered by its team's guaranteed share may preempt tasks of other teams' jobs that are not
+ * covered. {@link PreemptionOrder} decides between two jobs.
  */
 public final class Preemption {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.placement");
 
   /**
-   * ms. A job within its team's guaranteed share may preempt what other teams borrow after this
-   * time.
+   * Time after which a job covered by its team's guaranteed share may preempt tasks of other teams,
+   * in milliseconds since this controller became the job's leader.
    */
   private static final long GUARANTEE_PREEMPTION_DELAY_MS = 6_000;
 
-  /** ms. Least time between two preemptions for one job. */
+  /**
+   * Minimum time between two preemptions for one job, in milliseconds. A victim is not selected
+   * again within this time.
+   */
   private static final long PREEMPTION_INTERVAL_MIN_MS = 3_000;
 
   /**
-   * s. Work that counts as lost when a replica is preempted: more than any task's run time, since a
-   * service is in use at every moment.
+   * Work that counts as lost when a replica is preempted, in seconds. It exceeds the run time of
+   * any task, because a service is always in use.
    */
   private static final double REPLICA_PREEMPTION_COST_S = 100_000;
 
-  /** A machine, the tasks to be preempted there, and the seconds of work that this costs. */
+  /** A machine, its tasks to preempt, and the image fetch time plus the lost work in seconds. */
   record PreemptionCandidate(MachineView machine, List<TaskStatus> victims, double costS) {
-    /** The attempts that a start request names as victims. */
+    /** Returns the attempts that a start request names as victims. */
     List<TaskAttempt> victimAttempts() {
       return victims.stream().map(TaskAttempt::of).toList();
     }
@@ -57,7 +61,12 @@
   private final PolicyFacts policyFacts;
   private final PreemptionOrder order;
 
-  /** Guaranteed shares say who is owed capacity; the policy's facts say where it would be used. */
+  /**
+   * Creates a finder of victims.
+   *
+   * @param guaranteedShares determines which jobs may claim capacity from other teams
+   * @param policyFacts determines which machines the job's policy accepts
+   */
   public Preemption(
       StateStore store,
       ClusterView view,
@@ -74,9 +83,9 @@
     this.order = new PreemptionOrder(guaranteedShares);
   }
 
-  /** Whether the job may preempt others, and has waited long enough for it. */
+  /** Returns whether the job may preempt others and has waited long enough to do so now. */
   boolean mayPreempt(LedJob ledJob, long now) {
-    return (isUrgent(ledJob) || isOwedGuaranteedShare(ledJob, now))
+    return (isUrgent(ledJob) || mayClaimGuaranteedShare(ledJob, now))
         && now - ledJob.leaderSinceMs() >= Constants.PREEMPTION_DELAY_MS
         && now - ledJob.lastPreemptionMs() >= PREEMPTION_INTERVAL_MIN_MS;
   }
@@ -85,14 +94,15 @@
     return ledJob.spec().priority().isUrgent();
   }
 
-  private boolean isOwedGuaranteedShare(LedJob ledJob, long now) {
+  private boolean mayClaimGuaranteedShare(LedJob ledJob, long now) {
     return guaranteedShares.includes(ledJob.id())
         && now - ledJob.leaderSinceMs() > GUARANTEE_PREEMPTION_DELAY_MS;
   }
 
   /**
-   * Machines that a block of the job's policy accepts and where preempting lower tasks makes room,
-   * the least loss first. Capacity freed on a machine that the policy rejects would go unused.
+   * Returns the machines where preemption makes room for a task of the job, in ascending order of
+   * cost. A machine is left out unless a block of the job's policy accepts it, because capacity
+   * freed on a rejected machine would stay unused.
    */
   List<PreemptionCandidate> findCandidates(
       LedJob ledJob, Policy policy, String chosenZone, long now) {
@@ -125,7 +135,10 @@
     return candidates;
   }
 
-  /** Counts the capacity of the victims as free until they have stopped. */
+  /**
+   * Counts the victims' capacity on the machine as free until reservations are next recomputed, and
+   * records that the victims are being preempted.
+   */
   void releaseVictimCapacity(LedJob preemptor, PreemptionCandidate candidate, long now) {
     MachineView machine = candidate.machine;
     for (TaskStatus victim : candidate.victims) {
@@ -150,11 +163,14 @@
         victim.task(),
         victimSpec.priority(),
         machine.id(),
-        order.ground(spec, isOwedGuaranteedShare(preemptor, now), victimSpec).orElse(null),
+        order.ground(spec, mayClaimGuaranteedShare(preemptor, now), victimSpec).orElse(null),
         machine.freeCpus());
   }
 
-  /** The fewest lower tasks on the machine that make room for one of the job; empty: none do. */
+  /**
+   * Returns as many preemptible tasks, those with the least lost work first, as make room for one
+   * task of the job. Returns an empty list if all of them together make too little room.
+   */
   private List<TaskStatus> selectVictims(LedJob ledJob, MachineView machine, long now) {
     List<TaskStatus> preemptible = preemptibleTasks(ledJob, machine, now);
     preemptible.sort(Comparator.comparingDouble(this::lostWorkS));
@@ -173,9 +189,9 @@
     return List.of();
   }
 
-  /** Tasks on the machine that the job may preempt. */
+  /** Returns the tasks on the machine that the job may preempt. */
   private List<TaskStatus> preemptibleTasks(LedJob ledJob, MachineView machine, long now) {
-    boolean owedShare = isOwedGuaranteedShare(ledJob, now);
+    boolean claimsShare = mayClaimGuaranteedShare(ledJob, now);
     machine.forgetPreemptions(now);
     List<TaskStatus> preemptible = new ArrayList<>();
     for (TaskStatus task : machine.status().tasks()) {
@@ -188,20 +204,26 @@
       if (machine.isPreempted(TaskAttempt.of(task)) || isProtected(job)) {
         continue;
       }
-      if (order.ground(ledJob.spec(), owedShare, job.spec()).isPresent()) {
+      if (order.ground(ledJob.spec(), claimsShare, job.spec()).isPresent()) {
         preemptible.add(task);
       }
     }
     return preemptible;
   }
 
-  /** A job that has just begun after starving keeps its few tasks, or it would starve again. */
+  /**
+   * Returns whether the job was submitted longer ago than the starvation time and has only the few
+   * tasks placed that a starving job gets first. The job would starve again without these tasks.
+   */
   private boolean isProtected(JobEntry job) {
     return ranking.mayStarve(job)
         && view.placedTasks(job.spec().id()) <= job.spec().starvationTasks();
   }
 
-  /** Estimated work lost when the task is stopped, in s; little while it fetches its image. */
+  /**
+   * Returns the estimated work lost when the task is stopped, in seconds. The loss counts as 1
+   * second while the task fetches its image.
+   */
   private double lostWorkS(TaskStatus task) {
     if (task.state() == TaskState.FETCHING) {
       return 1;
--- a/src/main/java/mallowstall/core/placement/PreemptionOrder.java
+++ b/src/main/java/mallowstall/core/placement/PreemptionOrder.java
@@ -5,30 +5,33 @@
 import mallowstall.core.quota.GuaranteedShares;
 
 /**
- * Which job may preempt tasks of which other. A strict partial order, by guaranteed share first and
- * by priority second: as long as the open jobs stay the same, whoever was preempted can't take the
- * place back from its preemptor, nor can any chain of others.
+ * Decides which job may preempt tasks of which other job. The relation is a strict partial order,
+ * by guaranteed share first and by priority second. As long as the set of open jobs does not
+ * change, a preempted job therefore cannot preempt its preemptor, neither directly nor through a
+ * chain of other jobs.
  */
 final class PreemptionOrder {
-  /** Why a job may preempt another. */
+  /** The ground on which a job may preempt another. */
   enum Ground {
-    /** Its priority is higher. */
+    /** The preemptor has the higher priority. */
     PRIORITY,
-    /** Its team's guarantee covers it, and that of the other's team doesn't cover the other. */
+    /**
+     * The preemptor is covered by its team's guaranteed share, but the other team's victim is not.
+     */
     GUARANTEED_SHARE
   }
 
   private final GuaranteedShares guaranteedShares;
 
-  /** The guaranteed shares say which jobs are covered. */
+  /** Creates an order that uses the given guaranteed shares to determine which jobs are covered. */
   PreemptionOrder(GuaranteedShares guaranteedShares) {
     this.guaranteedShares = guaranteedShares;
   }
 
   /**
-   * The ground on which a job may preempt another; empty: it may not.
+   * Returns the ground on which a job may preempt another, or empty if it may not.
    *
-   * @param claimsShare whether the preemptor may claim its team's guarantee by now
+   * @param claimsShare whether the preemptor may already claim its team's guaranteed share
    */
   Optional<Ground> ground(JobSpec preemptor, boolean claimsShare, JobSpec victim) {
     boolean preemptorCovered = guaranteedShares.includes(preemptor.id());
@@ -41,8 +44,10 @@
     }
     boolean higherPriority =
         preemptor.priority().isUrgent() && victim.priority().compareTo(preemptor.priority()) < 0;
-    // what its team's guarantee covers would only take the place back from a job that isn't covered
-    boolean mayKeepThePlace = preemptorCovered || !victimCovered;
-    return higherPriority && mayKeepThePlace ? Optional.of(Ground.PRIORITY) : Optional.empty();
+    // a covered victim could preempt an uncovered preemptor in return, by its guaranteed share
+    boolean victimCannotPreemptBack = preemptorCovered || !victimCovered;
+    return higherPriority && victimCannotPreemptBack
+        ? Optional.of(Ground.PRIORITY)
+        : Optional.empty();
   }
 }
--- a/src/main/java/mallowstall/core/placement/QueuedWork.java
+++ b/src/main/java/mallowstall/core/placement/QueuedWork.java
@@ -21,23 +21,28 @@
 import mallowstall.core.model.MachineType;
 
 /**
- * The tasks of all open jobs that wait for a machine, whoever leads them: by image, for the
- * policies, and by rank, so that free capacity is left to those that come first. Mutable.
+ * Counts the waiting tasks of all open jobs, whichever controller leads them. The counts by image
+ * are facts for the policies. The counts by rank determine when a job leaves free capacity to jobs
+ * of other controllers that come first. Mutable.
  */
 public final class QueuedWork {
   /**
-   * ms. Free capacity is left to starving jobs for so long, and again after three times as long.
+   * Time for which free capacity is left to a starving job of another controller, in milliseconds.
+   * The capacity is left to the job again after three times as long.
    */
   private static final long STARVATION_YIELD_MS = 8_000;
 
-  /** ms. A job leaves free capacity for so long to other controllers' jobs that rank before it. */
+  /**
+   * Maximum time for which a job leaves free capacity to jobs of other controllers that rank before
+   * it, in milliseconds.
+   */
   private static final long OUTRANKED_YIELD_MS = 2_500;
 
-  /** Waiting work of one job, as far as it matters to others. */
+  /** The waiting tasks of one job: rank, smallest type that holds one, leader, processors. */
   private record QueuedJob(
       String jobId, int rank, String minimalType, String leader, double cpus) {}
 
-  /** A batch job of which nothing is on a machine, long after it was submitted. */
+  /** A batch job without a placed task, longer after its submission than the starvation time. */
   record StarvingJob(JobEntry entry, String minimalType) {}
 
   private final EventClock clock;
@@ -49,22 +54,25 @@
   private final StateStore store;
   private final JobRanking ranking;
 
-  /** Starving jobs, whoever leads them, and since when that is known here. */
+  /**
+   * Time since which this controller has counted a job as starving, in milliseconds, by job id.
+   * Includes jobs that other controllers lead.
+   */
   private final Map<String, Long> starvingSinceMs = new HashMap<>();
 
   private final List<QueuedJob> queuedJobs = new ArrayList<>();
 
   private final List<StarvingJob> starvingJobs = new ArrayList<>();
 
-  /** Seconds of work that wait, by image. */
+  /** Estimated run time of all waiting tasks, in seconds, by image. */
   private final Object2DoubleOpenHashMap<String> queuedSecondsByImage =
       new Object2DoubleOpenHashMap<>();
 
-  /** Tasks that machines with the image can run at a time, by image. */
+  /** Number of tasks that the machines with the image can run at a time, by image. */
   private final Object2DoubleOpenHashMap<String> warmSlotsByImage =
       new Object2DoubleOpenHashMap<>();
 
-  /** Nothing waits until it is counted first. */
+  /** Creates counts that are empty until the first {@link #recompute}. */
   public QueuedWork(
       EventClock clock,
       CoreSettings settings,
@@ -84,13 +92,19 @@
     this.ranking = ranking;
   }
 
-  /** Seconds in which the machines that have the image could serve all tasks that wait for it. */
+  /**
+   * Returns the time in seconds that the machines with the image need to run all tasks that wait
+   * for it, or {@code NEVER_S} if no machine has the image.
+   */
   double drainS(String image) {
     double slots = warmSlotsByImage.getDouble(image);
     return slots <= 0 ? Policy.Facts.NEVER_S : queuedSecondsByImage.getDouble(image) / slots;
   }
 
-  /** The longest such time of the other images among these, if any of them is on a machine. */
+  /**
+   * Returns the longest time in seconds that the machines with one of the other images need to run
+   * all tasks that wait for that image, or 0 if no machine has any of the other images.
+   */
   double maxOtherDrainS(String image, Collection<String> others) {
     double longestS = 0;
     for (String other : others) {
@@ -102,14 +116,15 @@
     return longestS;
   }
 
-  /** One more machine will have the image. */
+  /** Adds the task slots of a machine that is about to fetch the job's image. */
   void addWarmMachine(MachineView machine, JobSpec spec) {
     warmSlotsByImage.mergeDouble(spec.image(), taskSlots(machine, spec), Double::sum);
   }
 
   /**
-   * Whether free capacity is owed to other controllers' jobs that come first. It holds a job back
-   * only for a while, since those may have reasons of their own to wait.
+   * Returns whether the job must leave free capacity to jobs of other controllers that come first.
+   * The job yields only for a limited time, because the other jobs may wait for another reason than
+   * capacity.
    */
   boolean mustYield(LedJob ledJob, long now) {
     String type = demand.minimalType(ledJob.spec());
@@ -128,40 +143,45 @@
     return ledJob.recordOutranked(now) < OUTRANKED_YIELD_MS;
   }
 
-  /** What other controllers' starving jobs wait for; they have their turns. */
+  /** Returns the processors that other controllers' starving jobs in a yield window wait for. */
   private double starvingCpus(String type, long now) {
     double cpus = 0;
     for (QueuedJob starvingJob : queuedJobs) {
-      if (starvingJob.rank == 0 && isOthers(starvingJob, type) && hasTurn(starvingJob, now)) {
+      if (starvingJob.rank == 0
+          && isOtherLeadersJob(starvingJob, type)
+          && isInYieldWindow(starvingJob, now)) {
         cpus += starvingJob.cpus;
       }
     }
     return cpus;
   }
 
-  /** A quarter of the time, since a starving job may have reasons of its own to wait. */
-  private boolean hasTurn(QueuedJob starvingJob, long now) {
+  /**
+   * Returns whether free capacity is left to the starving job now. This is so only for a quarter of
+   * the time, because the starving job may wait for another reason than capacity.
+   */
+  private boolean isInYieldWindow(QueuedJob starvingJob, long now) {
     long sinceMs = starvingSinceMs.getOrDefault(starvingJob.jobId, now);
     return (now - sinceMs) % (4 * STARVATION_YIELD_MS) < STARVATION_YIELD_MS;
   }
 
-  /** What other controllers' jobs of a smaller rank wait for. */
+  /** Returns the processors that other controllers' jobs of a smaller rank wait for. */
   private double outrankingCpus(String type, int ownRank) {
     double cpus = 0;
     for (QueuedJob queuedJob : queuedJobs) {
-      if (queuedJob.rank < ownRank && isOthers(queuedJob, type)) {
+      if (queuedJob.rank < ownRank && isOtherLeadersJob(queuedJob, type)) {
         cpus += queuedJob.cpus;
       }
     }
     return cpus;
   }
 
-  /** Whether another controller leads the job, and it waits for machines of the type. */
-  private boolean isOthers(QueuedJob queuedJob, String type) {
+  /** Returns whether another controller leads the job and the job waits for the machine type. */
+  private boolean isOtherLeadersJob(QueuedJob queuedJob, String type) {
     return type.equals(queuedJob.minimalType) && !settings.node().equals(queuedJob.leader);
   }
 
-  /** Counts anew, by image, the work that waits and the slots on machines that have the image. */
+  /** Recomputes the waiting work and, by image, the slots of the machines that have the image. */
   void recompute() {
     queuedSecondsByImage.clear();
     queuedJobs.clear();
@@ -210,12 +230,12 @@
     }
   }
 
-  /** Starving jobs of all live controllers, as of the last count. */
+  /** Returns the starving batch jobs of all live controllers as of the last {@link #recompute}. */
   List<StarvingJob> starvingJobs() {
     return starvingJobs;
   }
 
-  /** A machine with several images that are waited for serves each of them only in part. */
+  /** Adds the machine's task slots, divided evenly among its images that tasks wait for. */
   private void addWarmSlots(MachineView machine, Map<String, JobSpec> specByImage) {
     view.updateDerivedState(machine);
     int queuedImages = 0;
@@ -235,7 +255,7 @@
     }
   }
 
-  /** How many tasks like this one an empty machine would hold. */
+  /** Returns how many tasks of the job fit on the empty machine, or 0 if its type is unknown. */
   private double taskSlots(MachineView machine, JobSpec spec) {
     MachineType type = types.find(machine.status().type());
     if (type == null) {
--- a/src/main/java/mallowstall/core/placement/ReplicaEligibility.java
+++ b/src/main/java/mallowstall/core/placement/ReplicaEligibility.java
@@ -4,24 +4,24 @@
 import mallowstall.core.jobs.LedJob;
 
 /**
- * Which pending tasks of a job a machine can serve: all of a batch job, and of a service those
- * replicas whose result the machine doesn't keep. Placement, preemption and relocation all ask
- * here, so that they agree.
+ * Determines which pending tasks of a job a machine can serve: all tasks of a batch job, and, of a
+ * service, the replicas whose result the machine does not keep. Placement, preemption and
+ * relocation use this class so that their decisions agree.
  */
 public final class ReplicaEligibility {
   private final KeptResults keptResults;
 
-  /** Asks what the cluster view has learned of results that are kept. */
+  /** Creates a check against the kept results that the cluster view has recorded. */
   public ReplicaEligibility(KeptResults keptResults) {
     this.keptResults = keptResults;
   }
 
-  /** Whether the machine can serve the task. */
+  /** Returns whether the machine can serve the task. */
   boolean canServe(LedJob ledJob, int task, String machine) {
     return !ledJob.spec().isService() || !keptResults.keepsResult(machine, ledJob.id(), task);
   }
 
-  /** Of so many pending tasks, how many the machine can serve. */
+  /** Returns how many of the given number of pending tasks the machine can serve. */
   int servableTasks(LedJob ledJob, int pendingTasks, String machine) {
     if (!ledJob.spec().isService()) {
       return pendingTasks;
@@ -35,7 +35,7 @@
     return Math.max(0, servable);
   }
 
-  /** The next pending task of the job that the machine can serve; -1: none. */
+  /** Takes the next pending task that the machine can serve; returns -1 if there is none. */
   int pollTask(LedJob ledJob, String machine) {
     return ledJob.pollTask(task -> canServe(ledJob, task, machine));
   }
--- a/src/main/java/mallowstall/core/placement/ReplicaRelocation.java
+++ b/src/main/java/mallowstall/core/placement/ReplicaRelocation.java
@@ -17,8 +17,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Relocates replicas from departing machines: a target is chosen and its capacity reserved, then
- * the replica is stopped, and it starts on the target as soon as its end is proven.
+ * Relocates replicas from departing machines. A relocation selects a target, reserves capacity
+ * there and stops the replica. The replica starts on the target as soon as its previous attempt is
+ * proven to have ended.
  */
 public final class ReplicaRelocation {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.placement");
@@ -32,7 +33,7 @@
   private final StartSender startSender;
   private final ReplicaEligibility eligibility;
 
-  /** Only replicas of services that this controller leads are relocated. */
+  /** Creates a relocation that handles only the services that this controller leads. */
   public ReplicaRelocation(
       ClusterView view,
       PeerMessenger messenger,
@@ -52,7 +53,7 @@
     this.eligibility = eligibility;
   }
 
-  /** Starts replicas whose relocation has come so far, and relocates others. */
+  /** Starts relocated replicas that have stopped, and begins the relocation of others. */
   void runPass(List<MachineView> machines, long now) {
     for (LedJob ledJob : jobLeader.jobs()) {
       if (!ledJob.spec().isService() || !ledJob.recovered() || ledJob.finished()) {
@@ -104,7 +105,7 @@
             ledJob.spec().checkpointSaveS() + 1));
   }
 
-  /** Starts a replica on its target, once it is proven to run nowhere. */
+  /** Starts a replica on its target once the replica's previous attempt is proven to have ended. */
   private void startRelocated(LedJob ledJob, int replica) {
     if (ledJob.activeAttempts().containsKey(replica)
         || ledJob.quotaWriteInFlight()
@@ -126,7 +127,11 @@
     }
   }
 
-  /** The machine that a replica fits on and reaches soonest; null if there is none. */
+  /**
+   * Returns the machine with the lowest cost among those that may run the replica, or null if there
+   * is none. The cost is the image fetch time in seconds plus the number of the job's replicas on
+   * the machine.
+   */
   private MachineView selectTarget(
       LedJob ledJob, ActiveAttempt moving, List<MachineView> machines, long now) {
     Map<String, Integer> replicasByMachine = new HashMap<>();
@@ -140,7 +145,7 @@
       if (ledJob.isOnCooldown(machine.id(), now) || !mayRunOn(ledJob, moving.task(), machine)) {
         continue;
       }
-      // infinite where the policy rejects the machine
+      // the fetch time is infinite if the policy rejects the machine
       double cost =
           policyFacts.acceptedFetchS(policy, machine, ledJob, now)
               + replicasByMachine.getOrDefault(machine.id(), 0);
@@ -152,7 +157,10 @@
     return best;
   }
 
-  /** Whether the replica may run there, given where the job's others are. */
+  /**
+   * Returns whether the machine has room for the replica and is in a zone that the job allows,
+   * given the zones of the job's other replicas.
+   */
   private boolean mayRunOn(LedJob ledJob, int replica, MachineView machine) {
     JobSpec spec = ledJob.spec();
     if (!machine.allows(spec)
--- a/src/main/java/mallowstall/core/placement/StartSender.java
+++ b/src/main/java/mallowstall/core/placement/StartSender.java
@@ -22,7 +22,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Sends start requests to the leaders of machines, those of one pass together. Mutable. */
+/** Sends start requests to machine leaders, one batch per leader and pass. Mutable. */
 public final class StartSender {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.placement");
 
@@ -34,10 +34,10 @@
   private final StateStore store;
   private final JobLeader jobLeader;
 
-  /** Start requests to be sent, by machine leader. */
+  /** Queued start requests by machine leader. */
   private final Map<String, List<StartRequest>> queuedByLeader = new LinkedHashMap<>();
 
-  /** Attempts are tracked by the job leader from the moment they are queued here. */
+  /** Creates a sender; the job leader tracks each attempt from the time it is queued. */
   public StartSender(
       EventClock clock,
       CoreSettings settings,
@@ -56,9 +56,9 @@
   }
 
   /**
-   * Queues the start of a task on the machine, where these victims are preempted for it.
+   * Queues the start of a task on the machine and reserves the machine's capacity for the task.
    *
-   * @param victims tasks on the machine that its leader stops first; empty: none
+   * @param victims tasks on the machine that the machine leader stops first; may be empty
    */
   void enqueue(LedJob ledJob, int task, MachineView machine, List<TaskAttempt> victims) {
     long attempt = (ledJob.entry().epoch() << Constants.ATTEMPT_BITS) + ledJob.takeAttemptNumber();
@@ -106,7 +106,7 @@
             peer.nextSequence()));
   }
 
-  /** Sends what is queued, one batch to each machine leader. */
+  /** Sends the queued start requests, one batch to each machine leader. */
   void flush() {
     for (Map.Entry<String, List<StartRequest>> entry : queuedByLeader.entrySet()) {
       PeerState peer = view.peer(entry.getKey());
--- a/src/main/java/mallowstall/core/placement/StarvationReservations.java
+++ b/src/main/java/mallowstall/core/placement/StarvationReservations.java
@@ -10,29 +10,34 @@
 import mallowstall.core.quota.QuotaLedger;
 
 /**
- * Lets a machine drain for a starving job whose tasks are too large for what becomes free bit by
- * bit: of each machine type the emptiest one that the job may use is reserved. All controllers do
- * so at the same times of day, whoever leads the job; at other times the machine is everybody's.
+ * Reserves machines for starving jobs whose tasks are too large for the capacity that other tasks
+ * free a little at a time. For each machine type that is the smallest for some starving job, the
+ * job with the largest tasks gets a reservation on the machine with the most free processors that
+ * it may use. All controllers reserve at the same wall-clock times, whichever controller leads the
+ * job. At other times the machine is available to all jobs.
  */
 public final class StarvationReservations {
-  /** ms. From the beginning of one time of reservations to the next. */
+  /** Time from the start of one reservation window to the start of the next, in milliseconds. */
   private static final long PERIOD_MS = 90_000;
 
-  /** ms. So long of each period a machine drains. */
+  /** Length of the reservation window at the start of each period, in milliseconds. */
   private static final long RESERVED_MS = 60_000;
 
   private final EventClock clock;
   private final QueuedWork queuedWork;
   private final QuotaLedger quotaLedger;
 
-  /** Queued work knows the starving jobs of all controllers. */
+  /** Creates reservations for the starving jobs that {@code queuedWork} lists. */
   public StarvationReservations(EventClock clock, QueuedWork queuedWork, QuotaLedger quotaLedger) {
     this.clock = clock;
     this.queuedWork = queuedWork;
     this.quotaLedger = quotaLedger;
   }
 
-  /** Reserves for the rest of the pass; to be called once starving jobs have been placed. */
+  /**
+   * Reserves capacity for the rest of the scheduling pass. The scheduler calls this after it has
+   * placed the starving jobs.
+   */
   void reserve(List<MachineView> machines) {
     if (clock.wallClockMs() % PERIOD_MS >= RESERVED_MS) {
       return;
@@ -45,7 +50,10 @@
     }
   }
 
-  /** The starving job of the largest tasks, by the smallest machine type that holds one. */
+  /**
+   * Returns, for each machine type that is the smallest for some starving job, the job with the
+   * largest tasks among these.
+   */
   private Map<String, JobEntry> largestByType() {
     Map<String, JobEntry> largest = new HashMap<>();
     for (QueuedWork.StarvingJob starving : queuedWork.starvingJobs()) {
@@ -56,7 +64,7 @@
     return largest;
   }
 
-  /** Whether the limit of the job's team lets it start a task now or soon. */
+  /** Returns whether the quota of the job's team may allow the job to start a task now or soon. */
   private boolean mayUseQuota(JobEntry job) {
     return !quotaLedger.hasQuota(job.spec())
         || job.quotaReservedTasks() > 0
--- a/src/main/java/mallowstall/core/quota/GuaranteedShares.java
+++ b/src/main/java/mallowstall/core/quota/GuaranteedShares.java
@@ -13,36 +13,37 @@
 import mallowstall.core.model.Team;
 
 /**
- * Which jobs are covered by their team's guarantee, so that they need not wait for other teams.
- * Mutable; not thread-safe.
+ * Determines which jobs are covered by their team's guaranteed share and thus need not wait for
+ * other teams. Mutable; not thread-safe.
  */
 public final class GuaranteedShares {
-  /** Absorbs rounding of sums of processors and GPUs. */
+  /** Tolerance for rounding errors in sums of processors and of GPUs. */
   private static final double TOLERANCE = 1e-9;
 
   private final CoreSettings settings;
   private final OpenJobs openJobs;
   private final Set<String> guaranteedJobs = new HashSet<>();
 
-  /** Covers no job before the first {@link #recompute}. */
+  /** Creates shares that cover no job before the first {@link #recompute}. */
   public GuaranteedShares(CoreSettings settings, OpenJobs openJobs) {
     this.settings = settings;
     this.openJobs = openJobs;
   }
 
-  /** Whether the job was covered by its team's guarantee at the last {@link #recompute}. */
+  /** Returns whether the last {@link #recompute} found the job covered by its team's share. */
   public boolean includes(String job) {
     return guaranteedJobs.contains(job);
   }
 
   /**
-   * Computes anew which jobs are covered: those that fit into their team's guarantee together with
-   * the team's earlier unfinished jobs. None is if there is only one team.
+   * Recomputes which jobs are covered. A job is covered if it fits into its team's guaranteed share
+   * together with all unfinished jobs that the team submitted earlier. No job is covered if there
+   * are fewer than two teams.
    */
   public void recompute() {
     guaranteedJobs.clear();
     if (settings.teams().size() < 2) {
-      return; // nobody to borrow from
+      return; // no other team to claim capacity from
     }
     Object2DoubleOpenHashMap<String> cpus = new Object2DoubleOpenHashMap<>();
     Object2DoubleOpenHashMap<String> gpus = new Object2DoubleOpenHashMap<>();
@@ -64,7 +65,7 @@
     }
   }
 
-  /** Unfinished jobs, the earliest submitted first. */
+  /** Returns the unfinished jobs in the order of their submission. */
   private List<JobEntry> unfinishedBySubmission() {
     List<JobEntry> unfinished = new ArrayList<>();
     for (JobEntry job : openJobs.all()) {
--- a/src/main/java/mallowstall/core/quota/QuotaLedger.java
+++ b/src/main/java/mallowstall/core/quota/QuotaLedger.java
@@ -23,18 +23,18 @@
 import mallowstall.core.model.JobSpec;
 
 /**
- * Keeps the quota reservations of led jobs: before a task starts, one transaction raises the
- * reservation in its job's entry and its team's usage. Reservations are in tasks. Mutable; not
- * thread-safe.
+ * Maintains the quota reservations of led jobs. Before a task starts, one transaction raises both
+ * the reservation in the job's entry and the usage of the job's team. A reservation is a number of
+ * tasks. Mutable; not thread-safe.
  */
 public final class QuotaLedger {
-  /** Count. Most jobs whose quota reservations one transaction changes. */
+  /** Maximum number of jobs whose quota reservations one transaction changes. */
   private static final int QUOTA_RESERVATIONS_PER_TRANSACTION = 10;
 
-  /** ms. Least time between two quota transactions of one team. */
+  /** Minimum time between two quota transactions of one team, in milliseconds. */
   private static final long QUOTA_TRANSACTION_INTERVAL_MIN_MS = 60;
 
-  /** ms. A quota reservation that no task uses is released after this time. */
+  /** Time after which an unused quota reservation is released, in milliseconds. */
   private static final long QUOTA_RESERVATION_IDLE_MS = 1_500;
 
   private final EventClock clock;
@@ -48,7 +48,7 @@
   private final QuotaRelease quotaRelease;
   private final Map<String, TeamWrites> writesByTeam = new HashMap<>();
 
-  /** Whether and when the usage of one team may be written. Mutable. */
+  /** Determines whether and when the usage of one team may be written. Mutable. */
   private static final class TeamWrites {
     private boolean inFlight;
     private long nextWriteMs;
@@ -56,7 +56,7 @@
   }
 
   /**
-   * Reserves nothing before its first tick.
+   * Creates a ledger that reserves nothing before its first tick.
    *
    * @param order the order in which jobs of a team get quota
    */
@@ -80,7 +80,7 @@
     quotaRelease = new QuotaRelease(clock, openJobs, teamQuotas);
   }
 
-  /** Changes reservations where they should be others, by one transaction per team. */
+  /** Adjusts the reservations that need a change, by at most one transaction per team. */
   public void tick() {
     if (!store.synced()) {
       return;
@@ -101,17 +101,23 @@
     }
   }
 
-  /** Whether the job's team has a quota, so that its tasks need a reservation. */
+  /** Returns whether the job's team has a quota, so that the job's tasks need a reservation. */
   public boolean hasQuota(JobSpec spec) {
     return teamQuotas.hasQuota(spec);
   }
 
-  /** How many more tasks of the job its team's quota has room for, by what its jobs reserve. */
+  /**
+   * Returns how many more tasks of the job fit into its team's quota, given the reservations of the
+   * team's jobs.
+   */
   public int remainingTasks(JobSpec spec) {
     return teamQuotas.remainingTasks(spec);
   }
 
-  /** Whether the job must release what becomes free of its reservation, for others of its team. */
+  /**
+   * Returns whether the job must release the unused part of its reservation so that other jobs of
+   * its team can use the quota.
+   */
   public boolean mustReleaseQuota(LedJob ledJob) {
     return quotaRelease.isReleasing(ledJob.id(), ledJob.spec().team());
   }
@@ -119,11 +125,14 @@
   private boolean canChangeReservation(LedJob ledJob, long now) {
     return teamQuotas.hasQuota(ledJob.spec())
         && ledJob.writes().mayWriteQuota(now)
-        // its own next write brings the entry into its present layout first
+        // the write that migrates the job's entry to the present layout must come first
         && !jobBitmaps.needsLayoutMigration(ledJob.entry());
   }
 
-  /** Changes the reservations of a team's jobs; those that shrink make room for the others. */
+  /**
+   * Changes the reservations of a team's jobs. Reservations that shrink come first, so that they
+   * make room for those that grow.
+   */
   private void changeReservations(String team, TeamWrites writes, List<LedJob> jobs, long now) {
     jobs.sort(order);
     int maxJobs = Math.min(settings.maxTransactionOps() - 1, QUOTA_RESERVATIONS_PER_TRANSACTION);
@@ -149,7 +158,7 @@
     return !jobBitmaps.fitsAsStored(ledJob.entry());
   }
 
-  /** As many of the tasks as the team's quota leaves to the job. */
+  /** Returns how many of the requested tasks the team's quota allows to reserve. */
   private int withinQuota(QuotaTransaction change, LedJob ledJob, int requested) {
     if (requested <= 0) {
       return requested;
@@ -157,8 +166,8 @@
     JobSpec spec = ledJob.spec();
     int tasks = requested;
     if (!spec.isService()) {
-      // what placement didn't request must leave the team far from its quota: near it, such a
-      // reservation would be given and taken back by turns and serve no job
+      // tasks that placement did not request are reserved only while the team is far below its
+      // quota: near the quota, the reservation would be granted and released in turn without use
       int unrequested =
           Math.min(tasks, remainingTasks(change, spec, Constants.QUOTA_UNCONTENDED_FRACTION));
       tasks = Math.max(unrequested, Math.min(tasks, ledJob.requestedQuota()));
@@ -193,7 +202,7 @@
   private void handleResult(
       String teamKey, TeamWrites writes, QuotaTransaction change, TransactionResult reply) {
     writes.inFlight = false;
-    // an invalid write is the fault of a job's entry and delays that job alone
+    // a job's entry causes INVALID, so the retry delay of the job grows and not that of the team
     if (reply.code() != ResultCode.INVALID) {
       writes.retry.recordResult(clock.now(), reply.code());
     }
@@ -212,7 +221,7 @@
     placementTrigger.request();
   }
 
-  /** Reads the team's usage after a conflict; it isn't written before the answer. */
+  /** Reads the team's usage after a conflict; the usage is not written before the response. */
   private void refreshUsage(String teamKey, TeamWrites writes) {
     writes.inFlight = true;
     boolean accepted = store.read(RequestPriority.JOB, teamKey, read -> writes.inFlight = false);
@@ -222,9 +231,10 @@
   }
 
   /**
-   * By how many tasks the job's reservation should change; never below what may be on machines.
-   * While its team is far from its quota a job reserves at once for all its tasks and keeps that:
-   * small changes would load the state service and delay starts.
+   * Returns by how many tasks the job's reservation should change. The reservation never falls
+   * below the number of attempts that may be on machines. While the team is far below its quota, a
+   * job reserves for all its tasks at once and keeps the reservation, because frequent small
+   * changes would load the state service and delay starts.
    */
   private int reservationDelta(LedJob ledJob, long now) {
     if (!ledJob.recovered()) {
@@ -232,7 +242,7 @@
     }
     int reserved = ledJob.entry().quotaReservedTasks();
     int unused = reserved - ledJob.activeAttempts().size();
-    // replicas start again and again: their reservation stays until the job is cancelled
+    // replicas are restarted, so a service keeps its reservation until it is cancelled
     if (ledJob.spec().isService() && !ledJob.finished()) {
       return Math.max(0, ledJob.spec().tasks() - reserved);
     }
--- a/src/main/java/mallowstall/core/quota/QuotaRelease.java
+++ b/src/main/java/mallowstall/core/quota/QuotaRelease.java
@@ -10,19 +10,20 @@
 import mallowstall.core.model.JobEntry;
 
 /**
- * Selects, for each team at its quota with a job starved of it, the job that must release quota:
- * the one that has reserved most. Else a large job with pending tasks would use its reservation
- * again and again, and no other job of the team would get any. Mutable; not thread-safe.
+ * Selects, for each team at its quota with a job starved of quota, the batch job with the largest
+ * reservation as the job that must release quota. Otherwise a large job with pending tasks would
+ * reuse its reservation without end, and no other job of the team would get quota. Mutable; not
+ * thread-safe.
  */
 final class QuotaRelease {
-  /** Weight of one GPU, in processors, when the reservations of two jobs are compared. */
+  /** Weight of one GPU, in processors, in the comparison of two jobs' reservations. */
   private static final double GPU_WEIGHT = 1e-3;
 
   private final EventClock clock;
   private final OpenJobs openJobs;
   private final TeamQuotas teamQuotas;
 
-  /** Per team, the id of the job that must release quota. */
+  /** Id of the job that must release quota, by team. */
   private final Map<String, String> releasingJobs = new HashMap<>();
 
   private long nextSelectionMs;
@@ -33,12 +34,12 @@
     this.teamQuotas = teamQuotas;
   }
 
-  /** Whether the job must release what becomes free of its reservation. */
+  /** Returns whether the job must release the unused part of its reservation. */
   boolean isReleasing(String job, String team) {
     return job.equals(releasingJobs.get(team));
   }
 
-  /** Selects anew which jobs must release quota, if that is due. */
+  /** Selects the jobs that must release quota, if the next selection is due. */
   void selectIfDue(long now) {
     if (now < nextSelectionMs) {
       return;
@@ -73,7 +74,7 @@
         : job.quotaReservedTasks() == 0;
   }
 
-  /** Whether the job, which lacks quota, has waited for it for too long. */
+  /** Returns whether the job, which lacks quota, has waited too long for quota. */
   private boolean isStarved(JobEntry job) {
     long starvationMs =
         job.spec().isService() ? Constants.PREEMPTION_DELAY_MS : Constants.STARVATION_MS;
--- a/src/main/java/mallowstall/core/quota/QuotaTransaction.java
+++ b/src/main/java/mallowstall/core/quota/QuotaTransaction.java
@@ -21,7 +21,7 @@
   private double reservedGpus;
   private int maxJobs;
 
-  /** A transaction without a change yet, on this usage, that may change so many jobs. */
+  /** Creates an empty transaction that starts from this usage and changes at most maxJobs jobs. */
   QuotaTransaction(TeamUsageEntry usage, int maxJobs) {
     reservedCpus = usage.reservedCpus();
     reservedGpus = usage.reservedGpus();
@@ -29,11 +29,11 @@
   }
 
   /**
-   * Adds the change of a job's reservation if there is one and the transaction has room for it.
+   * Adds the change of a job's reservation unless the change is 0 or the transaction is full.
    *
-   * @param tasks by how many tasks the reservation grows; negative: shrinks
-   * @param alone whether the job's entry may be refused for its size, so that it must not delay
-   *     other jobs
+   * @param tasks number of tasks by which the reservation grows, or shrinks if negative
+   * @param alone whether the transaction must change no other job, because the state service may
+   *     reject the job's entry for its size and the rejection would delay the other jobs
    */
   void add(LedJob ledJob, int tasks, boolean alone) {
     if (tasks == 0 || jobs.size() >= maxJobs || (alone && !jobs.isEmpty())) {
@@ -54,25 +54,25 @@
     }
   }
 
-  /** The jobs whose reservations change, in the order in which they were added; a live view. */
+  /** Returns a live view of the jobs whose reservations change, in the order of their addition. */
   List<LedJob> jobs() {
     return jobs;
   }
 
-  /** Processors that the team has reserved with the changes so far. */
+  /** Returns the processors that the team has reserved, including the changes so far. */
   double reservedCpus() {
     return reservedCpus;
   }
 
-  /** GPUs that the team has reserved with the changes so far. */
+  /** Returns the GPUs that the team has reserved, including the changes so far. */
   double reservedGpus() {
     return reservedGpus;
   }
 
-  /** The finished transaction, given the key and the revision of the team's usage entry. */
+  /** Returns the transaction, given the key and the revision of the team's usage entry. */
   Transaction build(String teamKey, long teamModRevision) {
     conditions.add(new Condition(teamKey, teamModRevision));
-    // rounding of the sums must not leave a negative usage
+    // rounding errors in the sums must not lead to a negative usage
     TeamUsageEntry usage = new TeamUsageEntry(Math.max(0, reservedCpus), Math.max(0, reservedGpus));
     puts.add(new PutOperation(teamKey, usage, 0));
     return new Transaction(conditions, puts, List.of());
--- a/src/main/java/mallowstall/core/quota/TeamQuotas.java
+++ b/src/main/java/mallowstall/core/quota/TeamQuotas.java
@@ -9,9 +9,9 @@
 import mallowstall.core.model.Team;
 import mallowstall.core.model.TeamUsageEntry;
 
-/** Teams' quotas by the settings and their usage by the state replica. Not thread-safe. */
+/** Reads quotas from the settings and teams' usage from the state replica. Not thread-safe. */
 final class TeamQuotas {
-  /** Absorbs rounding of sums of processors, in tasks. */
+  /** Tolerance for rounding errors in sums of processors and of GPUs, in tasks. */
   private static final double TOLERANCE_TASKS = 1e-9;
 
   private final CoreSettings settings;
@@ -22,20 +22,20 @@
     this.store = store;
   }
 
-  /** Whether the job's team has a quota, so that its tasks need a reservation. */
+  /** Returns whether the job's team has a quota, so that the job's tasks need a reservation. */
   boolean hasQuota(JobSpec spec) {
     Team team = settings.teams().get(spec.team());
     return team != null && team.hasQuota();
   }
 
-  /** What the team's jobs have reserved by the state replica. */
+  /** Returns the reservations of the team's jobs according to the state replica. */
   TeamUsageEntry usage(String team) {
     StoredValue stored = store.entry(StateKeys.team(team));
     return stored == null ? new TeamUsageEntry(0, 0) : (TeamUsageEntry) stored.value();
   }
 
   /**
-   * How many more tasks of the job keep its team within this fraction of its quota.
+   * Returns how many more tasks of the job keep its team within this fraction of its quota.
    *
    * @param cpus processors that the team has reserved
    * @param gpus GPUs that the team has reserved
@@ -52,18 +52,18 @@
     return (int) Math.max(0, Math.floor(tasks + TOLERANCE_TASKS));
   }
 
-  /** How many more tasks of the job its team's quota has room for. */
+  /** Returns how many more tasks of the job fit into its team's quota. */
   int remainingTasks(JobSpec spec) {
     TeamUsageEntry usage = usage(spec.team());
     return remainingTasks(spec, usage.reservedCpus(), usage.reservedGpus(), 1);
   }
 
-  /** Whether the team's quota has no room for another task of the job. */
+  /** Returns whether the team's quota has no room for another task of the job. */
   boolean isExhausted(JobSpec spec) {
     return remainingTasks(spec) == 0;
   }
 
-  /** Whether the team is far enough from its quota for its jobs not to compete. */
+  /** Returns whether the team is so far below its quota that its jobs do not compete for quota. */
   boolean hasHeadroom(String teamName) {
     Team team = settings.teams().get(teamName);
     TeamUsageEntry usage = usage(teamName);
