--- a/src/main/java/mallowstall/core/placement/BlockPlacer.java
+++ b/src/main/java/mallowstall/core/placement/BlockPlacer.java
@@ -4,20 +4,23 @@
 import mallowstall.core.cluster.MachineView;
 import mallowstall.core.model.JobSpec;
 
-/** Places a job's tasks by one block of its policy, where there is free capacity. */
+/** Places a job's tasks on free capacity by one block of the job's policy. */
 public final class BlockPlacer {
   private final MachineScoring scoring;
   private final QueuedWork queuedWork;
   private final StartSender startSender;
 
-  /** Starts go to the sender, which sends those of a pass together. */
+  /** Starts are queued in the sender, which sends all starts of a pass together. */
   public BlockPlacer(MachineScoring scoring, QueuedWork queuedWork, StartSender startSender) {
     this.scoring = scoring;
     this.queuedWork = queuedWork;
     this.startSender = startSender;
   }
 
-  /** Starts what the block allows, at most so many tasks; returns how many were started. */
+  /**
+   * Starts pending tasks of the job on the machines that the block accepts, at most {@code
+   * maxStarts} of them. Returns the number of started tasks.
+   */
   int place(
       JobPlacement placement,
       Policy.Block block,
@@ -33,7 +36,8 @@
       return startOnCandidates(placement, block, candidates, Integer.MAX_VALUE, maxStarts, now);
     }
     int started = 0;
-    // one failure takes few replicas if each machine gets a second one only after all have one
+    // No machine receives a second replica before each candidate has one, so that the failure of
+    // one machine ends few replicas.
     for (int maxPerMachine = 1;
         maxPerMachine <= spec.tasks() && placement.pendingTasks() > 0 && started < maxStarts;
         maxPerMachine++) {
@@ -48,7 +52,10 @@
     return started;
   }
 
-  /** Starts tasks on these machines, at most so many of the job on each; returns how many. */
+  /**
+   * Starts tasks on the candidates. A service has at most {@code maxPerMachine} replicas on each
+   * machine. Returns the number of started tasks.
+   */
   private int startOnCandidates(
       JobPlacement placement,
       Policy.Block block,
@@ -65,7 +72,8 @@
         continue;
       }
       if (!machine.status().images().contains(spec.image())) {
-        // each cold machine adds its slots to those that will serve the image's other tasks
+        // Checks the block again: each machine without the image that receives tasks will have the
+        // image and shortens the time in which the image's queued tasks are served.
         if (scoring.isInvalidated(placement, block, machine, now)) {
           break;
         }
--- a/src/main/java/mallowstall/core/placement/CapacitySnapshot.java
+++ b/src/main/java/mallowstall/core/placement/CapacitySnapshot.java
@@ -10,9 +10,12 @@
 import mallowstall.core.jobs.LedJob;
 import mallowstall.core.quota.GuaranteedShares;
 
-/** What a scheduling pass knows of capacity and of who waits for it, renewed at its begin. */
+/**
+ * Refreshes, at the beginning of a scheduling pass, the data on capacity and on queued work that
+ * the pass uses.
+ */
 public final class CapacitySnapshot {
-  /** Free processors below which a machine isn't considered. */
+  /** Number of free processors that a machine must exceed to be considered in a pass. */
   private static final double FREE_CPUS_MIN = 0.01;
 
   private final ClusterView view;
@@ -21,7 +24,7 @@
   private final GuaranteedShares guaranteedShares;
   private final QueuedWork queuedWork;
 
-  /** Renews the totals that ranking, guaranteed shares and queued work keep. */
+  /** The ranking, the guaranteed shares and the queued work keep the refreshed totals. */
   public CapacitySnapshot(
       ClusterView view,
       JobLeader jobLeader,
@@ -35,13 +38,16 @@
     this.queuedWork = queuedWork;
   }
 
-  /** Renews what the order of jobs follows. */
+  /** Recomputes the capacity of machine types and the guaranteed shares. */
   void refreshTotals() {
     ranking.recomputeCapacity();
     guaranteedShares.recompute();
   }
 
-  /** Machines in service with a recent status update and free capacity. */
+  /**
+   * Returns the machines that accept starts, have free capacity and a leader that has recently sent
+   * a status update.
+   */
   List<MachineView> availableMachines() {
     List<MachineView> machines = new ArrayList<>();
     for (MachineView machine : view.machines()) {
@@ -54,7 +60,7 @@
     return machines;
   }
 
-  /** Renews the reservations on machines, and then the work that waits. */
+  /** Recomputes the reservations on machines, then the queued work. */
   void refreshReservations() {
     for (MachineView machine : view.machines()) {
       machine.clearReservations();
@@ -75,7 +81,7 @@
     }
   }
 
-  /** Starts that no status update of their machine includes yet. */
+  /** Reserves capacity for starts that no status update of their machine lists yet. */
   private void reserveUnconfirmedStarts(LedJob ledJob) {
     for (ActiveAttempt active : ledJob.activeAttempts().values()) {
       if (active.observedOnMachine() || active.inLatestStatus()) {
--- a/src/main/java/mallowstall/core/placement/GroupPlacer.java
+++ b/src/main/java/mallowstall/core/placement/GroupPlacer.java
@@ -7,7 +7,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Places the jobs of one group of a scheduling pass: every job tries a block before the next. */
+/**
+ * Places the jobs of one group of a scheduling pass. All jobs try the first blocks of their
+ * policies before any job tries its second block, and so on.
+ */
 public final class GroupPlacer {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.placement");
 
@@ -18,7 +21,9 @@
   private final BlockPlacer blockPlacer;
   private final PreemptingPlacer preemptingPlacer;
 
-  /** The block placer fills free capacity; the preempting one follows where there was none. */
+  /**
+   * The block placer uses free capacity. The preempting placer is called for jobs that found none.
+   */
   public GroupPlacer(
       JobRanking ranking,
       QueuedWork queuedWork,
@@ -35,10 +40,11 @@
   }
 
   /**
-   * Places the jobs of the group in their order; returns the number of starts, which is limited.
+   * Places the jobs of the group in their order. Returns the number of tasks started on free
+   * capacity, at most {@code maxStarts}.
    */
   int place(List<LedJob> group, List<MachineView> machines, int maxStarts, long now) {
-    List<JobPlacement> jobPlacements = beginDue(group, machines, now);
+    List<JobPlacement> jobPlacements = beginPlacements(group, machines, now);
     int blockCount = 0;
     for (JobPlacement placement : jobPlacements) {
       blockCount = Math.max(blockCount, placement.policy().blocks().size());
@@ -60,12 +66,17 @@
     return started;
   }
 
-  /** Placements of the jobs that neither wait nor yield to other controllers' jobs. */
-  private List<JobPlacement> beginDue(List<LedJob> group, List<MachineView> machines, long now) {
+  /**
+   * Begins the placements of those jobs that aren't backing off, have quota left and needn't yield
+   * to jobs of other controllers.
+   */
+  private List<JobPlacement> beginPlacements(
+      List<LedJob> group, List<MachineView> machines, long now) {
     List<JobPlacement> due = new ArrayList<>();
     for (LedJob ledJob : group) {
       boolean mayYield = !ranking.isStarving(ledJob) && !ledJob.spec().isService();
-      // at each pass they would look for room that their team's limit doesn't let them use
+      // Without the check of the quota, a job whose team has used up its quota would search in each
+      // pass for capacity that it can't use.
       boolean mustWait = backoffs.isWaiting(ledJob, now) || placements.isQuotaExhausted(ledJob);
       if (mustWait || (mayYield && queuedWork.mustYield(ledJob, now))) {
         continue;
@@ -76,10 +87,11 @@
   }
 
   /**
-   * Asks for quota, or backs off and preempts, as the result of the job's blocks demands.
+   * Evaluates the result of the job's blocks. Requests quota if the job needs more. If the job
+   * found no capacity, records the failure for its backoff and tries to preempt other tasks.
    *
-   * @param allTried whether every block was tried; else the pass may have used up its starts before
-   *     the job's turn
+   * @param allTried whether all blocks were tried; if false, the limit of starts may have been
+   *     reached before the job's turn
    */
   private void finish(JobPlacement placement, boolean allTried, long now) {
     LedJob ledJob = placement.ledJob();
--- a/src/main/java/mallowstall/core/placement/JobPlacement.java
+++ b/src/main/java/mallowstall/core/placement/JobPlacement.java
@@ -9,8 +9,8 @@
 import mallowstall.core.model.JobSpec;
 
 /**
- * One job's placement in a scheduling pass: what is still to be placed, what its quota allows and
- * where its tasks are. Mutable; lives as long as the pass.
+ * The placement of one job in a scheduling pass: the tasks still to be placed, the quota left for
+ * them, and the zones and machines of the job's tasks. Mutable; used for one pass only.
  */
 final class JobPlacement {
   private final LedJob ledJob;
@@ -19,34 +19,43 @@
   private final ReplicaEligibility eligibility;
   private final boolean quotaLimited;
 
-  /** Tasks without quota for which capacity may still be kept in this pass. */
+  /** Maximum number of tasks without quota for which this pass may still reserve capacity. */
   private int obtainableQuotaTasks;
 
   private final int maxTasksPerZone;
   private final Map<String, Integer> tasksByZone = new HashMap<>();
 
-  /** Replicas of a service on each machine, which are spread as evenly as can be. */
+  /**
+   * Number of a service's replicas on each machine, by which they are spread evenly. Empty for a
+   * batch job.
+   */
   private final Map<String, Integer> replicasByMachine = new HashMap<>();
 
-  /** The only zone of a job that must be in one; for others that of some task. */
+  /**
+   * The zone of all tasks if the job must run in one zone, else the zone of any one task. Null if
+   * no zone is chosen yet.
+   */
   private String chosenZone;
 
   private int pendingTasks;
   private int freeQuotaTasks;
   private int startedTasks;
 
-  /** Pairs of a machine with free capacity and a block that rejected it. */
+  /** Number of pairs of a machine with free capacity and a block that rejected it. */
   private int rejectedCandidates;
 
-  /** Tasks that would have been started if their team's quota allowed it. */
+  /**
+   * Number of tasks that fit on a machine but weren't started, because of the team's quota or the
+   * limit of starts.
+   */
   private int quotaBlockedTasks;
 
   /**
-   * A placement that has started nothing yet.
+   * Creates the placement at the beginning of a pass, before any start.
    *
-   * @param pendingTasks tasks to be placed in this pass
-   * @param quota what the job's team quota allows
-   * @param machines machines with free capacity
+   * @param pendingTasks number of tasks to be placed in this pass
+   * @param quota the quota that the job may use
+   * @param machines the machines with free capacity
    */
   JobPlacement(
       LedJob ledJob,
@@ -92,62 +101,71 @@
     return best;
   }
 
-  /** The job that is placed. */
+  /** Returns the job that is placed. */
   LedJob ledJob() {
     return ledJob;
   }
 
-  /** What its user asked for. */
+  /** Returns the job's specification, as its user submitted it. */
   JobSpec spec() {
     return spec;
   }
 
-  /** The policy of the job's class. */
+  /** Returns the policy of the job's class. */
   Policy policy() {
     return policy;
   }
 
-  /** The zone of the job's tasks; null while none is chosen. */
+  /**
+   * Returns the zone of all tasks if the job must run in one zone, else the zone of any one task;
+   * null if no zone is chosen yet.
+   */
   String chosenZone() {
     return chosenZone;
   }
 
-  /** Tasks still to be placed in this pass. */
+  /** Returns the number of tasks still to be placed in this pass. */
   int pendingTasks() {
     return pendingTasks;
   }
 
-  /** Tasks that the job's quota reservation still covers. */
+  /** Returns the number of further tasks that the job's quota reservation covers. */
   int freeQuotaTasks() {
     return freeQuotaTasks;
   }
 
-  /** Tasks started in this pass without preemption. */
+  /** Returns the number of tasks started in this pass without preemption. */
   int startedTasks() {
     return startedTasks;
   }
 
-  /** Tasks that had a machine and no quota in this pass. */
+  /**
+   * Returns the number of tasks that fit on a machine in this pass but weren't started, because of
+   * the team's quota or the limit of starts.
+   */
   int quotaBlockedTasks() {
     return quotaBlockedTasks;
   }
 
-  /** Whether it found a machine for more tasks than its team's quota allows. */
+  /** Returns whether the job's team has a quota and tasks that fit on machines weren't started. */
   boolean isQuotaBlocked() {
     return quotaLimited && quotaBlockedTasks > 0;
   }
 
-  /** Pairs of a machine with free capacity and a block that rejected it, in this pass. */
+  /**
+   * Returns the number of pairs of a machine with free capacity and a block that rejected it, in
+   * this pass.
+   */
   int rejectedCandidates() {
     return rejectedCandidates;
   }
 
-  /** Whether the machine is where a job that must be in one zone has to be. */
+  /** Returns false if the job must run in one zone and the machine is in another. */
   boolean allowsZoneOf(MachineView machine) {
     return !spec.singleZone() || machine.status().zone().equals(chosenZone);
   }
 
-  /** The most replicas of the job on one machine. */
+  /** Returns the largest number of the service's replicas on one machine. */
   int maxReplicasPerMachine() {
     int max = 0;
     for (int replicas : replicasByMachine.values()) {
@@ -156,22 +174,25 @@
     return max;
   }
 
-  /** How many of the pending tasks the machine can serve, however much of it is free. */
+  /** Returns how many pending tasks the machine can serve, regardless of its free capacity. */
   int servableTasks(MachineView machine) {
     return eligibility.servableTasks(ledJob, pendingTasks, machine.id());
   }
 
-  /** The next pending task that the machine can serve; -1: none. */
+  /** Removes and returns the next pending task that the machine can serve; -1 if there is none. */
   int pollTask(MachineView machine) {
     return eligibility.pollTask(ledJob, machine.id());
   }
 
-  /** How many more tasks may be in the zone. */
+  /** Returns how many more tasks of the job may be placed in the zone. */
   int remainingInZone(String zone) {
     return maxTasksPerZone - tasksByZone.getOrDefault(zone, 0);
   }
 
-  /** How many pending tasks may go on the machine, a service's at most so many in all. */
+  /**
+   * Returns how many pending tasks can be placed on the machine. A service has at most {@code
+   * maxPerMachine} replicas there, including those already placed.
+   */
   int fittingTasks(MachineView machine, int maxPerMachine) {
     int fitting = Math.min(servableTasks(machine), machine.fittingTasks(spec));
     if (spec.isService()) {
@@ -180,19 +201,19 @@
     return Math.min(fitting, remainingInZone(machine.status().zone()));
   }
 
-  /** A block has rejected a machine with free capacity. */
+  /** Records that a block has rejected a machine with free capacity. */
   void recordRejection() {
     rejectedCandidates++;
   }
 
-  /** A task has been started where there was free capacity. */
+  /** Records the start of a task on free capacity. */
   void recordStart() {
     startedTasks++;
     pendingTasks--;
     freeQuotaTasks--;
   }
 
-  /** A task has been started in the place of others. */
+  /** Records the start of a task in the zone, on capacity that was freed by preemption. */
   void recordPreemptingStart(String zone) {
     tasksByZone.merge(zone, 1, Integer::sum);
     chosenZone = zone;
@@ -201,16 +222,16 @@
   }
 
   /**
-   * The tasks have this place on the machine: some were started, and the capacity of the others is
-   * kept as far as their team's quota may allow them soon. What a team at its quota can't use is
-   * left to the jobs that come after.
+   * Assigns tasks to the machine, of which the caller has started all but {@code notStarted}.
+   * Reserves capacity for as many of the tasks not started as the team's quota may allow soon. The
+   * capacity of the others stays free for the jobs that are placed next.
    */
-  void assign(MachineView machine, int tasks, int withoutQuota) {
-    quotaBlockedTasks += withoutQuota;
-    pendingTasks -= withoutQuota;
-    int kept = Math.min(withoutQuota, obtainableQuotaTasks);
-    obtainableQuotaTasks -= kept;
-    machine.reserve(spec, kept);
+  void assign(MachineView machine, int tasks, int notStarted) {
+    quotaBlockedTasks += notStarted;
+    pendingTasks -= notStarted;
+    int reserved = Math.min(notStarted, obtainableQuotaTasks);
+    obtainableQuotaTasks -= reserved;
+    machine.reserve(spec, reserved);
     tasksByZone.merge(machine.status().zone(), tasks, Integer::sum);
     if (spec.isService()) {
       replicasByMachine.merge(machine.id(), tasks, Integer::sum);
--- a/src/main/java/mallowstall/core/placement/JobPlacements.java
+++ b/src/main/java/mallowstall/core/placement/JobPlacements.java
@@ -6,14 +6,17 @@
 import mallowstall.core.model.JobSpec;
 import mallowstall.core.quota.QuotaLedger;
 
-/** Begins the placement of a job: how many tasks are to be placed, and what its quota covers. */
+/**
+ * Creates the placement of a job in a scheduling pass, with the number of tasks to be placed and
+ * the quota that the job may use.
+ */
 public final class JobPlacements {
   private final Policy.PolicyRegistry policies;
   private final JobRanking ranking;
   private final QuotaLedger quotaLedger;
   private final ReplicaEligibility eligibility;
 
-  /** Uses the policy of each job's class, and the quota reservations of this controller's jobs. */
+  /** The policies are found by job class. The ledger has the quota reservations of led jobs. */
   public JobPlacements(
       Policy.PolicyRegistry policies,
       JobRanking ranking,
@@ -25,7 +28,7 @@
     this.eligibility = eligibility;
   }
 
-  /** The placement of a job on machines with free capacity. */
+  /** Creates the placement of a job on these machines, which have free capacity. */
   JobPlacement begin(LedJob ledJob, List<MachineView> machines) {
     JobSpec spec = ledJob.spec();
     return new JobPlacement(
@@ -37,6 +40,7 @@
         machines);
   }
 
+  /** Returns the number of tasks to be placed; a starving batch job places a part of its tasks. */
   private int pendingTasks(LedJob ledJob) {
     JobSpec spec = ledJob.spec();
     return ranking.isStarving(ledJob) && !spec.isService()
@@ -44,7 +48,7 @@
         : ledJob.pending();
   }
 
-  /** Whether the quota of the job's team allows none of its pending tasks now or soon. */
+  /** Returns whether the team's quota prevents the job from starting any task now or soon. */
   boolean isQuotaExhausted(LedJob ledJob) {
     return quotaOf(ledJob).isExhausted();
   }
@@ -58,9 +62,10 @@
     }
     int unused = ledJob.entry().quotaReservedTasks() - ledJob.activeAttempts().size();
     int remaining = quotaLedger.remainingTasks(ledJob.spec());
-    // none while a change of the reservation is under way or in doubt: its result isn't known
-    boolean inDoubt = ledJob.quotaWriteInFlight() || ledJob.writeOutcomeUnknown();
-    return inDoubt
+    // While a change of the reservation is pending or has an unknown outcome, the reserved number
+    // of tasks isn't known, so the job must start no task.
+    boolean reservationUnknown = ledJob.quotaWriteInFlight() || ledJob.writeOutcomeUnknown();
+    return reservationUnknown
         ? new JobQuota(true, 0, Math.max(0, unused) + remaining)
         : new JobQuota(true, unused, remaining);
   }
--- a/src/main/java/mallowstall/core/placement/JobRanking.java
+++ b/src/main/java/mallowstall/core/placement/JobRanking.java
@@ -14,20 +14,24 @@
 import mallowstall.core.model.MachineType;
 import mallowstall.core.model.Priority;
 
-/** The order of jobs: starving ones, then by priority, reachable deadline, slack and age. */
+/**
+ * Orders jobs: starving jobs first, then by priority, by whether the deadline can be met, by slack
+ * and by age.
+ */
 public final class JobRanking {
   /**
-   * Fraction of the estimate that a task must still be expected to take: estimates are often high.
+   * Fraction of the estimated run time that a task is expected to take when the deadline is
+   * checked. It is below 1 because estimates are often too high.
    */
   private static final double ESTIMATE_REMAINING_FRACTION = 0.8;
 
   /**
-   * s per s. Slack that a second of a job's own work weighs: of equal slack the smaller job goes
-   * first.
+   * Seconds of slack added for each second of a job's own work, so that of two jobs with equal
+   * slack the smaller one comes first.
    */
   private static final double SLACK_PER_WORK_FACTOR = 3;
 
-  /** s. The slack that a job without a deadline has when it is submitted. */
+  /** Slack in seconds that a job without a deadline has when it is submitted. */
   private static final double NO_DEADLINE_SLACK_S = 600;
 
   private final EventClock clock;
@@ -36,13 +40,16 @@
   private final MachineTypeCatalog types;
   private final MachineDemand demand;
 
-  /** Processors of usable machines, by machine type. */
+  /** Number of processors of the machines that accept starts, by machine type. */
   private final Object2DoubleOpenHashMap<String> totalCpusByType = new Object2DoubleOpenHashMap<>();
 
-  /** The part of them that is free. */
+  /** Number of free processors of the machines that accept starts, by machine type. */
   private final Object2DoubleOpenHashMap<String> freeCpusByType = new Object2DoubleOpenHashMap<>();
 
-  /** Slack is measured against the machines of the view that have a job's smallest type. */
+  /**
+   * The slack of a job depends on the machines of the view that have the smallest type on which the
+   * job's tasks fit.
+   */
   public JobRanking(
       EventClock clock,
       CoreSettings settings,
@@ -56,25 +63,28 @@
     this.demand = demand;
   }
 
-  /** Free processors of usable machines of this type. */
+  /** Returns the number of free processors of the machines of this type that accept starts. */
   double freeCpus(String type) {
     return freeCpusByType.getDouble(type);
   }
 
   /**
-   * Whether nothing of the job is on a machine and nothing has run for long: whatever its priority
-   * and size it comes next, with a tenth of its tasks, or it would wait as long as overload lasts.
+   * Returns whether the job was submitted more than {@link Constants#STARVATION_MS} ago, has
+   * pending tasks, has none that is or may be on a machine, and none that has run within that time.
+   * A starving job is placed before all others, whatever its priority and size, with a tenth of its
+   * tasks. Otherwise it would wait as long as an overload lasts.
    */
   boolean isStarving(LedJob ledJob) {
     return ledJob.activeAttempts().isEmpty()
         && ledJob.pending() > 0
         && mayStarve(ledJob.entry())
-        // since the last run, not the last start: a machine leader may have rejected that
+        // The time counts from the last run, not from the last start, because the machine leader
+        // may have rejected the start.
         && (ledJob.lastRunningMs() == 0
             || clock.now() - ledJob.lastRunningMs() > Constants.STARVATION_MS);
   }
 
-  /** Whether the job was submitted so long ago that it starves if it has no task running. */
+  /** Returns whether the job was submitted so long ago that it starves if no task of it runs. */
   boolean mayStarve(JobEntry job) {
     return clock.wallClockMs() - job.submittedMs() > Constants.STARVATION_MS;
   }
@@ -84,10 +94,11 @@
   }
 
   /**
-   * Starving jobs first, the longest waiting before others. Then priority before deadline before
-   * age. Jobs that can't meet their deadline any more come after those that can: serving them first
-   * would only make more of them. Among the rest slack decides, and of like slack the smaller job,
-   * since each job counts once.
+   * Compares two jobs; the smaller one is placed first. Starving jobs come first, the earliest
+   * submitted one before the others. Other jobs are compared by priority, then by deadline tier,
+   * then by slack, then by age. Jobs that can't meet their deadline any more come after those that
+   * can, since serving them first would only make more jobs miss their deadlines. Of two jobs with
+   * equal slack the smaller one comes first, since each job counts once, whatever its size.
    */
   public int compare(LedJob first, LedJob second) {
     int comparison = Boolean.compare(isStarving(second), isStarving(first));
@@ -114,7 +125,10 @@
         : Long.compare(first.entry().submittedMs(), second.entry().submittedMs());
   }
 
-  /** 0: the deadline can be met; 1: only the later one that operators allow; 2: neither. */
+  /**
+   * Returns 0 if the job can meet its deadline or has none, 1 if it can only meet the later
+   * deadline that the operators allow, 2 if it can meet neither.
+   */
   private int deadlineTier(JobEntry job, JobSpec spec) {
     if (spec.deadlineS() == null) {
       return 0;
@@ -127,7 +141,11 @@
     return expectedEndS <= spec.deadlineS() * deadlineFactor ? 1 : 2;
   }
 
-  /** Time to spare until the deadline, in s; larger for more work per machine. */
+  /**
+   * Returns the job's slack in seconds, plus an amount that grows with the job's work per slot on
+   * machines of its smallest type. The slack is the time left until the deadline less the estimated
+   * run time. A job without a deadline has a slack of {@link #NO_DEADLINE_SLACK_S} less its age.
+   */
   private double weightedSlackS(LedJob ledJob) {
     JobSpec spec = ledJob.spec();
     double slots =
@@ -141,12 +159,17 @@
     return slackS + SLACK_PER_WORK_FACTOR * workS;
   }
 
-  /** Smaller for jobs that come first, whoever leads them; 0 stands for starving ones. */
+  /**
+   * Returns a number that is smaller for jobs that come first, whichever controller leads them. It
+   * is above 0, which {@link QueuedWork} uses for starving jobs.
+   */
   int rank(JobEntry job, JobSpec spec) {
     return (Priority.values().length - spec.priority().ordinal()) * 4 + deadlineTier(job, spec);
   }
 
-  /** Renews the processors of usable machines, all and free, by machine type. */
+  /**
+   * Recomputes the total and free processors of the machines that accept starts, by machine type.
+   */
   void recomputeCapacity() {
     totalCpusByType.clear();
     freeCpusByType.clear();
--- a/src/main/java/mallowstall/core/placement/MachineScoring.java
+++ b/src/main/java/mallowstall/core/placement/MachineScoring.java
@@ -9,19 +9,24 @@
 
 /** Scores the machines that a block of a policy accepts for a job. */
 public final class MachineScoring {
-  /** Added to scores at random, so that controllers don't all choose the same machine. */
+  /**
+   * Upper bound of the random number that is added to a score, so that controllers don't all choose
+   * the same machine.
+   */
   private static final double SCORE_JITTER = 0.5;
 
   private final PolicyFacts policyFacts;
   private final SplittableRandom random;
 
-  /** One random number is drawn per accepted machine, in the order of the machines. */
+  /** A ranking draws one random number per accepted machine, in the order of the machines. */
   public MachineScoring(PolicyFacts policyFacts, SplittableRandom random) {
     this.policyFacts = policyFacts;
     this.random = random;
   }
 
-  /** The machines that the block accepts and that have capacity for a task, best first. */
+  /**
+   * Returns the machines that the block accepts and that have capacity for a task, the best first.
+   */
   List<MachineCandidate> rank(
       JobPlacement placement, Policy.Block block, List<MachineView> machines, long now) {
     JobSpec spec = placement.spec();
@@ -54,7 +59,10 @@
     };
   }
 
-  /** Whether the block has come to reject the machine by what the pass has placed since. */
+  /**
+   * Returns whether the block now rejects the machine because of tasks that the pass has placed
+   * since the machines were ranked.
+   */
   boolean isInvalidated(JobPlacement placement, Policy.Block block, MachineView machine, long now) {
     return block.invalidate(policyFacts.evaluate(machine, placement.ledJob(), now));
   }
--- a/src/main/java/mallowstall/core/placement/PendingJobs.java
+++ b/src/main/java/mallowstall/core/placement/PendingJobs.java
@@ -5,21 +5,24 @@
 import mallowstall.core.jobs.JobLeader;
 import mallowstall.core.jobs.LedJob;
 
-/** The led jobs that a scheduling pass tries to place, in the order in which they come. Mutable. */
+/** The led jobs that a scheduling pass tries to place, in the order of their ranking. Mutable. */
 public final class PendingJobs {
   private final JobLeader jobLeader;
   private final JobRanking ranking;
   private final PlacementBackoffs backoffs;
   private final List<LedJob> pendingJobs = new ArrayList<>();
 
-  /** Empty until jobs are collected. */
+  /** There are no pending jobs before the first {@link #collect}. */
   public PendingJobs(JobLeader jobLeader, JobRanking ranking, PlacementBackoffs backoffs) {
     this.jobLeader = jobLeader;
     this.ranking = ranking;
     this.backoffs = backoffs;
   }
 
-  /** Collects the jobs that have pending tasks; whether any of them isn't backing off. */
+  /**
+   * Collects the jobs whose pending tasks may be started at this time, in milliseconds of the
+   * steady clock. Returns whether any of the jobs isn't backing off.
+   */
   boolean collect(long now) {
     pendingJobs.clear();
     boolean anyDue = false;
@@ -38,19 +41,19 @@
     return anyDue;
   }
 
-  /** Puts the collected jobs into the order of their ranking. */
+  /** Sorts the collected jobs by their ranking. */
   void sort() {
     pendingJobs.sort(ranking::compare);
   }
 
-  /** Whether the jobs of the group starve. */
+  /** Returns whether the jobs of the group are starving. */
   boolean isStarving(List<LedJob> group) {
     return ranking.isStarving(group.get(0));
   }
 
   /**
-   * The collected jobs in their order: those of one priority together, starving ones as a group of
-   * their own.
+   * Returns the sorted jobs in groups of consecutive jobs with equal priority. Starving jobs and
+   * other jobs are in separate groups.
    */
   List<List<LedJob>> groups() {
     List<List<LedJob>> groups = new ArrayList<>();
--- a/src/main/java/mallowstall/core/placement/PlacementBackoffs.java
+++ b/src/main/java/mallowstall/core/placement/PlacementBackoffs.java
@@ -11,10 +11,10 @@
 import mallowstall.core.kernel.PlacementTrigger;
 
 /**
- * How long jobs that found no capacity wait before they are tried again: batch jobs by policy, each
- * service by itself. News of capacity ends the wait. What a scheduling pass finds counts from its
- * end on, so that a job that fits nowhere keeps no other job of its policy from its turn in the
- * same pass. Mutable.
+ * The backoffs of jobs that found no capacity. All batch jobs of a policy share one backoff; each
+ * service has its own. A report of capacity ends a backoff early. The results of a scheduling pass
+ * take effect at the end of the pass, so that a job that fits nowhere doesn't prevent other jobs of
+ * its policy from being tried in the same pass. Mutable.
  */
 public final class PlacementBackoffs {
   private final Metrics metrics;
@@ -22,13 +22,16 @@
   private final Policy.PolicyRegistry policies;
   private final Map<String, Backoff> backoffByPolicy = new HashMap<>();
 
-  /** Those of which a job was started in the current pass. */
+  /** The backoffs of jobs that started a task in the current pass. */
   private final Set<Backoff> succeeded = Collections.newSetFromMap(new IdentityHashMap<>());
 
-  /** Those of which a job found no capacity in the current pass. */
+  /** The backoffs of jobs that found no capacity in the current pass. */
   private final Set<Backoff> failed = Collections.newSetFromMap(new IdentityHashMap<>());
 
-  /** The trigger knows when capacity changes; failures are counted as {@code backoffs}. */
+  /**
+   * The trigger provides the version of capacity. The metric {@code backoffs} counts the backoffs
+   * that are started.
+   */
   public PlacementBackoffs(
       Metrics metrics, PlacementTrigger placementTrigger, Policy.PolicyRegistry policies) {
     this.metrics = metrics;
@@ -37,24 +40,27 @@
   }
 
   /**
-   * Whether the job still waits at this time, in ms of the steady clock; the same throughout a
-   * pass.
+   * Returns whether the job is backing off at this time, in milliseconds of the steady clock. The
+   * result doesn't change during a pass.
    */
   boolean isWaiting(LedJob ledJob, long now) {
     return backoffOf(ledJob).isWaiting(now, placementTrigger.capacityVersion());
   }
 
-  /** The job found no capacity in this pass. */
+  /** Records that the job found no capacity in the current pass. */
   void recordFailure(LedJob ledJob) {
     failed.add(backoffOf(ledJob));
   }
 
-  /** A task of the job was started in this pass. */
+  /** Records that a task of the job was started in the current pass. */
   void recordSuccess(LedJob ledJob) {
     succeeded.add(backoffOf(ledJob));
   }
 
-  /** The pass is over: whoever only failed in it waits from now on, whoever succeeded doesn't. */
+  /**
+   * Ends the pass: resets the backoffs of jobs that started a task in it and starts the other
+   * backoffs for which a failure was recorded.
+   */
   void endPass(long now) {
     failed.removeAll(succeeded);
     for (Backoff backoff : failed) {
--- a/src/main/java/mallowstall/core/placement/PlacementScheduler.java
+++ b/src/main/java/mallowstall/core/placement/PlacementScheduler.java
@@ -9,12 +9,12 @@
 import mallowstall.core.kv.StateStore;
 
 /**
- * Runs scheduling passes: each places the pending tasks of this controller's jobs on any allowed
- * machine of the cluster view. The tasks of one job are alike and are decided together, so that
- * cost follows jobs and machines, not tasks (docs/design.md).
+ * Runs scheduling passes. A pass places the pending tasks of this controller's jobs on any allowed
+ * machine of the cluster view. The tasks of one job are alike and are placed together, so that the
+ * cost of a pass depends on the number of jobs and machines, not of tasks (docs/design.md).
  */
 public final class PlacementScheduler {
-  /** Count. Most starts sent in one scheduling pass: bounds the work of a tick. */
+  /** Maximum number of starts sent in one scheduling pass. It bounds the work of a tick. */
   private static final int STARTS_PER_PASS_MAX = 120;
 
   private final EventClock clock;
@@ -29,7 +29,7 @@
   private final StarvationReservations starvationReservations;
   private final StartSender startSender;
 
-  /** No pass places anything before the state replica and the machine types are complete. */
+  /** A pass places nothing before the state replica is synced and the machine types are known. */
   public PlacementScheduler(
       EventClock clock,
       StateStore store,
@@ -55,7 +55,10 @@
     this.startSender = startSender;
   }
 
-  /** Places what is pending, as far as capacity and quota allow, and sends the starts. */
+  /**
+   * Places pending tasks as far as capacity and quota allow, and sends their starts. Does nothing
+   * without a valid session lease.
+   */
   public void runSchedulingPass() {
     if (!store.isSessionValid() || !store.synced() || types.isEmpty()) {
       return;
--- a/src/main/java/mallowstall/core/placement/Policy.java
+++ b/src/main/java/mallowstall/core/placement/Policy.java
@@ -2,11 +2,17 @@
 
 import java.util.List;
 
-/** What a class of jobs may use and prefers: blocks tried in order (paper, section 2.2). */
+/**
+ * The placement policy of a job class: blocks that are tried in order. A block selects and orders
+ * the machines that a job may use (paper, section 2.2).
+ */
 public interface Policy {
-  /** Facts on one pair of a machine and a job, whose tasks are alike. Mutable, reused. */
+  /**
+   * The facts about a pair of a machine and a job. They hold for each task of the job, since its
+   * tasks are alike. Mutable; {@link PolicyFacts} reuses one object for all pairs.
+   */
   final class Facts {
-    /** s. Stands for a time that never comes. */
+    /** Stands for a time in seconds that is never reached. */
     public static final double NEVER_S = 1e9;
 
     public String zone;
@@ -23,16 +29,19 @@
     /** Fraction of the machine's processors in use. */
     public double cpuUtilization;
 
-    /** Seconds until the image would be there. */
+    /** Time in seconds until the machine would have the image; 0 if it has the image. */
     public double fetchS;
 
-    /** Seconds in which the machines that have the image could serve all tasks waiting for it. */
+    /**
+     * Time in seconds in which the machines that have the image could serve all queued tasks that
+     * need the image.
+     */
     public double drainS;
 
-    /** The longest such time among the images that this machine has. */
+    /** Maximum {@link #drainS} of the other images that this machine has; 0 if there is none. */
     public double otherDrainS;
 
-    /** The machine is reserved for urgent jobs. */
+    /** Whether the machine is reserved for urgent jobs. */
     public boolean reservedForUrgent;
 
     public double imageFetches;
@@ -40,10 +49,16 @@
     public double taskGpus;
     public double taskMemoryGb;
 
-    /** Since submission, or since a task of the job was started last. */
+    /**
+     * Time in seconds since the job was submitted or, if that is later, since a task of the job was
+     * last started.
+     */
     public double waitedS;
 
-    /** Until a task must start for the job to meet its deadline; very much without one. */
+    /**
+     * Time in seconds until a task must start for the job to meet its deadline; {@link #NEVER_S} if
+     * the job has no deadline.
+     */
     public double slackS;
 
     public double estimateS;
@@ -51,41 +66,44 @@
     public double pendingTasks;
     public double price;
 
-    /** The job is a service: its replicas run until it is cancelled. */
+    /** Whether the job is a service, whose replicas run until the job is cancelled. */
     public boolean service;
   }
 
-  /** How a block orders its machines. */
+  /** How a block orders its machines: by lowest score, by highest score or at random. */
   enum Strategy {
     LOWEST,
     HIGHEST,
     RANDOM
   }
 
-  /** One step of a policy. */
+  /**
+   * One step of a policy. The methods {@link #workers} and {@link #invalidate} have the names of
+   * their clauses in the policy language.
+   */
   interface Block {
-    /** Whether the block offers the machine. */
+    /** Returns whether the block selects the machine. */
     boolean workers(Facts facts);
 
-    /** Whether the machine is left out all the same. */
+    /** Returns whether the block excludes a machine that {@link #workers} selects. */
     boolean invalidate(Facts facts);
 
-    /** How the machines are ordered. */
+    /** Returns how the block orders its machines. */
     Strategy strategy();
 
-    /** What they are ordered by. */
+    /** Returns the score by which machines are ordered, unless the strategy is random. */
     double score(Facts facts);
   }
 
-  /** The steps, in the order in which they are tried. */
+  /** Returns the blocks, in the order in which they are tried. */
   List<Block> blocks();
 
-  /** The name under which the backoff is kept. */
+  /** Returns the name; batch jobs with policies of the same name share one backoff. */
   String name();
 
-  /** Policies by class of jobs. */
+  /** The policies by job class. */
   interface PolicyRegistry {
-    /** The policy of a class of jobs; that of the default class if it has none. */
+    /** Returns the policy of the job class, or of the default class if the class has none. */
     Policy forJobClass(String jobClass);
   }
 }
--- a/src/main/java/mallowstall/core/placement/PolicyFacts.java
+++ b/src/main/java/mallowstall/core/placement/PolicyFacts.java
@@ -10,12 +10,12 @@
 import mallowstall.core.model.JobSpec;
 import mallowstall.core.model.MachineType;
 
-/** Gathers what policies may ask about a machine and a job. Mutable. */
+/** Evaluates the facts about a machine and a job that policies can read. Mutable. */
 public final class PolicyFacts {
-  /** Stands for a machine that no block of the policy accepts. */
+  /** The result of {@link #acceptedFetchS} if no block of the policy accepts the machine. */
   static final double REJECTED = Double.POSITIVE_INFINITY;
 
-  /** Of the time that a fetch takes, what is left on average of one that runs already. */
+  /** Fraction of an image's fetch time that on average remains of a fetch already in progress. */
   private static final double REMAINING_FETCH_FRACTION = 0.6;
 
   private final EventClock clock;
@@ -26,7 +26,7 @@
   private final QueuedWork queuedWork;
   private final Policy.Facts facts = new Policy.Facts();
 
-  /** Facts come from the cluster view, the demand for machines and the work that waits. */
+  /** The facts come from the cluster view, the machine demand and the queued work. */
   public PolicyFacts(
       EventClock clock,
       CoreSettings settings,
@@ -42,7 +42,7 @@
     this.queuedWork = queuedWork;
   }
 
-  /** The facts on this pair; they stand until the next call. */
+  /** Returns the facts about this machine and job. The next call overwrites the returned object. */
   Policy.Facts evaluate(MachineView machine, LedJob ledJob, long now) {
     MachineType type = types.find(machine.status().type());
     evaluateMachine(machine, type);
@@ -108,12 +108,18 @@
     facts.service = spec.isService();
   }
 
-  /** Since submission or, as the job progresses, since one of its tasks was last started; in s. */
+  /**
+   * Returns the time in seconds since the job was submitted or, if that is later, since one of its
+   * tasks was last started.
+   */
   private static double waitedS(LedJob ledJob, double ageS, long now) {
     return ledJob.lastStartMs() == 0 ? ageS : Math.min(ageS, (now - ledJob.lastStartMs()) / 1000.0);
   }
 
-  /** Seconds until the image would be there if a block accepts the machine, else REJECTED. */
+  /**
+   * Returns the time in seconds until the machine would have the image, or {@link #REJECTED} if no
+   * block of the policy accepts the machine.
+   */
   double acceptedFetchS(Policy policy, MachineView machine, LedJob ledJob, long now) {
     evaluate(machine, ledJob, now);
     for (Policy.Block block : policy.blocks()) {
