--- a/src/main/java/mallowstall/core/machines/CommandChannel.java
+++ b/src/main/java/mallowstall/core/machines/CommandChannel.java
@@ -5,11 +5,11 @@
 import mallowstall.core.model.TaskKey;
 
 /**
- * Commands sent to one worker's own address and what is known of their outcome. Mutable.
+ * The direct commands sent to one worker and what is known of their outcome. Mutable.
  *
- * <p>Until a command is answered, or the worker acknowledges a larger fencing token, its starts may
- * be executed at any time: they count as possibly running and their attempts are not forgotten,
- * since a late copy would start them again.
+ * <p>The worker may execute a start at any time until it answers the request or acknowledges a
+ * larger fencing token. Until then the task counts as possibly running, and no remove command is
+ * sent for its attempt, since a late copy of the start would start the attempt again.
  */
 final class CommandChannel {
   private final Set<TaskKey> unacknowledgedStarts = new HashSet<>();
@@ -17,75 +17,75 @@
   private boolean outcomeUnknown;
   private boolean tokenWriteInFlight;
 
-  /** Whether the fencing token was raised after the last command whose outcome is unknown. */
+  /** Whether the fencing token was raised after the outcome of a request became unknown. */
   private boolean tokenRaised;
 
   private long lastSentMs;
 
-  /** Whether a further request may be sent. */
+  /** Returns whether another request may be sent. */
   boolean ready() {
     return !requestInFlight && !outcomeUnknown && !tokenWriteInFlight;
   }
 
-  /** A request leaves now. */
+  /** Records that a request is sent at {@code now}. */
   void beginRequest(long now) {
     requestInFlight = true;
     lastSentMs = now;
   }
 
-  /** The request was answered or given up. */
+  /** Records that the request was answered or abandoned. */
   void endRequest() {
     requestInFlight = false;
   }
 
-  /** When the last request left, in ms of the steady clock; 0 before the first. */
+  /** Returns when the last request was sent, in milliseconds of the steady clock, or 0 if none. */
   long lastSentMs() {
     return lastSentMs;
   }
 
-  /** A start is part of the request that leaves. */
+  /** Records that the request being sent contains a start of the task. */
   void addUnacknowledgedStart(TaskKey key) {
     unacknowledgedStarts.add(key);
   }
 
-  /** Whether a start of the task may still be executed. */
+  /** Returns whether a start of the task may still be executed. */
   boolean isUnacknowledged(TaskKey key) {
     return unacknowledgedStarts.contains(key);
   }
 
-  /** Whether any start may still be executed. */
+  /** Returns whether any start may still be executed. */
   boolean hasUnacknowledgedStarts() {
     return !unacknowledgedStarts.isEmpty();
   }
 
-  /** The outcome of a request is unknown: nothing is sent before a larger token is acknowledged. */
+  /** Records an unknown outcome. No request is sent until a larger token is acknowledged. */
   void markOutcomeUnknown() {
     outcomeUnknown = true;
   }
 
-  /** The outcome of all requests is known. */
+  /** Records that the outcome of all requests is known. */
   void settle() {
     unacknowledgedStarts.clear();
     outcomeUnknown = false;
     tokenRaised = false;
   }
 
-  /** Whether the outcome of a request is unknown and the fencing token not yet raised for it. */
+  /** Returns whether an outcome is unknown and the fencing token has not been raised since. */
   boolean needsTokenRaise() {
     return outcomeUnknown && !tokenRaised;
   }
 
-  /** Whether the worker's acknowledgement of the current fencing token settles all requests. */
+  /** Returns whether an acknowledgement of the current fencing token settles all requests. */
   boolean settledByAcknowledgement() {
     return outcomeUnknown && !tokenWriteInFlight && tokenRaised;
   }
 
-  /** Whether the write of a larger fencing token is unanswered. */
+  /** Returns whether the write of a larger fencing token is unanswered. */
   boolean tokenWriteInFlight() {
     return tokenWriteInFlight;
   }
 
-  /** Begins the write of a larger fencing token; false: it is under way or done already. */
+  /** Begins a token write. Returns false if one is in flight or the token is already raised. */
   boolean beginTokenWrite() {
     if (tokenWriteInFlight || tokenRaised) {
       return false;
@@ -94,12 +94,12 @@
     return true;
   }
 
-  /** The write of a larger fencing token was answered or refused. */
+  /** Records that the write of a larger fencing token was answered or refused. */
   void endTokenWrite() {
     tokenWriteInFlight = false;
   }
 
-  /** The larger fencing token is stored. */
+  /** Records that the larger fencing token is stored. */
   void markTokenRaised() {
     tokenRaised = true;
   }
--- a/src/main/java/mallowstall/core/machines/DirectCommands.java
+++ b/src/main/java/mallowstall/core/machines/DirectCommands.java
@@ -23,14 +23,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sends starts and stops to the worker's own address, one request per machine at a time. Such a
- * command may be executed at any time until it is answered or the worker acknowledges a larger
- * fencing token, so the token is raised when the outcome of one is unknown. Mutable.
+ * Sends starts and stops to the workers' own addresses, one request per machine at a time. A worker
+ * may execute a command at any time until it answers the request or acknowledges a larger fencing
+ * token. Therefore the token is raised when the outcome of a start is unknown. Mutable.
  */
 public final class DirectCommands {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.machines");
 
-  /** ms. Least time between two requests to one worker's own address: joins a burst of starts. */
+  /**
+   * The minimum time between two requests to one worker, in milliseconds. The starts of a burst
+   * share one request.
+   */
   private static final long COMMAND_REQUEST_INTERVAL_MIN_MS = 30;
 
   private final EventClock clock;
@@ -42,10 +45,10 @@
   private final ManagedMachines machines;
   private final FencingTokens fencingTokens;
 
-  /** Machines for which a command may wait to be sent. */
+  /** The machines that may have pending commands. */
   private final Set<ManagedMachine> machinesWithPendingCommands = new LinkedHashSet<>();
 
-  /** Sends nothing before a machine is enqueued. */
+  /** Creates a sender that sends nothing until a machine is enqueued. */
   public DirectCommands(
       EventClock clock,
       Effects effects,
@@ -65,12 +68,12 @@
     this.fencingTokens = fencingTokens;
   }
 
-  /** A command may wait to be sent to this machine. */
+  /** Enqueues a machine that may have pending commands. */
   void enqueue(ManagedMachine machine) {
     machinesWithPendingCommands.add(machine);
   }
 
-  /** Sends commands that would else wait for the machines' next heartbeats. */
+  /** Sends pending commands that would otherwise wait for the machines' next heartbeats. */
   public void sendPending() {
     if (machinesWithPendingCommands.isEmpty()) {
       return;
@@ -90,7 +93,7 @@
   }
 
   private void sendPending(ManagedMachine machine) {
-    if (!reachable(machine)) {
+    if (!canSendTo(machine)) {
       return;
     }
     List<WorkerCommand> commands = stopsFor(machine);
@@ -108,8 +111,8 @@
     }
   }
 
-  /** Whether a request may be sent to the machine now. */
-  private boolean reachable(ManagedMachine machine) {
+  /** Returns whether a request may be sent to the machine now. */
+  private boolean canSendTo(ManagedMachine machine) {
     return machine.commands().ready()
         && machine.address() != null
         && machine.workerSession() != 0
@@ -143,7 +146,7 @@
     return commands;
   }
 
-  /** Reserved starts that haven't been sent, at most {@code limit}. */
+  /** Returns at most {@code limit} reserved starts that are unsent and still valid. */
   private List<Reservation> startsFor(ManagedMachine machine, int limit) {
     List<Reservation> starts = new ArrayList<>();
     for (Reservation reservation : machine.tasks().reservations()) {
--- a/src/main/java/mallowstall/core/machines/FencingTokens.java
+++ b/src/main/java/mallowstall/core/machines/FencingTokens.java
@@ -2,13 +2,13 @@
 
 import mallowstall.core.kernel.ResultCode;
 
-/** Raises fencing tokens, which invalidates commands of unknown outcome under smaller ones. */
+/** Raises fencing tokens to invalidate commands of unknown outcome under smaller tokens. */
 public final class FencingTokens {
   private final ManagedMachines machines;
   private final MachineEntryWriter entryWriter;
   private final StatusPublisher statusPublisher;
 
-  /** Raises tokens through the entry writer and publishes them. */
+  /** Creates an instance that stores tokens with the entry writer and publishes them. */
   public FencingTokens(
       ManagedMachines machines, MachineEntryWriter entryWriter, StatusPublisher statusPublisher) {
     this.machines = machines;
@@ -17,8 +17,9 @@
   }
 
   /**
-   * Writes the machine's entry anew, so that its revision becomes a larger token; nothing if this
-   * is under way or done already. Once the worker acknowledges it, it ignores older commands.
+   * Writes the machine's entry again, so that the revision of the write becomes a larger fencing
+   * token. Does nothing if a write is in flight or the token has already been raised. Once the
+   * worker acknowledges the larger token, the worker ignores commands under smaller tokens.
    */
   void raise(ManagedMachine machine) {
     if (!machine.commands().beginTokenWrite()) {
--- a/src/main/java/mallowstall/core/machines/FreeResources.java
+++ b/src/main/java/mallowstall/core/machines/FreeResources.java
@@ -3,10 +3,11 @@
 import mallowstall.core.model.JobSpec;
 import mallowstall.core.model.MachineType;
 
-/** Processors, GPUs and memory of one machine that are not in use. Mutable. */
+/** The CPUs, GPUs and memory of one machine that are not in use. Mutable. */
 final class FreeResources {
   /**
-   * Processors, GPUs or GB. Amounts that differ by less are equal: sums of decimals are inexact.
+   * The difference in CPUs, GPUs or GB below which two amounts count as equal, since sums of
+   * decimal fractions are inexact.
    */
   private static final double AMOUNT_EPSILON = 1e-6;
 
@@ -14,45 +15,45 @@
   private double gpus;
   private double memoryGb;
 
-  /** All resources of an empty machine of the type. */
+  /** Creates an instance with all resources of an empty machine of the type. */
   FreeResources(MachineType type) {
     cpus = type.cpus();
     gpus = type.gpus();
     memoryGb = type.memoryGb();
   }
 
-  /** Takes away what one task of the job uses; the rest may become negative. */
+  /** Subtracts the resources of one task of the job. The free amounts may become negative. */
   void allocate(JobSpec spec) {
     cpus -= spec.cpus();
     gpus -= spec.gpus();
     memoryGb -= spec.memoryGb();
   }
 
-  /** Gives back what one task of the job uses. */
+  /** Adds the resources of one task of the job. */
   void release(JobSpec spec) {
     cpus += spec.cpus();
     gpus += spec.gpus();
     memoryGb += spec.memoryGb();
   }
 
-  /** Whether one task of the job fits, up to rounding errors. */
+  /** Returns whether one task of the job fits, up to rounding errors. */
   boolean fits(JobSpec spec) {
     return spec.cpus() <= cpus + AMOUNT_EPSILON
         && spec.gpus() <= gpus + AMOUNT_EPSILON
         && spec.memoryGb() <= memoryGb + AMOUNT_EPSILON;
   }
 
-  /** Processors not in use. */
+  /** Returns the number of free CPUs, negative if too many are allocated. */
   double cpus() {
     return cpus;
   }
 
-  /** GPUs not in use. */
+  /** Returns the number of free GPUs, negative if too many are allocated. */
   double gpus() {
     return gpus;
   }
 
-  /** Memory not in use, in GB. */
+  /** Returns the free memory in GB, negative if too much is allocated. */
   double memoryGb() {
     return memoryGb;
   }
--- a/src/main/java/mallowstall/core/machines/HeartbeatApplier.java
+++ b/src/main/java/mallowstall/core/machines/HeartbeatApplier.java
@@ -16,7 +16,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Takes over what heartbeats say of machines led here. */
+/** Applies the contents of heartbeats to the machines that this controller leads. */
 public final class HeartbeatApplier {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.machines");
 
@@ -29,9 +29,11 @@
   private final FencingTokens fencingTokens;
 
   /**
-   * Takes over heartbeats and requests status updates for what they change.
+   * Creates an instance that requests a status update for each heartbeat that changes a machine's
+   * status.
    *
-   * @param jobAtFault whether failures of a job's tasks say nothing of the machine, by job
+   * @param jobAtFault returns for a job ID whether failures of its tasks are attributed to the job
+   *     and not counted against the machine
    */
   public HeartbeatApplier(
       EventClock clock,
@@ -51,14 +53,14 @@
   }
 
   /**
-   * Takes over what the worker says of itself.
+   * Applies a heartbeat to the machine.
    *
-   * @param sentByWorker the worker sent it by itself, so that it ignores earlier responses to its
-   *     heartbeats; false: it answered a direct command
+   * @param sentByWorker true if the worker sent the heartbeat by itself, after which the worker
+   *     ignores responses to earlier heartbeats; false if the heartbeat answers a direct command
    */
   void apply(ManagedMachine machine, Heartbeat heartbeat, boolean sentByWorker) {
     long now = clock.now();
-    boolean statusChanged = changesBeyondTasks(machine, heartbeat);
+    boolean statusChanged = hasNonTaskChanges(machine, heartbeat);
     if (heartbeat.session() > machine.workerSession()) {
       beginSession(machine, now);
     }
@@ -71,7 +73,7 @@
     }
     machine.recordHeartbeat(heartbeat, now);
     statusChanged |= applyTasks(machine, heartbeat, now);
-    statusChanged |= removeSettledReservations(machine, sentByWorker, now);
+    statusChanged |= removeObsoleteReservations(machine, sentByWorker, now);
     if (statusChanged) {
       machine.published().markChanged();
       statusPublisher.requestPublish();
@@ -79,10 +81,10 @@
   }
 
   /**
-   * Whether something in status updates, but for tasks, is about to change; most heartbeats change
-   * nothing and must not cause an update to every peer.
+   * Returns whether the heartbeat changes anything but tasks in the machine's published status.
+   * Most heartbeats change nothing and must not cause a status update to every peer.
    */
-  private static boolean changesBeyondTasks(ManagedMachine machine, Heartbeat heartbeat) {
+  private static boolean hasNonTaskChanges(ManagedMachine machine, Heartbeat heartbeat) {
     return machine.leaseExpired()
         || heartbeat.session() != machine.workerSession()
         || (heartbeat.fencingToken() >= machine.fencingToken() && !machine.tokenAcknowledged())
@@ -90,23 +92,25 @@
         || !Objects.equals(heartbeat.address(), machine.address());
   }
 
-  /** The worker has begun a session that wasn't known: the tasks of earlier ones have ended. */
+  /** Begins a worker session that was unknown so far. The tasks of earlier sessions have ended. */
   private void beginSession(ManagedMachine machine, long now) {
     machine.beginSession();
     if (machine.workerSession() != 0
         && machine.tokenAcknowledged()
         && now - machine.lastResponseMs() < settings.workerLeaseMs() / 2) {
-      // answers don't reach it: no task before it has acknowledged a larger token
+      // The responses don't reach the worker. The machine gets no task until the worker has
+      // acknowledged a larger fencing token.
       LOG.info("worker lost its lease although it was answered machine={}", machine.id());
       machine.commands().markOutcomeUnknown();
       fencingTokens.raise(machine);
     }
-    // The session may be known from a direct command's answer alone: counted from the former
-    // session's last answer, the lease would expire with tasks that the machine just got.
+    // The new session may be known only from the answer to a direct command. If its lease were
+    // counted from the last response to the previous session, it would expire although the machine
+    // has just got tasks.
     machine.recordResponse(Math.max(machine.lastResponseMs(), now));
   }
 
-  /** Takes over the worker's tasks; returns whether anything about them is new. */
+  /** Applies the worker's list of tasks. Returns whether anything in it has changed. */
   private boolean applyTasks(ManagedMachine machine, Heartbeat heartbeat, long now) {
     if (hasSameTasks(machine, heartbeat)) {
       return false;
@@ -147,21 +151,27 @@
     return true;
   }
 
-  /** Drops reservations that have arrived or never will; returns whether there were any. */
-  private boolean removeSettledReservations(
+  /**
+   * Removes the reservations of starts that the worker has reported or will never execute. Returns
+   * whether any was removed.
+   */
+  private boolean removeObsoleteReservations(
       ManagedMachine machine, boolean sentByWorker, long now) {
     return machine
         .tasks()
-        .removeReservationsIf(reservation -> isSettled(machine, reservation, sentByWorker), now);
+        .removeReservationsIf(reservation -> isObsolete(machine, reservation, sentByWorker), now);
   }
 
-  private boolean isSettled(ManagedMachine machine, Reservation reservation, boolean sentByWorker) {
+  private boolean isObsolete(
+      ManagedMachine machine, Reservation reservation, boolean sentByWorker) {
     if (machine.tasks().isReported(reservation.attempt())) {
       return true;
     }
-    // sent or not: the worker ignores responses from before a heartbeat that it sent by itself
+    // A worker ignores responses to heartbeats before the last one that it sent by itself, so an
+    // expired start is never executed even if an earlier response contained it. A start in an
+    // unacknowledged direct command may still arrive.
     return sentByWorker
-        && !machine.commands().isUnacknowledged(reservation.key()) // else it may still arrive
+        && !machine.commands().isUnacknowledged(reservation.key())
         && clock.wallClockMs() > reservation.request().expiryWallMs();
   }
 
--- a/src/main/java/mallowstall/core/machines/HeartbeatResponder.java
+++ b/src/main/java/mallowstall/core/machines/HeartbeatResponder.java
@@ -19,17 +19,17 @@
 import mallowstall.core.model.TaskState;
 import mallowstall.core.model.WorkerCommand;
 
-/** Decides which tasks a worker starts, stops and removes from its list. */
+/** Builds the responses to heartbeats: the tasks that a worker starts, stops and removes. */
 public final class HeartbeatResponder {
-  /** Count. Most commands in one heartbeat response: keeps a line far below 64 KiB. */
+  /** The maximum number of commands in one heartbeat response. It keeps a line far below 64 KiB. */
   static final int COMMANDS_PER_RESPONSE_MAX = 200;
 
-  /** s. Grace period of a stopped task beyond the time that it needs to save a checkpoint. */
+  /** The part of a stop's grace period beyond the time for saving a checkpoint, in seconds. */
   private static final double CHECKPOINT_SAVE_MARGIN_S = 1;
 
   /**
-   * s. A task is stopped to save a checkpoint if its machine is taken less than this after it could
-   * have saved.
+   * The margin before the interruption of a machine, in seconds. A task is stopped to save a
+   * checkpoint when less time is left than it needs for the checkpoint plus this margin.
    */
   private static final double INTERRUPTION_SAVE_MARGIN_S = 4;
 
@@ -40,7 +40,7 @@
   private final ManagedMachines machines;
   private final StatusPublisher statusPublisher;
 
-  /** Answers from what the replica says of jobs and what is reserved on the machines. */
+  /** Creates a responder that decides by the state replica and the machines' reservations. */
   public HeartbeatResponder(
       EventClock clock,
       StateStore store,
@@ -56,13 +56,13 @@
     this.statusPublisher = statusPublisher;
   }
 
-  /** Removals, stops and starts for the worker, in this order; the answer renews its lease. */
+  /** Returns removals, stops and starts, in this order. The response renews the worker's lease. */
   HeartbeatResponse respond(ManagedMachine machine) {
     List<WorkerCommand> stops = new ArrayList<>();
     List<WorkerCommand> commands = new ArrayList<>();
     for (TaskReport task : machine.tasks().reports()) {
       if (task.state() == TaskState.EXITED) {
-        if (canForget(machine, task)) {
+        if (canRemove(machine, task)) {
           commands.add(command(CommandKind.REMOVE, task, 0));
         }
         machine.tasks().clearPendingStop(TaskAttempt.of(task).key());
@@ -82,8 +82,8 @@
     return new WorkerCommand(kind, task.job(), task.task(), task.attempt(), graceSeconds);
   }
 
-  /** Whether the worker needn't list the exited task any more. */
-  private boolean canForget(ManagedMachine machine, TaskReport task) {
+  /** Returns whether the worker may remove the exited task from its list. */
+  private boolean canRemove(ManagedMachine machine, TaskReport task) {
     JobEntry job = store.job(task.job());
     TaskAttempt attempt = TaskAttempt.of(task);
     if (job == null || machine.commands().isUnacknowledged(attempt.key())) {
@@ -94,7 +94,7 @@
         || (machines.restartsAfterExit(task) && machine.published().isExitPublished(attempt));
   }
 
-  /** Seconds that the task gets to checkpoint before it is stopped; empty: it goes on. */
+  /** Returns the grace period in seconds of the stop to send, or empty if none is needed. */
   private OptionalDouble stopGraceSeconds(ManagedMachine machine, TaskReport task) {
     JobEntry job = store.job(task.job());
     if (noLongerNeeded(task.job(), job, task.task())) {
@@ -116,7 +116,7 @@
         || (job != null && jobBitmaps.isRecordedCompleted(job, task));
   }
 
-  /** Whether the cloud takes the machine so soon that the task has just the time to checkpoint. */
+  /** Returns whether the time before the cloud's interruption just suffices for a checkpoint. */
   private boolean mustCheckpointNow(ManagedMachine machine, TaskReport task, JobSpec spec) {
     return machine.terminationAnnounced()
         && task.state() == TaskState.RUNNING
@@ -125,11 +125,11 @@
             < (spec.checkpointSaveS() + INTERRUPTION_SAVE_MARGIN_S) * 1000;
   }
 
-  /** Adds reserved starts up to the limit of one answer; rejects those that came too late. */
+  /** Rejects obsolete reserved starts and adds the others, up to the limit of one response. */
   private void addStarts(ManagedMachine machine, List<WorkerCommand> commands) {
     machine
         .tasks()
-        .removeReservationsIf(reservation -> isRejected(machine, reservation), clock.now());
+        .removeReservationsIf(reservation -> rejectIfObsolete(machine, reservation), clock.now());
     for (Reservation reservation : machine.tasks().reservations()) {
       if (commands.size() >= COMMANDS_PER_RESPONSE_MAX) {
         return;
@@ -144,8 +144,8 @@
     }
   }
 
-  /** Whether the start must not be executed any more; it is rejected then. */
-  private boolean isRejected(ManagedMachine machine, Reservation reservation) {
+  /** Rejects the start if it must not be executed any more. Returns whether it was rejected. */
+  private boolean rejectIfObsolete(ManagedMachine machine, Reservation reservation) {
     StartRequest start = reservation.request();
     TaskKey key = reservation.key();
     if (machine.commands().isUnacknowledged(key)) {
@@ -157,7 +157,7 @@
     if (!noLongerNeeded && !tooLate) {
       return false;
     }
-    // the worker ignores every earlier response once it sent this heartbeat: it never runs
+    // The worker ignores responses to heartbeats before this one, so it never executes the start.
     statusPublisher.rejectStart(start, noLongerNeeded ? "not wanted any more" : "too late");
     return true;
   }
--- a/src/main/java/mallowstall/core/machines/HeartbeatRouter.java
+++ b/src/main/java/mallowstall/core/machines/HeartbeatRouter.java
@@ -10,8 +10,9 @@
 import mallowstall.core.model.HeartbeatResponse;
 
 /**
- * Decides who answers a worker's heartbeat: this controller, because it leads the machine or
- * becomes its leader, another one, or nobody if the heartbeat may be a late copy.
+ * Routes heartbeats. This controller accepts a heartbeat if it leads the machine or becomes its
+ * leader. Otherwise it redirects the worker to another controller, or responds that it is
+ * unavailable, for example if the heartbeat may be a late copy.
  */
 public final class HeartbeatRouter {
   private final EventClock clock;
@@ -22,7 +23,7 @@
   private final HeartbeatHandler heartbeatHandler;
   private final MachineRegistration registration;
 
-  /** Passes heartbeats of machines led here to the handler and others to the registration. */
+  /** Creates a router that passes machines not led by this controller to the registration. */
   public HeartbeatRouter(
       EventClock clock,
       StateStore store,
@@ -40,7 +41,7 @@
     this.registration = registration;
   }
 
-  /** Handles a heartbeat; {@code reply} is called once, perhaps later. */
+  /** Routes a heartbeat. {@code reply} is called once, possibly after this method returns. */
   public void route(Heartbeat heartbeat, Consumer<HeartbeatResponse> reply) {
     if (!store.synced()
         || store.incarnation() == 0
@@ -50,7 +51,7 @@
       return;
     }
     if (connectivity.isIsolatedFromStateService()) {
-      // new jobs aren't known here, so the machine would stay idle
+      // This controller doesn't receive new jobs, so a machine that it leads would stay idle.
       reply.accept(HeartbeatResponse.redirect(connectivity.peerWithStateAccess()));
       return;
     }
@@ -62,22 +63,24 @@
     }
   }
 
-  /** Answers the worker of a machine led here. */
+  /** Returns the response to the worker of a machine that this controller leads. */
   private HeartbeatResponse respond(ManagedMachine machine, Heartbeat heartbeat) {
     if (machine.leaseExpired() && heartbeat.session() <= machine.workerSession()) {
-      // sent before the lease expired and delivered late: the tasks it lists have ended
+      // The worker sent this heartbeat before its lease expired, and it arrives late: the tasks
+      // that it lists have ended.
       return HeartbeatResponse.unavailable();
     }
     if (heartbeat.session() < machine.workerSession()
         || (heartbeat.session() == machine.workerSession()
             && heartbeat.sequence() <= machine.handledHeartbeatSequence())) {
-      // a late copy, since a worker sends one heartbeat at a time: it renews nothing
+      // A worker sends one heartbeat at a time, so this one is a late copy. It must not renew the
+      // worker's lease.
       return HeartbeatResponse.unavailable();
     }
     if (heartbeat.session() == machine.workerSession()
         && heartbeat.sequence() <= machine.latestHeartbeatSequence()) {
-      // overtaken by the answer to a direct command, but refused it would send a healthy worker
-      // to another controller
+      // The answer to a direct command has overtaken this heartbeat. It is accepted nevertheless,
+      // since a healthy worker would turn to another controller after a rejection.
       machine.recordHandledSequence(heartbeat.sequence());
       machine.recordResponse(clock.now());
       return HeartbeatResponse.accepted(machine.fencingToken(), List.of());
--- a/src/main/java/mallowstall/core/machines/ImageCache.java
+++ b/src/main/java/mallowstall/core/machines/ImageCache.java
@@ -8,25 +8,25 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Images that a machine has most likely cached: a guess from the tasks that ran there, since
- * heartbeats don't name images. Mutable.
+ * An estimate of the images that a machine has cached. It is based on the tasks that ran on the
+ * machine, since heartbeats don't list images. Mutable.
  */
 final class ImageCache {
   private final double capacityGb;
 
-  /** Least recently used first. */
+  /** The cached images, least recently used first. */
   private final LinkedHashSet<String> images = new LinkedHashSet<>();
 
   ImageCache(double capacityGb) {
     this.capacityGb = capacityGb;
   }
 
-  /** Adds images that were cached under the machine's previous leader, oldest first. */
+  /** Adds images cached under the machine's previous leader, least recently used first. */
   void addAll(Collection<String> cached) {
     images.addAll(cached);
   }
 
-  /** Makes the image the most recently used and evicts the oldest ones beyond the capacity. */
+  /** Marks the image as most recently used and evicts the oldest ones beyond the capacity. */
   void use(String image, ToDoubleFunction<String> sizeGb) {
     if (image == null) {
       return;
@@ -44,7 +44,7 @@
     }
   }
 
-  /** The cached images, least recently used first; an immutable copy. */
+  /** Returns an immutable copy of the cached images, least recently used first. */
   List<String> toList() {
     return List.copyOf(images);
   }
--- a/src/main/java/mallowstall/core/machines/LeaderRedirects.java
+++ b/src/main/java/mallowstall/core/machines/LeaderRedirects.java
@@ -14,18 +14,21 @@
 import mallowstall.core.model.MachineEntry;
 
 /**
- * Redirects workers to the machine's live leader, or new machines to their preferred one; each only
- * once in a while, so that a worker that can't reach that controller is soon accepted here.
- * Mutable.
+ * Redirects workers to their machine's live leader, and workers of new machines to their preferred
+ * leader. A redirect is not repeated within {@link #REDIRECT_REPEAT_MS}, so that a worker that
+ * can't reach the other controller is soon accepted here. Mutable.
  */
 public final class LeaderRedirects {
-  /** ms. By how much a working controller's regular status update may be late. */
+  /** The maximum delay of a working controller's regular status update, in milliseconds. */
   private static final long STATUS_UPDATE_LATE_MS = 500;
 
-  /** ms. A redirected worker that comes again within this is registered here. */
+  /**
+   * The time in milliseconds after a redirect within which the worker is registered here if it
+   * turns to this controller again.
+   */
   private static final long REDIRECT_REPEAT_MS = 20_000;
 
-  /** Count. New machines sent to another controller that are remembered: more than a fleet has. */
+  /** The maximum number of remembered redirects of new machines, larger than a fleet. */
   private static final int REDIRECTS_MAX = 10_000;
 
   private final CoreSettings settings;
@@ -33,13 +36,13 @@
   private final ClusterView view;
   private final Membership membership;
 
-  /** When new machines were redirected to their preferred leader, in ms of the steady clock. */
+  /** Times of redirects to preferred leaders, in milliseconds of the steady clock, by machine. */
   private final Map<String, Long> preferredRedirectMs = new HashMap<>();
 
-  /** When machines were redirected to their live leader, in ms of the steady clock. */
+  /** Times of redirects to live leaders, in milliseconds of the steady clock, by machine. */
   private final Map<String, Long> liveRedirectMs = new HashMap<>();
 
-  /** Redirects by what the replica, the leaders' status updates and the membership say. */
+  /** Creates an instance that decides by the replica, status updates and the membership. */
   public LeaderRedirects(
       CoreSettings settings, StateStore store, ClusterView view, Membership membership) {
     this.settings = settings;
@@ -48,7 +51,7 @@
     this.membership = membership;
   }
 
-  /** The controller to which the worker is redirected now; empty: it is accepted here. */
+  /** Returns the controller that the worker is redirected to, or empty if it is accepted here. */
   Optional<String> redirect(Heartbeat heartbeat, long now) {
     if (isLedElsewhere(heartbeat.machine(), now)
         && !redirectedRecently(liveRedirectMs, heartbeat.machine(), now)) {
@@ -58,14 +61,15 @@
     return heartbeat.fencingToken() == 0 ? redirectToPreferred(heartbeat, now) : Optional.empty();
   }
 
-  /** Forgets redirects that may be repeated. */
+  /** Removes the records of redirects to live leaders that may be repeated. */
   void expire(long now) {
     liveRedirectMs.values().removeIf(atMs -> now - atMs > REDIRECT_REPEAT_MS);
   }
 
   /**
-   * Whether another controller that lives and has state and peers leads the machine and still hears
-   * it: the heartbeat may be a late copy that is newer than the last status update.
+   * Returns whether another live controller leads the machine, is connected to the state service
+   * and its peers, and still receives the machine's heartbeats. The heartbeat that is being handled
+   * may then be a late copy that is newer than the leader's last status update.
    */
   private boolean isLedElsewhere(String id, long now) {
     MachineEntry entry = store.machine(id);
--- a/src/main/java/mallowstall/core/machines/LeadershipChanges.java
+++ b/src/main/java/mallowstall/core/machines/LeadershipChanges.java
@@ -8,7 +8,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Applies changes of entries in the state service to the machines led here. */
+/** Applies changes of entries in the state service to the machines that this controller leads. */
 public final class LeadershipChanges {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.machines");
 
@@ -19,7 +19,7 @@
   private final StatusUpdateSequence updates;
   private final RestartRecovery restartRecovery;
 
-  /** Releases machines through {@code updates}, so that peers hear of it. */
+  /** Creates an instance that announces released machines to peers through {@code updates}. */
   public LeadershipChanges(
       CoreSettings settings,
       StateStore store,
@@ -35,7 +35,7 @@
     this.restartRecovery = restartRecovery;
   }
 
-  /** The machine's entry has changed; null: it was deleted when the machine was returned. */
+  /** Applies a change of a machine's entry, null if deleted because the machine was returned. */
   public void machineChanged(String id, MachineEntry entry) {
     if (entry != null) {
       restartRecovery.noteInterveningLeader(id, entry);
@@ -47,7 +47,7 @@
     if (entry == null) {
       release(id);
     } else if (entry.node().equals(settings.node()) && entry.incarnation() == store.incarnation()) {
-      // an own write may be seen here before its answer is handled
+      // The replica may apply a write of this controller before its response is handled.
       if (!machine.commands().tokenWriteInFlight()
           && entry.fencingToken() > machine.fencingToken()) {
         release(id);
@@ -67,8 +67,9 @@
   }
 
   /**
-   * A job has become known: its tasks may be on machines taken from a leader whose replica was
-   * ahead, and their resources count as used only from now on.
+   * Requests a status update for machines that list tasks of a newly known job. A machine that was
+   * taken from a leader with a newer replica may list tasks of a job that is unknown here. The
+   * resources of these tasks count as used only once the job is known.
    */
   public void jobChanged(JobEntry before, JobEntry after) {
     if (before != null) {
--- a/src/main/java/mallowstall/core/machines/LeaseExpiryMonitor.java
+++ b/src/main/java/mallowstall/core/machines/LeaseExpiryMonitor.java
@@ -6,11 +6,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Expires the leases of workers that certainly have ended their tasks (protocol, Leases). */
+/** Expires the leases of workers that have certainly ended their tasks (protocol, Leases). */
 public final class LeaseExpiryMonitor {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.machines");
 
-  /** ms. Added to a worker's lease and the clock drift before its tasks count as lost. */
+  /** Milliseconds beyond a worker's lease and the clock drift before its tasks count as lost. */
   private static final long LEASE_EXPIRY_MARGIN_MS = 700;
 
   private final CoreSettings settings;
@@ -19,7 +19,7 @@
   private final FencingTokens fencingTokens;
   private final StatusPublisher statusPublisher;
 
-  /** Expires nothing before its first tick. */
+  /** Creates a monitor that expires no lease before its first tick. */
   public LeaseExpiryMonitor(
       CoreSettings settings,
       StateStore store,
@@ -33,7 +33,7 @@
     this.statusPublisher = statusPublisher;
   }
 
-  /** Expires leases that are over and raises tokens that could not be raised before. */
+  /** Expires leases that have run out and raises fencing tokens that could not be raised before. */
   void tick(long now) {
     for (ManagedMachine machine : machines.all()) {
       if (machine.commands().needsTokenRaise()) {
@@ -45,7 +45,7 @@
     }
   }
 
-  /** Whether no controller can have renewed the worker's lease for longer than it lasts. */
+  /** Returns whether the last possible renewal by any controller is longer ago than the lease. */
   private boolean isLeaseExpired(ManagedMachine machine, long now) {
     long leaseMs =
         (long) (settings.workerLeaseMs() * (1 + 2 * Constants.CLOCK_DRIFT_FRACTION))
@@ -56,12 +56,13 @@
     if (machine.formerLeaderMayAnswer()) {
       return false;
     }
-    // another controller may have led it between the former process and this one, unknown here
-    // until the replica has passed the own write, since group entries are written unconditionally
+    // Another controller may have led the machine between the former process and this one. Group
+    // entries are written without a condition on a machine's entry, so that controller is unknown
+    // here until the replica has passed the revision of this controller's own write.
     if (machine.recovered() && machine.fencingToken() > store.revision()) {
       return false;
     }
-    // the replica has passed the end of the lease and still names this controller as leader
+    // The replica has passed the end of the lease and still names this controller as leader.
     return store.freshAtMs() > machine.lastResponseMs() + leaseMs;
   }
 
--- a/src/main/java/mallowstall/core/machines/MachineEntryWriter.java
+++ b/src/main/java/mallowstall/core/machines/MachineEntryWriter.java
@@ -18,57 +18,58 @@
 import mallowstall.core.model.MachineGroupMember;
 
 /**
- * Writes which controller leads a machine. Each write is conditional on this process's session, so
- * that one applied late, after the process has ended, fails. Mutable.
+ * Writes the entries that record which controller leads a machine. Each write is conditional on
+ * this process's session, so that a write fails if it is applied after the process has ended.
+ * Mutable.
  */
 public final class MachineEntryWriter {
-  /** ms. Between scans for machine groups of which no member counts any more. */
+  /** The interval between scans for obsolete machine groups, in milliseconds. */
   private static final long MACHINE_GROUP_SWEEP_INTERVAL_MS = 2_000;
 
   private final CoreSettings settings;
   private final Effects effects;
   private final StateStore store;
 
-  /** Machines whose entry is being changed, since when, in ms of the steady clock. */
+  /** Start times of unanswered entry changes, in milliseconds of the steady clock, by machine. */
   private final Map<String, Long> inFlight = new HashMap<>();
 
   private int groupCounter;
   private long nextSweepMs;
 
-  /** Writes entries for the incarnation that {@code store} knows at the time. */
+  /** Creates a writer that uses the incarnation that {@code store} holds at each write. */
   public MachineEntryWriter(CoreSettings settings, Effects effects, StateStore store) {
     this.settings = settings;
     this.effects = effects;
     this.store = store;
   }
 
-  /** A change of the machine's entry begins. */
+  /** Records that a change of the machine's entry begins. */
   void markInFlight(String machine, long now) {
     inFlight.put(machine, now);
   }
 
-  /** The change of the machine's entry was answered or refused. */
+  /** Records that the change of the machine's entry was answered or refused. */
   void clearInFlight(String machine) {
     inFlight.remove(machine);
   }
 
-  /** Whether a change of the machine's entry is unanswered. */
+  /** Returns whether a change of the machine's entry is unanswered. */
   boolean inFlight(String machine) {
     return inFlight.containsKey(machine);
   }
 
-  /** Whether a change of the machine's entry began at most so long ago and is unanswered. */
-  boolean inFlightWithin(String machine, long now, long ms) {
+  /** Returns whether an unanswered entry change began less than {@code maxAgeMs} ago. */
+  boolean inFlightWithin(String machine, long now, long maxAgeMs) {
     Long sinceMs = inFlight.get(machine);
-    return sinceMs != null && now - sinceMs < ms;
+    return sinceMs != null && now - sinceMs < maxAgeMs;
   }
 
   /**
-   * Takes the leadership of a machine from its previous leader; no other change of its entry may be
-   * in flight.
+   * Takes over the leadership of a machine from its previous leader. No other change of the
+   * machine's entry may be in flight.
    *
    * @param previous the entry that is replaced
-   * @return false: refused because of the backlog, {@code callback} is not called
+   * @return false if the write was refused because of the backlog; {@code callback} is not called
    */
   boolean claim(String id, MachineEntry previous, long now, Consumer<TransactionResult> callback) {
     markInFlight(id, now);
@@ -88,7 +89,10 @@
     return accepted;
   }
 
-  /** Makes this controller the machine's recorded leader; false: refused because of the backlog. */
+  /**
+   * Writes this controller as the machine's leader. Returns false if the write was refused because
+   * of the backlog; {@code callback} is not called then.
+   */
   boolean writeEntry(
       String id, String type, String zone, boolean spot, Consumer<TransactionResult> callback) {
     String key = StateKeys.machine(id);
@@ -103,7 +107,10 @@
         callback);
   }
 
-  /** The same for many machines by one entry; false: refused because of the backlog. */
+  /**
+   * Writes this controller as the leader of several machines in one entry. Returns false if the
+   * write was refused because of the backlog; {@code callback} is not called then.
+   */
   boolean writeGroup(List<MachineGroupMember> machines, Consumer<TransactionResult> callback) {
     String key = StateKeys.MACHINE_GROUP_PREFIX + store.incarnation() + "-" + ++groupCounter;
     PutOperation put = new PutOperation(key, groupEntry(machines), 0);
@@ -114,7 +121,7 @@
         callback);
   }
 
-  /** The encoded size, in bytes, of the entry that names these machines. */
+  /** Returns the encoded size in bytes of a group entry for these machines. */
   int groupSize(List<MachineGroupMember> machines) {
     return effects.encodedSizeBytes(groupEntry(machines));
   }
@@ -123,13 +130,16 @@
     return new MachineGroupEntry(settings.node(), store.incarnation(), machines);
   }
 
-  /** A write applied late, after this process has ended, must not make it a leader again. */
+  /**
+   * Returns the condition that this process's session entry is unchanged. Otherwise a write that is
+   * applied after this process has ended would make the process a leader again.
+   */
   private Condition sessionCondition() {
     String key = StateKeys.session(settings.node());
     return new Condition(key, store.modRevision(key));
   }
 
-  /** Deletes group entries that a later entry supersedes for every machine, one at a time. */
+  /** Deletes at most one group entry per scan whose machines all have later entries. */
   void deleteObsoleteGroups(long now) {
     if (now < nextSweepMs || !store.isSessionValid()) {
       return;
--- a/src/main/java/mallowstall/core/machines/MachineFailover.java
+++ b/src/main/java/mallowstall/core/machines/MachineFailover.java
@@ -18,22 +18,26 @@
 import mallowstall.core.model.MachineEntry;
 
 /**
- * Probes machines whose leader's session has ended but which it may still answer.
+ * Probes machines whose leader's session has ended although the leader may still answer them.
  *
- * <p>A controller without state service and peers may go on answering its workers after its session
- * has ended. They never turn to another controller then, and every job that changed its leader
- * would wait for them. So one of the other controllers asks each of them directly, and takes over
- * those that answer: the larger fencing token makes a worker ignore its former leader. Machines
- * that can't be reached, as in a zone that is cut off, are left alone. Mutable.
+ * <p>A controller that is isolated from the state service and its peers may continue to answer its
+ * workers after its session has ended. These workers don't turn to another controller, and every
+ * job with a new leader would wait for them. Therefore one of the other controllers sends a request
+ * to each of these workers and takes over the machines that answer. The larger fencing token makes
+ * a worker ignore its former leader. Machines that can't be reached, for example in an isolated
+ * zone, are not taken over. Mutable.
  */
 public final class MachineFailover {
-  /** ms. Between two scans for machines of ended controllers. */
+  /** The interval between two scans for machines of ended controllers, in milliseconds. */
   private static final long MACHINE_FAILOVER_SCAN_INTERVAL_MS = 500;
 
-  /** ms. Before the same machine is asked again: longer than the request's timeout. */
+  /** Milliseconds between two probes of one machine, longer than the timeout of a probe. */
   private static final long MACHINE_FAILOVER_RETRY_MS = 5_000;
 
-  /** Count. Most machines asked in one scan: bounds sockets and changes of the state service. */
+  /**
+   * The maximum number of machines probed in one scan. It bounds the number of sockets and of
+   * writes to the state service.
+   */
   private static final int MACHINE_FAILOVER_BATCH = 8;
 
   private final CoreSettings settings;
@@ -44,15 +48,18 @@
   private final MachineEntryWriter entryWriter;
   private final MachineTakeover takeover;
 
-  /** Machines whose leader's session has ended, and since when, in ms of the steady clock. */
+  /**
+   * The time at which a scan first found that the session of a machine's leader had ended, by
+   * machine, in milliseconds of the steady clock.
+   */
   private final Map<String, Long> leaderlessSinceMs = new HashMap<>();
 
-  /** When such machines were last probed, in ms of the steady clock. */
+  /** Times of the last probes of these machines, in milliseconds of the steady clock. */
   private final Map<String, Long> lastProbeMs = new HashMap<>();
 
   private long nextScanMs;
 
-  /** Probes nothing before its first tick. */
+  /** Creates an instance that probes no machine before its first tick. */
   public MachineFailover(
       CoreSettings settings,
       Effects effects,
@@ -70,7 +77,7 @@
     this.takeover = takeover;
   }
 
-  /** Probes some of the machines whose leader's session has ended. */
+  /** Probes some of the machines whose leader's session has ended, if a scan is due. */
   void tick(long now) {
     if (now < nextScanMs || !store.isSessionValid()) {
       return;
@@ -96,7 +103,7 @@
     lastProbeMs.keySet().retainAll(leaderless);
   }
 
-  /** Whether this controller is the one to probe the machine, and may do so now. */
+  /** Returns whether a probe of the machine is due and this controller is the one that sends it. */
   private boolean probeDue(String id, MachineEntry entry, long now) {
     MachineView machine = view.machine(id);
     return now - leaderlessSinceMs.get(id) >= Constants.MACHINE_FAILOVER_DELAY_MS
@@ -111,12 +118,12 @@
   private void probe(String id, MachineEntry entry, long now) {
     lastProbeMs.put(id, now);
     String address = view.machine(id).status().address();
-    // no session is 0, so the worker refuses the request and answers with its heartbeat
+    // No worker session is 0, so the worker rejects the request and answers with its heartbeat.
     effects.sendCommands(
         address, 0, 0, List.of(), reply -> handleAnswer(id, entry, reply.heartbeat()));
   }
 
-  /** Takes the machine over if it has answered and its entry hasn't changed since the probe. */
+  /** Takes over the machine if it answered and its entry has not changed since the probe. */
   private void handleAnswer(String id, MachineEntry probedEntry, Heartbeat heartbeat) {
     if (heartbeat != null
         && heartbeat.machine().equals(id)
--- a/src/main/java/mallowstall/core/machines/MachineMaintenance.java
+++ b/src/main/java/mallowstall/core/machines/MachineMaintenance.java
@@ -2,7 +2,7 @@
 
 import mallowstall.core.kernel.EventClock;
 
-/** Regular maintenance of the machines led here and of those that lack a leader. */
+/** Maintains machines led by this controller, and machines without a leader, periodically. */
 public final class MachineMaintenance {
   private final EventClock clock;
   private final ManagedMachines machines;
@@ -13,7 +13,7 @@
   private final MachineFailover failover;
   private final LeaseExpiryMonitor leaseExpiry;
 
-  /** Does nothing before its first tick. */
+  /** Creates an instance that does nothing before its first tick. */
   public MachineMaintenance(
       EventClock clock,
       ManagedMachines machines,
@@ -33,7 +33,7 @@
     this.leaseExpiry = leaseExpiry;
   }
 
-  /** Runs the maintenance that is due; to be called every {@code Constants.TICK_MS}. */
+  /** Runs the maintenance that is due. Called every {@code Constants.TICK_MS} milliseconds. */
   public void tick() {
     long now = clock.now();
     failover.tick(now);
--- a/src/main/java/mallowstall/core/machines/MachineRegistration.java
+++ b/src/main/java/mallowstall/core/machines/MachineRegistration.java
@@ -23,19 +23,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes the leadership of machines that turn to this controller; those that come together share one
- * transaction. Mutable.
+ * Registers this controller as the leader of machines whose workers turn to it. Machines whose
+ * heartbeats arrive at about the same time share one transaction. Mutable.
  */
 public final class MachineRegistration {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.machines");
 
-  /** ms. Machines that report here first within this are registered in one change. */
+  /** The time in milliseconds for which machines are collected into one registration. */
   private static final long REGISTRATION_BATCH_WINDOW_MS = 40;
 
-  /** ms. Registrations join one change for so long while an earlier one is unanswered. */
+  /** Maximum milliseconds of collecting machines while a registration is unanswered. */
   private static final long REGISTRATION_BATCH_WAIT_MAX_MS = 500;
 
-  /** Bytes. One machine in a change that registers several, with long names. */
+  /** The size in bytes of one machine with long names in a group entry. */
   private static final int MACHINE_GROUP_MEMBER_BYTES = 100;
 
   private final EventClock clock;
@@ -50,15 +50,15 @@
 
   private final List<PendingRegistration> pendingRegistrations = new ArrayList<>();
 
-  /** Whether the next batch of {@link #pendingRegistrations} is scheduled. */
+  /** Whether the registration of the next batch of {@link #pendingRegistrations} is scheduled. */
   private boolean batchScheduled;
 
-  /** Transactions that are unanswered. */
+  /** The number of unanswered transactions. */
   private int registrationsInFlight;
 
   private long batchSentAtMs;
 
-  /** Registers machines whose heartbeats are neither stale nor redirected. */
+  /** Creates an instance that registers machines unless a heartbeat is stale or redirected. */
   public MachineRegistration(
       EventClock clock,
       CoreSettings settings,
@@ -80,13 +80,14 @@
     this.heartbeatHandler = heartbeatHandler;
   }
 
-  /** A machine whose leadership is being taken, and who waits for the answer. */
+  /** A machine that is being registered, and the receiver of the response to its heartbeat. */
   private record PendingRegistration(
       Heartbeat heartbeat, MachineType type, Consumer<HeartbeatResponse> reply) {}
 
   /**
-   * Makes this controller the machine's recorded leader, under a larger token, before the first
-   * accepting answer; {@code reply} is called once, perhaps later.
+   * Records this controller as the machine's leader, under a larger fencing token, before the first
+   * response that accepts a heartbeat. {@code reply} is called once, possibly after this method
+   * returns.
    */
   void register(Heartbeat heartbeat, Consumer<HeartbeatResponse> reply) {
     long now = clock.now();
@@ -120,14 +121,15 @@
   }
 
   /**
-   * Registers the machines that have turned here since, in as few transactions as possible. Their
-   * entries needn't be compared: whoever writes later leads them, since the token is the revision
-   * of the write.
+   * Registers the pending machines in as few transactions as possible. A group entry needs no
+   * condition on the machines' current entries: the fencing token is the revision of the write, so
+   * the controller that writes last leads the machines.
    */
   private void registerBatch() {
     batchScheduled = false;
-    // While writes wait for the state service's rate limit, machines join the next batch: one write
-    // per window would queue for longer than workers wait before they turn elsewhere.
+    // While a write waits for the state service's rate limit, machines join the next batch. With
+    // one write per window, writes would queue for longer than a worker waits before it turns to
+    // another controller.
     boolean mustWait =
         registrationsInFlight > 0 && clock.now() - batchSentAtMs < REGISTRATION_BATCH_WAIT_MAX_MS;
     if (mustWait) {
@@ -146,7 +148,7 @@
     }
   }
 
-  /** What has become known since a heartbeat came may show that it is a late one. */
+  /** Rejects pending machines whose heartbeats have since turned out to be late copies. */
   private void rejectStaleRegistrations() {
     Iterator<PendingRegistration> iterator = pendingRegistrations.iterator();
     while (iterator.hasNext()) {
@@ -159,7 +161,7 @@
     }
   }
 
-  /** As many of the machines as fit one value of the state service as encoded. */
+  /** Returns the first candidates, as many as fit, encoded, into one value of the state service. */
   private List<PendingRegistration> largestFittingBatch(List<PendingRegistration> candidates) {
     return ValueSize.longestFittingPrefix(
         candidates, batch -> entryWriter.groupSize(members(batch)), settings.maxValueBytes());
@@ -176,7 +178,7 @@
     return members;
   }
 
-  /** Takes the leadership of these machines in one transaction. */
+  /** Registers this controller as the leader of these machines in one transaction. */
   private void register(List<PendingRegistration> batch) {
     registrationsInFlight++;
     Consumer<TransactionResult> callback =
@@ -190,7 +192,7 @@
     }
   }
 
-  /** One line per transaction: hundreds of machines may come at once. */
+  /** Logs one line per transaction, since hundreds of machines may register at once. */
   private static void logRegistration(List<PendingRegistration> batch, TransactionResult reply) {
     if (reply.code() != ResultCode.OK || !LOG.isInfoEnabled()) {
       return;
@@ -220,7 +222,7 @@
     if (reply.code() != ResultCode.OK
         || stored == null
         || stored.modRevision() != reply.revision()) {
-      // not written, or another controller has written since
+      // The entry was not written, or another controller has written it since.
       pending.reply.accept(HeartbeatResponse.unavailable());
       return;
     }
