--- a/src/main/java/mallowstall/core/api/AbsenceLeases.java
+++ b/src/main/java/mallowstall/core/api/AbsenceLeases.java
@@ -17,19 +17,20 @@
 import mallowstall.core.model.CoreSettings;
 
 /**
- * Answers peers that are about to tell users that jobs were never accepted. For a job that this
- * controller hasn't called accepted it grants the peer a lease: while it lasts, this controller
- * calls the job accepted to nobody. See docs/design.md, "Answers to users". Mutable; thread: the
- * event loop's.
+ * Replies to peers that are about to respond to users that jobs were never accepted. On each job
+ * that this controller has not reported as accepted, it grants the peer a lease. While the lease
+ * lasts, this controller does not report the job as accepted to any user. See docs/design.md,
+ * "Answers to users". Mutable; confined to the event loop.
  */
 public final class AbsenceLeases {
   /**
-   * ms. Longer than any user waits for an answer, counted from when the asking controller's message
-   * arrives: so a refusal that rests on the lease reaches nobody after it, however late it leaves.
+   * Duration of a lease in milliseconds, counted from the arrival of the peer's query. It is longer
+   * than any user waits for a response. A response that relies on the lease therefore reaches no
+   * user after the lease has ended, however late that response is sent.
    */
   static final long LEASE_MS = AnswerValidity.USER_TIMEOUT_MS + AnswerValidity.MARGIN_MS;
 
-  /** Count. Beyond it this controller vouches for no further job. */
+  /** Maximum number of leases. Beyond it this controller grants no lease on any further job. */
   static final int LEASES_MAX = 10_000;
 
   private final EventClock clock;
@@ -39,33 +40,34 @@
   private final FormerLeases formerLeases;
   private final Runnable onNewPeerProcess;
 
-  /** The newest known process of each peer, by its incarnation. */
+  /** The incarnation of the newest known process of each peer. */
   private final Map<String, Long> peerIncarnations = new HashMap<>();
 
-  /** Leases by job and by the controller that has them, in the order in which they end. */
+  /** Leases by job and by the controller that holds them, in the order in which they end. */
   private final Map<LeaseKey, Lease> leases = new LinkedHashMap<>();
 
-  /** Jobs that are being recorded, and are called accepted as soon as they are. */
+  /** Jobs that are being recorded. Each is reported as accepted as soon as it is recorded. */
   private final Set<String> submissionsInFlight = new HashSet<>();
 
-  /** Each controller has one lease on a job at most, which every grant extends. */
+  /** Each controller holds at most one lease on a job, which every grant extends. */
   private record LeaseKey(String job, String node) {}
 
   /**
-   * A lease that was granted to a process, for its queries up to {@code serial}; {@code endMs} is
-   * steady time.
+   * A lease that was granted to a peer's process for its queries up to {@code serial}. It ends at
+   * {@code endMs}, a steady time in milliseconds.
    */
   private record Lease(long incarnation, long serial, long endMs) {
-    /** Whether the controller has no use for the lease once that query has ended. */
-    boolean endsWith(AcceptanceQueryEnd queryEnd) {
+    /** Returns whether all queries that the lease was granted for have ended. */
+    boolean isEndedBy(AcceptanceQueryEnd queryEnd) {
       return incarnation == queryEnd.incarnation() && serial <= queryEnd.serial();
     }
   }
 
   /**
-   * Grants no lease before the first query; answers leave through {@code effects}.
+   * Creates an instance without leases that sends its replies through {@code effects}.
    *
-   * @param onNewPeerProcess gives up what rests on leases of a peer's process that was replaced
+   * @param onNewPeerProcess called when a peer's process has been replaced; abandons what relies on
+   *     leases that the replaced process granted
    */
   public AbsenceLeases(
       EventClock clock,
@@ -82,18 +84,18 @@
     this.onNewPeerProcess = onNewPeerProcess;
   }
 
-  /** The job is being recorded; until that has ended no lease is granted on it. */
+  /** Marks the job as being recorded. Until {@link #submissionEnded}, no lease is granted on it. */
   void submissionBegun(String job) {
     submissionsInFlight.add(job);
   }
 
-  /** The attempt to record the job has ended, however it did. */
+  /** Marks the attempt to record the job as ended, whether it succeeded or failed. */
   void submissionEnded(String job) {
     submissionsInFlight.remove(job);
   }
 
-  /** Whether users may be told now that the job was accepted. */
-  boolean mayCallAccepted(String job) {
+  /** Returns whether users may be informed now that the job was accepted. */
+  boolean mayReportAccepted(String job) {
     if (!formerLeases.areOver()) {
       return false;
     }
@@ -107,8 +109,8 @@
   }
 
   /**
-   * A peer is about to tell users that these jobs were never accepted. A query of a former process
-   * of the peer comes late, and needs no reply.
+   * Grants leases on the jobs that a peer is about to report as never accepted, and sends the
+   * reply. A query of a former process of the peer is late and is ignored, since it needs no reply.
    */
   public void receive(AcceptanceQuery query) {
     long newest = peerIncarnations.getOrDefault(query.node(), 0L);
@@ -119,7 +121,7 @@
       peerIncarnations.put(query.node(), query.incarnation());
       onNewPeerProcess.run();
     }
-    forgetEnded();
+    removeExpired();
     List<String> possiblyAccepted = new ArrayList<>();
     for (String job : query.jobs()) {
       if (!grant(job, query)) {
@@ -132,12 +134,15 @@
             settings.node(), query.incarnation(), query.serial(), possiblyAccepted));
   }
 
-  /** Grants a lease on the job, unless this process or a former one may have called it accepted. */
+  /**
+   * Grants a lease on the job and returns true. Returns false if this process or a former one may
+   * have reported the job as accepted, or if there are too many leases.
+   */
   private boolean grant(String job, AcceptanceQuery query) {
     boolean possiblyAccepted =
         !store.synced() || store.job(job) != null || submissionsInFlight.contains(job);
     if (possiblyAccepted || leases.size() >= LEASES_MAX) {
-      return false; // a lease that was granted on the job before stays
+      return false; // an earlier lease on the job stays in force
     }
     LeaseKey key = new LeaseKey(job, query.node());
     Lease previous = leases.remove(key);
@@ -150,20 +155,23 @@
     return true;
   }
 
-  private void forgetEnded() {
+  private void removeExpired() {
     Iterator<Lease> oldest = leases.values().iterator();
     while (oldest.hasNext() && oldest.next().endMs() <= clock.now()) {
       oldest.remove();
     }
   }
 
-  /** A peer has no use any more for the leases that were granted for a query. */
+  /**
+   * Removes the leases that a peer no longer needs, since the queries that they were granted for
+   * have ended.
+   */
   public void receive(AcceptanceQueryEnd queryEnd) {
     leases
         .entrySet()
         .removeIf(
             entry ->
                 entry.getKey().node().equals(queryEnd.node())
-                    && entry.getValue().endsWith(queryEnd));
+                    && entry.getValue().isEndedBy(queryEnd));
   }
 }
--- a/src/main/java/mallowstall/core/api/AcceptanceLookup.java
+++ b/src/main/java/mallowstall/core/api/AcceptanceLookup.java
@@ -19,23 +19,26 @@
 import mallowstall.core.model.CoreSettings;
 
 /**
- * Finds out from all peers whether a job of which a read showed no entry was accepted meanwhile.
- * Lookups that come close together share a message to each peer, and beyond a bound they are
- * refused at once. See docs/design.md, "Answers to users". Mutable; thread: the event loop's.
+ * Determines by a query to all peers whether a job whose entry a read did not find has been
+ * accepted meanwhile. Lookups that begin shortly after one another share a message to each peer.
+ * Lookups beyond a maximum number are unconfirmed at once. See docs/design.md, "Answers to users".
+ * Mutable; confined to the event loop.
  */
 public final class AcceptanceLookup {
-  /** What is known of a job's acceptance in the moment of the callback. */
+  /** What is known about the job's acceptance at the time of the callback. */
   enum Absence {
-    /** No controller has called the job accepted, and none does within this event. */
+    /** No controller has reported the job as accepted, and none does so during this event. */
     CONFIRMED,
-    /** Some controller may have called it accepted, or may do so any moment. */
+    /** Some controller may have reported the job as accepted, or may do so at any moment. */
     UNCONFIRMED
   }
 
-  /** ms. Least time between two queries to the peers: joins the lookups of a burst. */
+  /**
+   * Minimum time between two queries in milliseconds, so that the lookups of a burst share a query.
+   */
   private static final long QUERY_INTERVAL_MIN_MS = 100;
 
-  /** Count. Lookups that wait for a query or for its replies. */
+  /** Maximum number of lookups that wait for a query or for its replies. */
   static final int LOOKUPS_MAX = 2_000;
 
   private final EventClock clock;
@@ -45,22 +48,22 @@
   private final ClusterVersion clusterVersion;
   private final Connectivity connectivity;
 
-  /** Lookups that no query has asked for yet. */
+  /** Lookups that are not part of a query yet. */
   private final List<Lookup> unsent = new ArrayList<>();
 
-  /** Queries that some peer hasn't answered yet, by their serial, the oldest first. */
+  /** Queries to which some peer has not replied yet, by their serial, the oldest first. */
   private final Map<Long, Query> unanswered = new LinkedHashMap<>();
 
-  private long lastSerial = FormerLeases.SERIAL;
+  private long lastSerial = FormerLeases.QUERY_SERIAL;
 
-  /** Peers were told, or will be, that queries up to this one have ended. */
+  /** Peers are or will be notified that the queries up to this one have ended. */
   private long lastEndedSerial = lastSerial;
 
   private long lastQueryMs = Long.MIN_VALUE / 2;
   private boolean queryScheduled;
   private int pendingLookups;
 
-  /** One question about a job; it is called back exactly once. */
+  /** A lookup of one job. Its callback is called exactly once. */
   private final class Lookup {
     private final String job;
     private final long validUntilMs;
@@ -80,37 +83,40 @@
       Consumer<Absence> completed = callback;
       callback = null;
       pendingLookups--;
-      // a peer may have come back as an older version, whose leases end sooner
-      boolean counts = clock.now() <= validUntilMs && clusterVersion.allowsAcceptanceQueries();
-      completed.accept(counts ? absence : Absence.UNCONFIRMED);
+      // a peer may have restarted with an older version, whose leases end sooner
+      boolean isValid = clock.now() <= validUntilMs && clusterVersion.allowsAcceptanceQueries();
+      completed.accept(isValid ? absence : Absence.UNCONFIRMED);
     }
   }
 
-  /** Lookups that one message asks all peers for. */
+  /** The lookups that share one message to each peer. */
   private static final class Query {
     private final Map<String, List<Lookup>> lookups = new HashMap<>();
-    private final Set<String> silentPeers;
+    private final Set<String> pendingPeers;
     private final Set<String> possiblyAccepted = new HashSet<>();
 
-    Query(List<Lookup> asked, List<String> peers) {
-      for (Lookup lookup : asked) {
+    Query(List<Lookup> newLookups, List<String> peers) {
+      for (Lookup lookup : newLookups) {
         lookups.computeIfAbsent(lookup.job, job -> new ArrayList<>()).add(lookup);
       }
-      silentPeers = new HashSet<>(peers);
+      pendingPeers = new HashSet<>(peers);
     }
 
-    /** Answers all lookups; without the word of all peers none of them is confirmed. */
+    /** Completes all lookups. None of them is confirmed unless all peers have replied. */
     void complete() {
       lookups.forEach(
-          (job, asked) -> {
-            boolean confirmed = silentPeers.isEmpty() && !possiblyAccepted.contains(job);
+          (job, jobLookups) -> {
+            boolean confirmed = pendingPeers.isEmpty() && !possiblyAccepted.contains(job);
             Absence absence = confirmed ? Absence.CONFIRMED : Absence.UNCONFIRMED;
-            asked.forEach(lookup -> lookup.complete(absence));
+            jobLookups.forEach(lookup -> lookup.complete(absence));
           });
     }
   }
 
-  /** Asks through {@code effects}, once every controller knows the messages. */
+  /**
+   * Creates a lookup that sends queries through {@code effects}, once every controller supports the
+   * messages.
+   */
   public AcceptanceLookup(
       EventClock clock,
       CoreSettings settings,
@@ -127,10 +133,11 @@
   }
 
   /**
-   * Calls back, once and perhaps at once, whether the job was never accepted.
+   * Determines whether the job was never accepted. The callback is called exactly once, possibly
+   * before this method returns.
    *
-   * @param validUntilMs steady ms after which the absence isn't confirmed any more: at most {@link
-   *     AnswerValidity#VALID_MS} from now
+   * @param validUntilMs steady time in milliseconds after which the absence is no longer confirmed;
+   *     at most {@link AnswerValidity#VALID_MS} from now
    */
   void lookUp(String job, long validUntilMs, Consumer<Absence> callback) {
     if (settings.peers().isEmpty()) {
@@ -170,7 +177,7 @@
     Query query = new Query(unsent, settings.peers());
     unsent.clear();
     unanswered.put(serial, query);
-    // by then all its lookups have been given up
+    // by then all lookups of this query have been completed
     clock.schedule(AnswerValidity.VALID_MS + 1, () -> close(serial));
     List<String> jobs = List.copyOf(query.lookups.keySet());
     for (String peer : settings.peers()) {
@@ -178,29 +185,32 @@
     }
   }
 
-  /** A peer answers a query; replies to a former process of this controller are ignored. */
+  /**
+   * Handles a peer's reply to a query. Replies to a former process of this controller are ignored.
+   */
   public void receive(AcceptanceReply reply) {
     Query query = unanswered.get(reply.serial());
     if (query == null
         || reply.incarnation() != store.incarnation()
-        || !query.silentPeers.remove(reply.node())) {
+        || !query.pendingPeers.remove(reply.node())) {
       return;
     }
     query.possiblyAccepted.addAll(reply.possiblyAccepted());
-    if (query.silentPeers.isEmpty()) {
+    if (query.pendingPeers.isEmpty()) {
       close(reply.serial());
     }
   }
 
   /**
-   * A new process of a peer may have begun. The leases that its predecessor granted count no more,
-   * so whatever was to be confirmed by them isn't.
+   * Closes all unanswered queries because a new process of a peer may have started. The new process
+   * does not know the leases that its predecessor granted, so lookups that rely on those leases are
+   * not confirmed.
    */
   public void giveUpUnanswered() {
     List.copyOf(unanswered.keySet()).forEach(this::close);
   }
 
-  /** Answers all that still waits for the query's replies, of which no more are awaited. */
+  /** Completes the lookups of a query. Later replies to the query are ignored. */
   private void close(long serial) {
     Query query = unanswered.remove(serial);
     if (query == null) {
@@ -211,8 +221,9 @@
   }
 
   /**
-   * Ends the leases of queries that have ended, once their answers have left. Peers end the leases
-   * of all queries up to the one that they are told, so earlier ones must have ended, too.
+   * Ends the leases of ended queries after the responses of this event have been sent. A peer ends
+   * the leases of all queries up to the serial that it receives, so all earlier queries must have
+   * ended, too.
    */
   private void endLeases() {
     long ended = unanswered.isEmpty() ? lastSerial : unanswered.keySet().iterator().next() - 1;
@@ -220,8 +231,9 @@
       return;
     }
     lastEndedSerial = ended;
-    // The clock stands still until this event's answers have left, however long that takes; the
-    // next event's doesn't show any time before.
+    // The clock does not advance until the responses of this event have been sent, however long
+    // that takes. The outer timer runs in a later event, whose time is not before the sending; the
+    // margin is counted from there.
     clock.schedule(1, () -> clock.schedule(AnswerValidity.MARGIN_MS, () -> sendEnd(ended)));
   }
 
--- a/src/main/java/mallowstall/core/api/AnswerValidity.java
+++ b/src/main/java/mallowstall/core/api/AnswerValidity.java
@@ -1,20 +1,26 @@
 package mallowstall.core.api;
 
 /**
- * For how long what a user is answered stays true, in ms of this controller's steady clock. Final
- * states and 503 stay true for good; an open state and a refusal rest on what others may change.
+ * Time limits of responses to users, in milliseconds of this controller's steady clock. Final
+ * states and 503 responses remain valid forever. An open state or a 400, 404 or 422 response may
+ * become wrong when another controller ends or accepts the job.
  */
 final class AnswerValidity {
   /**
-   * ms. An open state or a refusal leaves at most this long after its request came. Longer than the
-   * state service takes now and then, and than peers take to reply.
+   * Maximum time in milliseconds from the arrival of a request until an open state or a 400, 404 or
+   * 422 response is sent. It is longer than the state service occasionally takes, and than peers
+   * take to reply.
    */
   static final long VALID_MS = 1_000;
 
-  /** ms. Margin for the drift of two clocks, and for an answer's way to its user. */
+  /**
+   * Margin in milliseconds for the drift between two clocks and for the transmission of a response.
+   */
   static final long MARGIN_MS = 50;
 
-  /** ms. No user waits longer for an answer, counted from the request (protocol, Users). */
+  /**
+   * Maximum time in milliseconds that a user waits for the response to a request (protocol, Users).
+   */
   static final long USER_TIMEOUT_MS = 5_000;
 
   private AnswerValidity() {}
--- a/src/main/java/mallowstall/core/api/FormerLeases.java
+++ b/src/main/java/mallowstall/core/api/FormerLeases.java
@@ -12,14 +12,14 @@
 import mallowstall.core.model.CoreSettings;
 
 /**
- * The leases that former processes of this controller granted to peers, of which this one knows
- * nothing: it tells every peer that it has replaced them, by a query about no jobs. A peer that
- * replies has given up what rested on such a lease, and what it told users before has left.
- * Mutable; thread: the event loop's.
+ * Ends the leases that former processes of this controller granted to peers. This process has no
+ * record of those leases. It sends every peer a query without jobs, which shows that it has
+ * replaced the former processes. A peer that replies has abandoned what relied on such a lease, and
+ * its earlier responses to users have been sent. Mutable; confined to the event loop.
  */
 public final class FormerLeases {
-  /** The number of the query about no jobs, before those of all other queries. */
-  static final long SERIAL = 0;
+  /** Serial of the query without jobs, smaller than the serials of all other queries. */
+  static final long QUERY_SERIAL = 0;
 
   private final EventClock clock;
   private final CoreSettings settings;
@@ -27,8 +27,8 @@
   private final StateStore store;
   private final ClusterVersion clusterVersion;
 
-  /** Peers that haven't replied yet. */
-  private final Set<String> silentPeers;
+  /** Peers that have not replied yet. */
+  private final Set<String> pendingPeers;
 
   /** Sends nothing before the first {@link #tick}. */
   public FormerLeases(
@@ -42,35 +42,40 @@
     this.effects = effects;
     this.store = store;
     this.clusterVersion = clusterVersion;
-    silentPeers = new HashSet<>(settings.peers());
+    pendingPeers = new HashSet<>(settings.peers());
   }
 
-  /** Asks the peers that haven't replied, again and again until the leases are over. */
+  /**
+   * Sends the query to the peers that have not replied, at each call until the leases have ended.
+   */
   public void tick() {
-    // an older version wouldn't know the message, or would go on with what rests on the leases
+    // An older version does not know the message, or continues to rely on the leases.
     if (areOver() || store.incarnation() == 0 || !clusterVersion.allowsAcceptanceQueries()) {
       return;
     }
     AcceptanceQuery query =
-        new AcceptanceQuery(settings.node(), store.incarnation(), SERIAL, List.of());
-    for (String peer : silentPeers) {
+        new AcceptanceQuery(settings.node(), store.incarnation(), QUERY_SERIAL, List.of());
+    for (String peer : pendingPeers) {
       effects.send(peer, query);
     }
   }
 
-  /** A peer answers a query; those about jobs don't matter here. */
+  /** Handles a peer's reply. Replies to queries about jobs are ignored here. */
   public void receive(AcceptanceReply reply) {
-    if (reply.serial() == SERIAL && reply.incarnation() == store.incarnation()) {
-      silentPeers.remove(reply.node());
+    if (reply.serial() == QUERY_SERIAL && reply.incarnation() == store.incarnation()) {
+      pendingPeers.remove(reply.node());
     }
   }
 
-  /** Whether nothing that a peer tells its users rests on such a lease any more. */
+  /** Returns whether no response of a peer can rely on such a lease any more. */
   boolean areOver() {
-    return silentPeers.isEmpty() || haveExpired();
+    return pendingPeers.isEmpty() || haveExpired();
   }
 
-  /** The former process had ended when this one began. */
+  /**
+   * Returns whether the duration of a lease has passed since this process started. The former
+   * process had ended by then, so it granted no later lease.
+   */
   private boolean haveExpired() {
     boolean started = clock.startedAtMs() > 0;
     return started && clock.now() - clock.startedAtMs() >= AbsenceLeases.LEASE_MS;
--- a/src/main/java/mallowstall/core/api/FreshJobReader.java
+++ b/src/main/java/mallowstall/core/api/FreshJobReader.java
@@ -14,15 +14,16 @@
 import mallowstall.core.model.JobEntry;
 
 /**
- * Reads entries of jobs for users' requests: no read begins before the request, and none that took
- * longer than {@link AnswerValidity#VALID_MS} counts. Thread: the event loop's.
+ * Reads entries of jobs for users' requests. No read is sent before its request has arrived. The
+ * result of a read that took longer than {@link AnswerValidity#VALID_MS} is discarded. Confined to
+ * the event loop.
  */
 final class FreshJobReader {
   private final EventClock clock;
   private final StateStore store;
   private final AcceptanceLookup acceptances;
 
-  /** Who waits for a read that has not been sent yet, by job. */
+  /** Callbacks that wait for a read that has not been sent yet, by job. */
   private final Map<String, List<Consumer<JobRead>>> pendingReads = new HashMap<>();
 
   FreshJobReader(EventClock clock, StateStore store, AcceptanceLookup acceptances) {
@@ -31,7 +32,9 @@
     this.acceptances = acceptances;
   }
 
-  /** Reads the job's entry; requests about one job that come before its read is sent share it. */
+  /**
+   * Reads the job's entry. Requests for one job that arrive before its read is sent share the read.
+   */
   void read(String id, Consumer<JobRead> callback) {
     List<Consumer<JobRead>> joined = pendingReads.get(id);
     if (joined != null) {
@@ -60,7 +63,8 @@
   private void handleResult(
       String id, GetResult result, long requestedAtMs, List<Consumer<JobRead>> callbacks) {
     long validUntilMs = requestedAtMs + AnswerValidity.VALID_MS;
-    // A process that stood still since would report a finished job as running again.
+    // If this process was suspended meanwhile, another controller may have reported the job as
+    // finished. This controller would then report it as running again.
     if (clock.now() > validUntilMs || result.code() != ResultCode.OK) {
       complete(callbacks, JobRead.UNAVAILABLE);
       return;
@@ -71,30 +75,37 @@
       return;
     }
     acceptances.lookUp(
-        id, validUntilMs, absence -> complete(callbacks, withoutEntry(id, absence, validUntilMs)));
+        id,
+        validUntilMs,
+        absence -> complete(callbacks, resultWithoutEntry(id, absence, validUntilMs)));
   }
 
-  /** What the replica shows was accepted after the read was made, since jobs are never deleted. */
-  private JobRead withoutEntry(String id, AcceptanceLookup.Absence absence, long validUntilMs) {
+  /**
+   * Returns the result of a read that found no entry. If the replica holds the entry, the job was
+   * accepted after the read, since jobs are never deleted.
+   */
+  private JobRead resultWithoutEntry(
+      String id, AcceptanceLookup.Absence absence, long validUntilMs) {
     JobEntry known = store.job(id);
     if (known != null && clock.now() <= validUntilMs) {
       return JobRead.found(known, store.modRevision(StateKeys.job(id)), validUntilMs);
     }
-    return confirmedAbsence(id, absence, validUntilMs);
+    return resultOfAbsence(id, absence, validUntilMs);
   }
 
   /**
-   * Finds out without the state service whether the job was never accepted, and finds no entry.
-   * Whoever has called it accepted has its entry in the replica; so has a successor whose replica
-   * is complete, as this one's must be.
+   * Determines without the state service whether the job was never accepted, and never finds an
+   * entry. A controller that has reported the job as accepted has its entry in the replica. Its
+   * successor process has the entry once its replica is complete. The replica of this controller
+   * must be complete, too.
    */
   void confirmAbsence(String id, Consumer<JobRead> callback) {
     long validUntilMs = clock.now() + AnswerValidity.VALID_MS;
     acceptances.lookUp(
-        id, validUntilMs, absence -> callback.accept(confirmedAbsence(id, absence, validUntilMs)));
+        id, validUntilMs, absence -> callback.accept(resultOfAbsence(id, absence, validUntilMs)));
   }
 
-  private JobRead confirmedAbsence(String id, AcceptanceLookup.Absence absence, long validUntilMs) {
+  private JobRead resultOfAbsence(String id, AcceptanceLookup.Absence absence, long validUntilMs) {
     boolean neverAccepted = store.job(id) == null && absence == AcceptanceLookup.Absence.CONFIRMED;
     return neverAccepted ? JobRead.notFound(validUntilMs) : JobRead.UNCONFIRMED;
   }
--- a/src/main/java/mallowstall/core/api/HeartbeatReceiver.java
+++ b/src/main/java/mallowstall/core/api/HeartbeatReceiver.java
@@ -4,8 +4,11 @@
 import mallowstall.core.model.Heartbeat;
 import mallowstall.core.model.HeartbeatResponse;
 
-/** What takes the heartbeats of workers (protocol, Workers). To be called on the event loop. */
+/** Receives the heartbeats of workers (protocol, Workers). Must be called on the event loop. */
 public interface HeartbeatReceiver {
-  /** A worker has sent a heartbeat; the response is given on the event loop, at once or later. */
+  /**
+   * Handles a heartbeat. {@code reply} is called on the event loop, possibly before this method
+   * returns.
+   */
   void handleHeartbeat(Heartbeat heartbeat, Consumer<HeartbeatResponse> reply);
 }
--- a/src/main/java/mallowstall/core/api/JobApi.java
+++ b/src/main/java/mallowstall/core/api/JobApi.java
@@ -23,9 +23,10 @@
 import mallowstall.core.model.JobSpec;
 
 /**
- * Submissions, queries and cancellations of users (protocol, Users). A job is called accepted,
- * cancelled or done only after that is written. Every request gets exactly one response, possibly
- * before the method returns; errors are responses too. Thread: the event loop's.
+ * Handles submissions, queries and cancellations of users (protocol, Users). A job is reported as
+ * accepted, cancelled or done only after that is written to the state service. Every request gets
+ * exactly one response, possibly before the method returns; an error is a response, too. Confined
+ * to the event loop.
  */
 public final class JobApi {
   private static final int CANCELLATION_RETRIES = 3;
@@ -41,7 +42,7 @@
   private final JobResponder responder;
   private final JobSubmission submissions;
 
-  /** Ended jobs by id, those used last: a final state never changes and needs no read. */
+  /** The most recently used ended jobs by id. A final state never changes, so it needs no read. */
   private final Map<String, JobEntry> terminalJobs =
       new LinkedHashMap<>(64, 0.75f, true) {
         @Override
@@ -51,9 +52,9 @@
       };
 
   /**
-   * Wires this module to the ones that it uses.
+   * Creates the API on top of the modules that it uses.
    *
-   * @param runningTasks how many tasks of the job with this id run now
+   * @param runningTasks returns the number of running tasks of the job with the given id
    */
   public JobApi(
       EventClock clock,
@@ -90,14 +91,20 @@
             this::query);
   }
 
-  /** Takes note of a change of the job's entry in the state replica. */
+  /**
+   * Called when the job's entry in the state replica has changed. Caches the entry of an ended job.
+   */
   public void jobChanged(JobEntry before, JobEntry job) {
     if (job.isTerminal()) {
       terminalJobs.put(job.spec().id(), job);
     }
   }
 
-  /** Whether the state replica and the machine types are here, and workers can be served. */
+  /**
+   * Returns whether workers can be served: the state replica is complete, this process has an
+   * incarnation, the machine types are known, and the controller is not isolated from the state
+   * service.
+   */
   public boolean isInitialized() {
     return store.synced()
         && store.incarnation() != 0
@@ -105,34 +112,37 @@
         && !connectivity.isIsolatedFromStateService();
   }
 
-  /** Whether users' requests can be served. */
+  /** Returns whether users' requests can be served. */
   public boolean isReady() {
     return isInitialized() && formerLeases.areOver();
   }
 
   /**
-   * Accepts a submission once its entry is written, or responds why not. A repeated submission gets
-   * the state of the job.
+   * Accepts a submission once its entry is written, or responds with the reason for not accepting
+   * it. A repeated submission gets the state of the job.
    */
   public void submit(JobSpec spec, Consumer<ApiResponse> reply) {
     submissions.submit(spec, reply);
   }
 
   /**
-   * Rejects a submission, unless it repeats that of a job which was accepted (perhaps by a
-   * controller of another version): then the response is the job's state.
+   * Rejects a submission. If it repeats the submission of a job that was accepted, perhaps by a
+   * controller of another version, the response is the job's state instead.
    */
   public void rejectSubmission(String id, ApiResponse rejection, Consumer<ApiResponse> reply) {
     submissions.reject(id, rejection, reply);
   }
 
-  /** Responds with the state of the job, or 404. */
+  /** Responds with the state of the job, or with 404 if there is no such job. */
   public void query(String id, Consumer<ApiResponse> reply) {
     withCurrentEntry(
         id, reply, read -> responder.respondWithState(read.job(), read.validUntilMs(), reply));
   }
 
-  /** Cancels a job; the response comes once the cancellation is written, or 404. */
+  /**
+   * Cancels a job. The response is sent once the cancellation is written; it is 404 if there is no
+   * such job.
+   */
   public void cancel(String id, Consumer<ApiResponse> reply) {
     cancel(id, reply, CANCELLATION_RETRIES);
   }
@@ -170,7 +180,10 @@
     }
   }
 
-  /** Hands over the entry read after this call; responds itself if there is none to act on. */
+  /**
+   * Passes the job's entry, read after this call, to {@code onFound}. If the job is known as ended
+   * or no entry is found, this method responds itself.
+   */
   private void withCurrentEntry(String id, Consumer<ApiResponse> reply, Consumer<JobRead> onFound) {
     JobEntry terminalJob = terminalJobs.get(id);
     if (terminalJob != null) {
--- a/src/main/java/mallowstall/core/api/JobRead.java
+++ b/src/main/java/mallowstall/core/api/JobRead.java
@@ -5,20 +5,22 @@
 /**
  * The result of reading a job's entry from the state service.
  *
- * @param status whether there is an entry; the next two components count with {@code FOUND} only
+ * @param status whether there is an entry; {@code job} and {@code modRevision} are set only with
+ *     {@code FOUND}
  * @param job the entry as read; null unless found
  * @param modRevision the revision of the state service at which the entry was last written
- * @param validUntilMs steady ms until which a response that rests on the read may leave
+ * @param validUntilMs steady time in milliseconds until which a response based on the read may be
+ *     sent
  */
 record JobRead(Status status, JobEntry job, long modRevision, long validUntilMs) {
-  /** Whether the read has shown the entry. */
+  /** Whether an entry was found. */
   enum Status {
     FOUND,
-    /** There is no entry, and no controller has called the job accepted. */
+    /** There is no entry, and no controller has reported the job as accepted. */
     NOT_FOUND,
-    /** The read showed no entry, but some controller may have called the job accepted since. */
+    /** No entry was found, but some controller may have reported the job as accepted since. */
     UNCONFIRMED,
-    /** Not read, or read too long ago to be answered with. */
+    /** The entry was not read, or it was read too long ago for a response. */
     UNAVAILABLE
   }
 
--- a/src/main/java/mallowstall/core/api/JobResponder.java
+++ b/src/main/java/mallowstall/core/api/JobResponder.java
@@ -9,13 +9,13 @@
 import mallowstall.core.model.JobOutcome;
 
 /**
- * Responds with what may be told of a job now: its state, by what was read and by what is known
- * since, or a refusal. What another controller may contradict soon carries until when it may leave.
- * Thread: the event loop's.
+ * Responds to requests about a job with its state or with an error. The state is that of the entry
+ * as read, or a newer outcome that is known here. A response that another controller may soon
+ * contradict carries the time until which it may be sent. Confined to the event loop.
  */
 final class JobResponder {
   private static final String NO_STATE_SERVICE = "no contact with the state service";
-  private static final String READ_TOO_EARLY = "the job has ended meanwhile, ask again";
+  private static final String ENDED_AFTER_READ = "the job has ended meanwhile, ask again";
   private static final String ACCEPTANCE_UNKNOWN = "another controller may have accepted the job";
   private static final String ABSENCE_LEASED = "another controller looks for the job, ask again";
 
@@ -25,7 +25,10 @@
   private final AbsenceLeases absenceLeases;
   private final ToIntFunction<String> runningTasks;
 
-  /** {@code runningTasks}: how many tasks of the job with this id run now. */
+  /**
+   * Creates a responder; {@code runningTasks} returns the number of running tasks of a job by its
+   * id.
+   */
   JobResponder(
       StateStore store,
       CancellationExchange cancellations,
@@ -40,20 +43,23 @@
   }
 
   /**
-   * Responds with the state by this entry and by what is known since. An open state is told until
-   * then or not at all; an end is told once no other controller can tell an open state any more.
+   * Responds with the state of the stored entry, or with a newer outcome that is known here. An
+   * open state may be sent until {@code validUntilMs} only. A final state is sent once no other
+   * controller can respond with an open state any more.
    */
   void respondWithState(JobEntry stored, long validUntilMs, Consumer<ApiResponse> reply) {
     JobEntry job = withKnownOutcome(stored);
     if (job.isTerminal()) {
       outcomes.whenSettled(
-          job.spec().id(), job.outcome(), () -> respondUnlessAbsenceLeased(ended(job), reply));
+          job.spec().id(), job.outcome(), () -> respondUnlessAbsenceLeased(finalState(job), reply));
     } else {
-      respondUnlessAbsenceLeased(open(job).validUntil(validUntilMs), reply);
+      respondUnlessAbsenceLeased(openState(job).validUntil(validUntilMs), reply);
     }
   }
 
-  /** Responds that a submission was recorded, or how the job has ended since. */
+  /**
+   * Responds that the submission was recorded, or with the job's state if the job has ended since.
+   */
   void respondAccepted(JobEntry recorded, long validUntilMs, Consumer<ApiResponse> reply) {
     JobEntry job = withKnownOutcome(recorded);
     if (job.isTerminal()) {
@@ -64,42 +70,50 @@
     }
   }
 
-  /** Responds so, unless a peer may be telling users that the job was never accepted. */
+  /** Sends the response, or 503 if a peer may be responding that the job was never accepted. */
   private void respondUnlessAbsenceLeased(ApiResponse state, Consumer<ApiResponse> reply) {
-    boolean allowed = absenceLeases.mayCallAccepted(state.id());
+    boolean allowed = absenceLeases.mayReportAccepted(state.id());
     reply.accept(allowed ? state : unavailable(ABSENCE_LEASED));
   }
 
-  /** Responds with the refusal if the read shows that the job was never accepted, else with 503. */
+  /**
+   * Sends {@code errorResponse} if the read shows that the job was never accepted, otherwise 503.
+   */
   void respondWithoutEntry(
-      String id, JobRead read, ApiResponse refusal, Consumer<ApiResponse> reply) {
+      String id, JobRead read, ApiResponse errorResponse, Consumer<ApiResponse> reply) {
     reply.accept(
         switch (read.status()) {
           case NOT_FOUND ->
               isAnnounced(id)
-                  ? unavailable(READ_TOO_EARLY)
-                  : refusal.validUntil(read.validUntilMs());
+                  ? unavailable(ENDED_AFTER_READ)
+                  : errorResponse.validUntil(read.validUntilMs());
           case UNCONFIRMED -> unavailable(ACCEPTANCE_UNKNOWN);
           default -> withoutStateService();
         });
   }
 
-  /** 503: nothing is known without the state service. */
+  /** Returns a 503 response for a request that cannot be answered without the state service. */
   ApiResponse withoutStateService() {
     return unavailable(NO_STATE_SERVICE);
   }
 
-  /** 503 for this reason. */
+  /** Returns a 503 response with this reason. */
   ApiResponse unavailable(String reason) {
     return ApiResponse.unavailable(reason, store.retryAfterS());
   }
 
-  /** Whether a peer has said how the job has ended, of which the state read shows nothing yet. */
+  /**
+   * Returns whether an outcome of the job is known here, perhaps from a peer's announcement,
+   * although the read showed no entry.
+   */
   private boolean isAnnounced(String id) {
     return outcomes.recentOutcome(id) != null;
   }
 
-  /** The entry, or what is known since: others may have ended the job already. */
+  /**
+   * Returns the stored entry, or the entry with a newer outcome that is known here, since another
+   * controller may have ended the job already.
+   */
   private JobEntry withKnownOutcome(JobEntry stored) {
     String id = stored.spec().id();
     JobEntry known = store.job(id);
@@ -114,14 +128,14 @@
     return announced == null ? job : job.withOutcome(announced);
   }
 
-  private static ApiResponse ended(JobEntry job) {
+  private static ApiResponse finalState(JobEntry job) {
     String id = job.spec().id();
     return job.outcome() == JobOutcome.DONE
         ? ApiResponse.done(id, job.spec().tasks())
         : ApiResponse.cancelled(id, job.completedTaskCount());
   }
 
-  private ApiResponse open(JobEntry job) {
+  private ApiResponse openState(JobEntry job) {
     String id = job.spec().id();
     return ApiResponse.open(id, job.completedTaskCount(), runningTasks.applyAsInt(id));
   }
--- a/src/main/java/mallowstall/core/api/JobSubmission.java
+++ b/src/main/java/mallowstall/core/api/JobSubmission.java
@@ -21,8 +21,8 @@
 import mallowstall.core.model.JobSpec;
 
 /**
- * Takes submissions: a job is called accepted once its entry is written, and rejected only if no
- * controller has called it accepted. Thread: the event loop's.
+ * Handles submissions. A job is reported as accepted once its entry is written. A submission is
+ * rejected only if no controller has reported the job as accepted. Confined to the event loop.
  */
 final class JobSubmission {
   private final EventClock clock;
@@ -37,7 +37,7 @@
   private final BiConsumer<String, Consumer<ApiResponse>> query;
   private final SchedulabilityCheck schedulability;
 
-  /** {@code query} responds with the state of a job that is known already. */
+  /** Creates the handler; {@code query} responds with the state of a job that is known already. */
   JobSubmission(
       EventClock clock,
       CoreSettings settings,
@@ -62,7 +62,10 @@
     schedulability = new SchedulabilityCheck(settings, types);
   }
 
-  /** Accepts a submission once its entry is written, or responds why not. */
+  /**
+   * Accepts a submission once its entry is written, or responds with the reason for not accepting
+   * it.
+   */
   void submit(JobSpec spec, Consumer<ApiResponse> reply) {
     String id = spec.id();
     if (store.job(id) != null) {
@@ -122,25 +125,25 @@
     } else if (code != ResultCode.OK) {
       reply.accept(responder.unavailable("the job could not be recorded"));
     } else if (clock.now() > validUntilMs) {
-      // The job may be over by now, and so may the result of a read: the user has to ask again.
+      // The job may have ended, and a read would be too late as well, so the user has to retry.
       reply.accept(responder.unavailable("recorded late, ask again"));
     } else {
-      // its own write made the entry known here, and perhaps its end is known as well by now
+      // The replica holds the entry that was written, and perhaps the job's outcome already.
       responder.respondAccepted(store.job(id), validUntilMs, reply);
     }
   }
 
   /**
-   * Rejects a submission, unless it repeats that of a job which was accepted (perhaps by a
-   * controller of another version): then the response is the job's state.
+   * Rejects a submission. If it repeats the submission of a job that was accepted, perhaps by a
+   * controller of another version, the response is the job's state instead.
    */
   void reject(String id, ApiResponse rejection, Consumer<ApiResponse> reply) {
     if (store.job(id) != null) {
       query.accept(id, reply);
     } else if (!store.synced()) {
-      // peers can't vouch for what a former process of this controller may have accepted
-      boolean isAlone = settings.peers().isEmpty();
-      reply.accept(isAlone ? rejection : responder.withoutStateService());
+      // A former process of this controller may have accepted the job; peers may not know of that.
+      boolean hasNoPeers = settings.peers().isEmpty();
+      reply.accept(hasNoPeers ? rejection : responder.withoutStateService());
     } else if (clock.now() - store.lastContactMs() > AnswerValidity.VALID_MS) {
       reader.confirmAbsence(id, read -> responder.respondWithoutEntry(id, read, rejection, reply));
     } else {
--- a/src/main/java/mallowstall/core/api/OutcomeAnnouncer.java
+++ b/src/main/java/mallowstall/core/api/OutcomeAnnouncer.java
@@ -18,16 +18,17 @@
 import mallowstall.core.model.OutcomeAnnouncement;
 
 /**
- * Decides when users may be told that a job has ended: once no controller can call it open any
- * more. That is so when every peer has acknowledged the outcome, or when it has been known here for
- * longer than any controller answers from a read that was sent before. Invalidation with
- * acknowledgement, and a lease on the read where a peer is silent: docs/design.md, "Answers to
- * users". Mutable; thread: the event loop's.
+ * Determines when users may be informed of a job's outcome. This is the case once the outcome is
+ * settled: no controller can respond with an open state any more. An outcome is settled when every
+ * peer has acknowledged it, or when it has been known here for longer than any controller uses a
+ * read that was sent before. This is invalidation with acknowledgement, with a lease on the read
+ * for a peer that does not acknowledge: docs/design.md, "Answers to users". Mutable; confined to
+ * the event loop.
  */
 public final class OutcomeAnnouncer {
   /**
-   * ms. Outcomes known for longer need no acknowledgement: no response that rests on a read without
-   * the outcome may leave any more.
+   * Time in milliseconds after which a known outcome needs no acknowledgement. By then no response
+   * based on a read without the outcome may be sent any more.
    */
   private static final long SETTLED_AFTER_MS = AnswerValidity.VALID_MS + AnswerValidity.MARGIN_MS;
 
@@ -40,7 +41,10 @@
   /** Outcomes that became known within the last {@link #SETTLED_AFTER_MS}, the oldest first. */
   private final Map<String, RecentOutcome> recentOutcomes = new LinkedHashMap<>();
 
-  /** When outcomes came with a listing, in ms of the steady clock; they aren't kept one by one. */
+  /**
+   * Steady time in milliseconds of the last listing that contained outcomes. Listed outcomes are
+   * not recorded one by one.
+   */
   private long listedAtMs = Long.MIN_VALUE / 2;
 
   /** An outcome that other controllers may not know yet. */
@@ -48,7 +52,7 @@
     private final long knownSinceMs;
     private final JobOutcome outcome;
     private final Set<String> unacknowledged;
-    private final List<Runnable> waiting = new ArrayList<>();
+    private final List<Runnable> callbacks = new ArrayList<>();
     private boolean announced;
 
     RecentOutcome(JobOutcome outcome, long knownSinceMs, List<String> peers) {
@@ -61,15 +65,18 @@
       return unacknowledged.isEmpty() || now - knownSinceMs >= SETTLED_AFTER_MS;
     }
 
-    /** Calls back all who wait for the outcome to be settled. */
+    /** Runs all callbacks that wait for the outcome to be settled. */
     void release() {
-      List<Runnable> released = new ArrayList<>(waiting);
-      waiting.clear();
+      List<Runnable> released = new ArrayList<>(callbacks);
+      callbacks.clear();
       released.forEach(Runnable::run);
     }
   }
 
-  /** Announces through {@code effects}, once every controller knows the messages. */
+  /**
+   * Creates an announcer that sends through {@code effects}, once every controller supports the
+   * messages.
+   */
   public OutcomeAnnouncer(
       EventClock clock,
       CoreSettings settings,
@@ -83,7 +90,7 @@
     this.clusterVersion = clusterVersion;
   }
 
-  /** Takes note of a change of the job's entry in the state replica. */
+  /** Called when the job's entry in the state replica has changed. Records a new outcome. */
   public void jobChanged(JobEntry before, JobEntry job) {
     if (!job.isTerminal() || (before != null && before.isTerminal())) {
       return;
@@ -95,48 +102,48 @@
     }
   }
 
-  /** The outcome is known here from now on, unless it was before. */
+  /** Records that the outcome is known here from now on, unless it was known before. */
   public void recordOutcome(String job, JobOutcome outcome) {
-    forgetSettled();
+    removeSettled();
     recentOutcomes.computeIfAbsent(
         job, id -> new RecentOutcome(outcome, clock.now(), settings.peers()));
   }
 
-  private void forgetSettled() {
+  private void removeSettled() {
     Iterator<RecentOutcome> oldest = recentOutcomes.values().iterator();
     while (oldest.hasNext()) {
       RecentOutcome recent = oldest.next();
-      if (clock.now() - recent.knownSinceMs < SETTLED_AFTER_MS || !recent.waiting.isEmpty()) {
+      if (clock.now() - recent.knownSinceMs < SETTLED_AFTER_MS || !recent.callbacks.isEmpty()) {
         return;
       }
       oldest.remove();
     }
   }
 
-  /** How the job has ended if that has become known lately, perhaps by a peer's word; else null. */
+  /** Returns the job's outcome if it became known recently, perhaps from a peer; otherwise null. */
   JobOutcome recentOutcome(String job) {
     RecentOutcome recent = recentOutcomes.get(job);
     return recent == null ? null : recent.outcome;
   }
 
   /**
-   * Runs {@code tell} as soon as users may be told how the job has ended, perhaps at once; the
-   * outcome must be known here.
+   * Runs {@code callback} as soon as users may be informed of the job's outcome, possibly before
+   * this method returns. The outcome must be known here.
    */
-  void whenSettled(String job, JobOutcome outcome, Runnable tell) {
+  void whenSettled(String job, JobOutcome outcome, Runnable callback) {
     long now = clock.now();
     if (now - listedAtMs < SETTLED_AFTER_MS) {
       recordOutcome(job, outcome);
     }
     RecentOutcome recent = recentOutcomes.get(job);
     if (recent == null || recent.isSettled(now)) {
-      tell.run();
+      callback.run();
       return;
     }
-    if (recent.waiting.isEmpty()) {
+    if (recent.callbacks.isEmpty()) {
       clock.schedule(recent.knownSinceMs + SETTLED_AFTER_MS - now, recent::release);
     }
-    recent.waiting.add(tell);
+    recent.callbacks.add(callback);
     announce(job, recent);
   }
 
@@ -150,14 +157,17 @@
     }
   }
 
-  /** A peer says how a job has ended; from now on this controller calls it open to nobody. */
+  /**
+   * Records the outcome that a peer announces and acknowledges it. From now on this controller does
+   * not report the job as open to any user.
+   */
   public void receive(OutcomeAnnouncement announcement) {
     recordOutcome(announcement.job(), announcement.outcome());
     effects.send(
         announcement.node(), new OutcomeAcknowledgement(settings.node(), announcement.job()));
   }
 
-  /** A peer calls the job open to nobody any more. */
+  /** Handles an acknowledgement: the peer does not report the job as open to any user any more. */
   public void receive(OutcomeAcknowledgement acknowledgement) {
     RecentOutcome recent = recentOutcomes.get(acknowledgement.job());
     if (recent == null || !recent.unacknowledged.remove(acknowledgement.node())) {
--- a/src/main/java/mallowstall/core/api/PeerEvents.java
+++ b/src/main/java/mallowstall/core/api/PeerEvents.java
@@ -2,11 +2,14 @@
 
 import mallowstall.core.model.PeerMessage;
 
-/** What takes connections to peers and their messages. To be called on the event loop. */
+/** Receives the connections and messages of peers. Must be called on the event loop. */
 public interface PeerEvents {
-  /** A new connection to a peer stands; numbers only grow within a process. */
+  /**
+   * Called when a new connection to a peer is established. Its number is larger than those of all
+   * earlier connections of this process.
+   */
   void peerConnected(String node, long connection);
 
-  /** A peer has sent a message. */
+  /** Handles a message that a peer has sent. */
   void handleMessage(PeerMessage message);
 }
--- a/src/main/java/mallowstall/core/api/SchedulabilityCheck.java
+++ b/src/main/java/mallowstall/core/api/SchedulabilityCheck.java
@@ -8,7 +8,10 @@
 import mallowstall.core.model.MachineType;
 import mallowstall.core.model.Team;
 
-/** Finds jobs that could never run: no machine type holds a task, or the team's quota is less. */
+/**
+ * Finds jobs that can never run, since no machine type holds a task or the team's quota is too
+ * small.
+ */
 final class SchedulabilityCheck {
   private final CoreSettings settings;
   private final MachineTypeCatalog types;
@@ -18,7 +21,9 @@
     this.types = types;
   }
 
-  /** Why the job could never run, in the words sent to its user; empty if it could. */
+  /**
+   * Returns the reason why the job can never run, as it is sent to the user; empty if it can run.
+   */
   Optional<String> rejectionReason(JobSpec spec) {
     Team team = settings.teams().get(spec.team());
     if (team == null) {
@@ -27,7 +32,7 @@
     if (!fitsAnyType(spec)) {
       return Optional.of("a task fits no allowed machine type");
     }
-    // Replicas run all at once; a batch may run one task after the other.
+    // All replicas of a service run at the same time; a batch job may run its tasks one by one.
     int concurrentTasks = spec.isService() ? spec.tasks() : 1;
     String subject = spec.isService() ? "all replicas together need" : "a task needs";
     if (exceedsQuota(concurrentTasks * spec.cpus(), team.cpuQuota())) {
@@ -48,7 +53,7 @@
     return false;
   }
 
-  /** A quota of 0 is none. */
+  /** Returns whether the amount is above the quota; a quota of 0 means that there is no limit. */
   private static boolean exceedsQuota(double amount, double quota) {
     return quota > 0 && amount > quota + Constants.ROUNDING_EPSILON;
   }
--- a/src/main/java/mallowstall/core/api/UserRequests.java
+++ b/src/main/java/mallowstall/core/api/UserRequests.java
@@ -5,19 +5,19 @@
 import mallowstall.core.model.JobSpec;
 
 /**
- * What users ask of a controller (protocol, Users). To be called on the event loop; each reply is
- * given exactly once, there too, at once or later.
+ * Receives the requests of users (protocol, Users). Must be called on the event loop. Each {@code
+ * reply} is called exactly once, also on the event loop, possibly before the method returns.
  */
 public interface UserRequests {
-  /** A user has submitted a job. */
+  /** Handles the submission of a job. */
   void submit(JobSpec spec, Consumer<ApiResponse> reply);
 
-  /** A submission that is wrong by itself, unless a controller of another version accepted it. */
+  /** Rejects an invalid submission, unless a controller of another version has accepted it. */
   void rejectSubmission(String id, String reason, Consumer<ApiResponse> reply);
 
-  /** A user asks for a job's state. */
+  /** Responds with the state of a job. */
   void query(String id, Consumer<ApiResponse> reply);
 
-  /** A user cancels a job. */
+  /** Cancels a job. */
   void cancel(String id, Consumer<ApiResponse> reply);
 }
--- a/src/main/java/mallowstall/core/api/package-info.java
+++ b/src/main/java/mallowstall/core/api/package-info.java
@@ -1,11 +1,11 @@
 /**
- * The requests of users: submit, query and cancel. {@link mallowstall.core.api.JobApi} owns a
- * bounded memory of jobs that have ended, {@code FreshJobReader} the reads under way; a job itself
- * is recorded in the state service before the user is told so.
+ * The requests of users: submit, query and cancel. {@link mallowstall.core.api.JobApi} keeps a
+ * bounded cache of ended jobs, and {@code FreshJobReader} keeps the pending reads. A job is
+ * recorded in the state service before its user receives the response that it was accepted.
  *
- * <p>Answers are never older than what the user may have heard elsewhere, as far as a controller
- * can know. One event at a time; no I/O, clock or threads. May depend on model, kernel, kv and
- * cluster; the number of running tasks comes in as a function. See docs/design.md, "went_back,
- * not_done, forgotten, invented".
+ * <p>A response is never older than one that the user may have received from another controller, as
+ * far as a controller can determine. The package handles one event at a time and uses no I/O,
+ * system clock or threads. It may depend on model, kernel, kv and cluster; the number of running
+ * tasks is passed in as a function. See docs/design.md, "went_back, not_done, forgotten, invented".
  */
 package mallowstall.core.api;
