--- a/src/main/java/mallowstall/core/cluster/CancellationExchange.java
+++ b/src/main/java/mallowstall/core/cluster/CancellationExchange.java
@@ -12,24 +12,26 @@
 import mallowstall.core.model.JobOutcome;
 
 /**
- * Exchange of cancellations between controllers. A controller without the state service learns of
- * them from its peers, so that it can stop those tasks and need not let all worker leases expire.
+ * Exchanges cancellations between controllers. A controller that can't reach the state service
+ * receives them from its peers, so that it can stop the tasks of cancelled jobs and doesn't have to
+ * let all worker leases expire.
  *
- * <p>Every status update names all cancellations in this controller's replica that are newer than
- * the replica of the receiver, by the revision that it published; nothing counts as acknowledged,
- * so a lost update costs nothing. Acting on a peer's cancellation is safe, since an outcome never
- * changes: it only stops tasks and rejects starts. It makes no entry of the replica, since the
- * other fields are unknown. See docs/design.md, "ran_cancelled".
+ * <p>Every status update names all cancellations in the sender's replica that are newer than the
+ * revision that the receiver last published for its own replica. Updates name a cancellation again
+ * until that revision has passed it, so a lost update does no harm. Acting on a peer's cancellation
+ * is safe: the outcome of a job never changes, and the controller only stops tasks and rejects
+ * starts. The cancellation isn't written to the replica, since the other fields of the job's entry
+ * are unknown. See docs/design.md, "ran_cancelled".
  */
 public final class CancellationExchange {
   /**
-   * Count. Cancellations kept for peers that don't follow the state service: hundreds a minute for
-   * as long as workers may be kept alive without it. Beyond it no peer's account of cancellations
-   * counts as complete.
+   * Maximum number of cancellations kept for peers that can't reach the state service. It covers
+   * hundreds of cancellations a minute for as long as workers may be kept alive without the state
+   * service. Beyond it, the lists of cancellations that peers exchange don't count as complete.
    */
   private static final int CANCELLATIONS_MAX = 2_000;
 
-  /** A cancelled job and the revision at which it was recorded. */
+  /** A cancelled job and the revision at which the cancellation was written. */
   private record Cancelled(long revision, String job) implements Comparable<Cancelled> {
     @Override
     public int compareTo(Cancelled other) {
@@ -40,44 +42,50 @@
   }
 
   private final StateStore store;
-  private final Consumer<String> cancelled;
+  private final Consumer<String> onCancelled;
 
-  /** Cancellations in the replica, in the order of their revisions. */
+  /** Cancellations that the replica shows, in the order of their revisions. */
   private final TreeSet<Cancelled> recordedCancellations = new TreeSet<>();
 
-  /** Cancellations up to this revision are no longer kept. */
+  /** The highest revision of which a cancellation is no longer kept, or 0 if all are kept. */
   private long prunedRevision;
 
-  /** Cancellations known from peers alone, which the replica doesn't show yet. */
+  /** Jobs that peers have reported as cancelled and that the replica doesn't show as such yet. */
   private final Set<String> reportedByPeers = new HashSet<>();
 
   /**
    * Creates an exchange without cancellations.
    *
-   * @param store the replica that recorded cancellations come from
-   * @param cancelled called with each job that becomes known as cancelled, from either source
+   * @param store the replica whose cancellations are sent to peers
+   * @param onCancelled called with the id of a job when the replica or a peer reports its
+   *     cancellation
    */
-  public CancellationExchange(StateStore store, Consumer<String> cancelled) {
+  public CancellationExchange(StateStore store, Consumer<String> onCancelled) {
     this.store = store;
-    this.cancelled = cancelled;
+    this.onCancelled = onCancelled;
   }
 
-  /** A job's entry has changed; {@code before} is null if it is new. */
+  /** Handles a change of a job's entry; {@code before} is null if the job is new. */
   public void jobChanged(JobEntry before, JobEntry after) {
     if (after.outcome() == JobOutcome.CANCELLED
         && (before == null || before.outcome() != JobOutcome.CANCELLED)) {
       String id = after.spec().id();
       recordCancellation(id, store.modRevision(StateKeys.job(id)));
-      cancelled.accept(id);
+      onCancelled.accept(id);
     }
   }
 
-  /** Whether nothing of the job may be started and all of it must be stopped. */
+  /**
+   * Returns whether the job has ended, by its entry or by a peer's report of its cancellation. No
+   * task of an ended job may be started, and its remaining tasks must be stopped.
+   *
+   * @param job the job's entry; null if it is unknown
+   */
   public boolean isOver(String id, JobEntry job) {
     return (job != null && job.isTerminal()) || isReportedByPeer(id);
   }
 
-  /** The replica shows the cancellation, recorded at this revision. */
+  /** Records a cancellation that the replica shows and that was written at this revision. */
   private void recordCancellation(String job, long revision) {
     reportedByPeers.remove(job);
     recordedCancellations.add(new Cancelled(revision, job));
@@ -86,12 +94,12 @@
     }
   }
 
-  /** Whether all that is newer than this revision is still kept. */
+  /** Returns whether all cancellations newer than this revision are still kept. */
   public boolean retainsSince(long revision) {
     return revision >= prunedRevision;
   }
 
-  /** Jobs cancelled after this revision. */
+  /** Returns the jobs that were cancelled after this revision. */
   public List<String> cancelledSince(long revision) {
     List<String> jobs = new ArrayList<>();
     for (Cancelled cancelled : recordedCancellations.tailSet(new Cancelled(revision + 1, ""))) {
@@ -100,9 +108,9 @@
     return jobs;
   }
 
-  /** Takes in cancellations that a peer has sent; false: too many to remember. */
+  /** Applies cancellations that a peer has sent; returns false if there are too many to keep. */
   boolean applyPeerCancellations(List<String> jobs) {
-    boolean allRemembered = true;
+    boolean allRecorded = true;
     for (String id : jobs) {
       JobEntry job = store.job(id);
       if (job != null && job.isTerminal()) {
@@ -114,14 +122,14 @@
       if (reportedByPeers.size() < CANCELLATIONS_MAX) {
         reportedByPeers.add(id);
       } else {
-        allRemembered = false;
+        allRecorded = false;
       }
-      cancelled.accept(id);
+      onCancelled.accept(id);
     }
-    return allRemembered;
+    return allRecorded;
   }
 
-  /** Whether only a peer has reported the job as cancelled, and the replica doesn't show it. */
+  /** Returns whether a peer has reported the job as cancelled and the replica doesn't show it. */
   public boolean isReportedByPeer(String job) {
     return !reportedByPeers.isEmpty() && reportedByPeers.contains(job);
   }
--- a/src/main/java/mallowstall/core/cluster/ClusterVersion.java
+++ b/src/main/java/mallowstall/core/cluster/ClusterVersion.java
@@ -9,35 +9,39 @@
 import mallowstall.core.model.VersionEntry;
 
 /**
- * The lowest program version that every configured controller has shown in the state service. What
- * an older version would misread is stored or sent only once this is high enough.
+ * The lowest of the program versions that the configured controllers have published in the state
+ * service. Values and messages that an older version would misread are stored or sent only once the
+ * lowest version can read them.
  */
 public final class ClusterVersion {
   private final CoreSettings settings;
   private final StateStore store;
 
-  /** Reads the versions that the replica holds, for the controllers in the settings. */
+  /** Uses the versions in the replica and the list of controllers in the settings. */
   public ClusterVersion(CoreSettings settings, StateStore store) {
     this.settings = settings;
     this.store = store;
   }
 
-  /** Whether every controller knows services. */
+  /** Returns whether every controller supports services. */
   public boolean allowsServices() {
     return lowestVersion() >= ProgramVersion.WITH_SERVICES;
   }
 
-  /** Whether every controller reads done bits in small pieces. */
+  /** Returns whether every controller reads completion bitmaps in small pieces. */
   public boolean allowsSmallPieces() {
     return lowestVersion() >= ProgramVersion.WITH_SERVICES;
   }
 
-  /** Whether every controller knows the messages by which outcomes of jobs are announced. */
+  /** Returns whether every controller can read announcements of outcomes of jobs. */
   public boolean allowsOutcomeAnnouncements() {
     return lowestVersion() >= ProgramVersion.WITH_OUTCOME_ANNOUNCEMENTS;
   }
 
-  /** Whether a refusal may rest on the leases that peers grant when asked about acceptances. */
+  /**
+   * Returns whether the leases that peers grant in reply to acceptance queries suffice to reject a
+   * user's request because the job was never accepted.
+   */
   public boolean allowsAcceptanceQueries() {
     return lowestVersion() >= ProgramVersion.WITH_LASTING_LEASES;
   }
@@ -51,9 +55,10 @@
   }
 
   /**
-   * A process of an older version leaves its predecessor's entry as it is, but takes a session of
-   * its own: an entry that doesn't belong to the present session says nothing. Without a session
-   * the node is down and comes back with the version it had.
+   * Returns the version that the node has published, or {@link ProgramVersion#UNKNOWN}. A process
+   * of an older version doesn't overwrite the version entry of its predecessor but has a new
+   * session, so an entry of another incarnation than the session's is ignored. A node without a
+   * session is down, and is expected to restart with the version in its entry.
    */
   private int publishedVersion(String node) {
     StoredValue stored = store.entry(StateKeys.version(node));
--- a/src/main/java/mallowstall/core/cluster/ClusterView.java
+++ b/src/main/java/mallowstall/core/cluster/ClusterView.java
@@ -20,8 +20,8 @@
 import mallowstall.core.model.TaskStatus;
 
 /**
- * What this controller knows of all machines and controllers by status updates, its own included.
- * Always partial and a little old: machine leaders check every start again. Mutable.
+ * The machines and controllers, this one included, as status updates report them. The view is
+ * always partial and slightly out of date, so machine leaders check every start again. Mutable.
  */
 public final class ClusterView {
   private final EventClock clock;
@@ -31,45 +31,45 @@
   private final TaskCounts taskCounts = new TaskCounts();
   private final KeptResults keptResults;
 
-  /** Machines whose status was taken in while the replica had no entry of them. */
+  /** Machines whose status was applied while the replica held no entry for them. */
   private final Set<String> machinesWithoutEntry = new HashSet<>();
 
   private long updatesReceived;
   private boolean lastUpdateChangedMachines;
 
-  /** A view of no machines; {@code store} tells which machines and jobs still exist. */
+  /** Creates an empty view; {@code store} shows which machines and jobs still exist. */
   public ClusterView(EventClock clock, StateStore store) {
     this.clock = clock;
     this.store = store;
     this.keptResults = new KeptResults(clock, store);
   }
 
-  /** What is known of a controller, which may be this process itself; never null. */
+  /** Returns the state of a controller, which may be this one; never null. */
   public PeerState peer(String node) {
     return peers.computeIfAbsent(node, PeerState::new);
   }
 
-  /** What is known of a machine; null if nothing is. */
+  /** Returns the view of a machine, or null if the machine is unknown. */
   public MachineView machine(String id) {
     return machines.get(id);
   }
 
-  /** All machines of which anything is known, in no particular order; a live view. */
+  /** Returns all known machines in no particular order, as a live view. */
   public Collection<MachineView> machines() {
     return machines.values();
   }
 
-  /** The number of status updates applied so far. */
+  /** Returns the number of status updates applied so far. */
   public long updatesReceived() {
     return updatesReceived;
   }
 
   /**
-   * Applies a status update. The sender builds its next one on the last that was applied, so
-   * nothing need be requested after a gap.
+   * Applies a status update. The sender builds its next update on the last one that this controller
+   * has applied, so this controller doesn't have to request lost updates.
    *
-   * @return false: not applied, since it is older than what is known or builds on one that was
-   *     never received
+   * @return false if the update isn't applied because a newer one has been applied, or because it
+   *     builds on an update that was never received
    */
   boolean applyStatusUpdate(StatusUpdate update) {
     PeerState sender = peer(update.node());
@@ -79,7 +79,7 @@
     if (update.incarnation() > sender.incarnation()) {
       sender.startIncarnation(update.incarnation());
     }
-    // serials start at 1, so a process that has applied none of this one's gets a full update
+    // Serial numbers start at 1: the first update applied of an incarnation must be a full one.
     if (update.serial() <= sender.serial() || update.baseSerial() > sender.serial()) {
       return false;
     }
@@ -104,19 +104,17 @@
     return true;
   }
 
-  /**
-   * Whether the last update applied changed a machine's status or leader, and didn't just repeat.
-   */
+  /** Returns whether the last update applied changed the status or the leader of a machine. */
   boolean lastUpdateChangedMachines() {
     return lastUpdateChangedMachines;
   }
 
-  /** Applies the status of each machine of an update; returns those that its sender leads. */
+  /** Applies the machine statuses of an update; returns the machines that the sender leads. */
   private Set<String> applyMachines(StatusUpdate update, PeerState sender) {
     Set<String> led = new HashSet<>();
     lastUpdateChangedMachines = false;
     for (MachineStatus status : update.machines()) {
-      // its entry is deleted, and its leader doesn't know that yet
+      // The machine's entry is deleted, but the machine leader hasn't seen the deletion yet.
       if (store.returned(status.machine(), status.entryRevision())) {
         continue;
       }
@@ -150,7 +148,7 @@
     }
   }
 
-  /** The machine's entry was deleted: nothing is known of it any more. */
+  /** Removes a machine whose entry was deleted. */
   public void removeMachine(String id) {
     keptResults.removeMachine(id);
     MachineView machine = machines.remove(id);
@@ -164,10 +162,11 @@
   }
 
   /**
-   * Removes the machines that prove to be returned although no deletion of their entry was seen: a
-   * status may name one while the replica is listed anew, or is behind the entry, and a listing
-   * reports no deletion of what it never held. A replica that has passed the revision of the entry
-   * that the status goes by, and holds none, proves it (docs/design.md).
+   * Removes machines that were returned although the replica reported no deletion of their entries.
+   * This happens if a status names a machine while the replica is being listed anew or is behind
+   * the machine's entry: a listing reports no deletion of an entry that the replica never held. A
+   * machine is returned if the replica has reached the entry revision in the machine's status and
+   * holds no entry for the machine (docs/design.md).
    *
    * @return the machines that were removed
    */
@@ -189,36 +188,37 @@
     return returned;
   }
 
-  /** Whether the entry by which the machine's newest status goes has been deleted. */
+  /** Returns whether the entry on which the machine's newest status is based has been deleted. */
   private boolean isReturned(MachineView machine) {
     return machine.status() != null
         && store.returned(machine.id(), machine.status().entryRevision());
   }
 
   /**
-   * Names of machines that have been returned and are in the view all the same, until {@link
-   * #removeReturnedMachines} is called next; for tests, which compare with looking at all machines.
+   * Returns the ids of machines that were returned but stay in the view until the next call of
+   * {@link #removeReturnedMachines}. This method examines all machines and is meant for tests,
+   * which compare the two results.
    */
   public List<String> returnedMachines() {
     return machines.values().stream().filter(this::isReturned).map(MachineView::id).toList();
   }
 
-  /** Which machines keep results of replicas, and so can't serve these. */
+  /** Returns which machines keep results of replicas and therefore can't serve these replicas. */
   public KeptResults keptResults() {
     return keptResults;
   }
 
-  /** The number of the job's tasks that are on machines or were accepted there. */
+  /** Returns the number of the job's tasks that are on machines or have been accepted there. */
   public int placedTasks(String job) {
     return taskCounts.placed(job);
   }
 
-  /** The number of the job's tasks that run. */
+  /** Returns the number of the job's running tasks. */
   public int runningTasks(String job) {
     return taskCounts.running(job);
   }
 
-  /** Collects the machine's images anew if its status has changed since they were. */
+  /** Collects the machine's images again if its status has changed since the last collection. */
   public void updateDerivedState(MachineView machine) {
     if (machine.hasCurrentImages()) {
       return;
@@ -238,7 +238,7 @@
     machine.setCurrentImages(images.toArray(new String[0]), fetching);
   }
 
-  /** Whether replicas of services are on the machine, by its status. */
+  /** Returns whether the machine's status lists replicas of services that haven't ended. */
   public boolean hostsReplicas(MachineView machine) {
     for (TaskStatus task : machine.status().tasks()) {
       JobEntry job = task.state() == TaskState.EXITED ? null : store.job(task.job());
@@ -250,22 +250,24 @@
   }
 
   /**
-   * Steady time in ms of the last update from the machine's leader; far in the past if it has none.
-   * What that update doesn't name has not changed up to then.
+   * Returns the steady time in milliseconds of the last update from the machine's leader, or a time
+   * far in the past if the machine has no leader. Whatever that update doesn't name has not changed
+   * up to this time.
    */
   public long lastUpdateMs(MachineView machine) {
     return machine.leader() == null ? Long.MIN_VALUE / 2 : peer(machine.leader()).lastUpdateMs();
   }
 
-  /** Whether the machine's leader published so lately that a start has a chance there. */
+  /** Returns whether the machine's leader has published so recently that a start may succeed. */
   public boolean hasRecentUpdate(MachineView machine) {
     return clock.now() - lastUpdateMs(machine) < Constants.STATUS_UPDATE_STALE_MS;
   }
 
   /**
-   * Whether the leader in the machine's entry has published all that is on it, and commands of
-   * former leaders can't reach it any more. The revision of that leader's replica then tells up to
-   * which claims of a job's leadership no start of an earlier one can reach the machine.
+   * Returns whether the leader in the machine's entry has published everything that is on the
+   * machine, and commands of former machine leaders can't reach the machine any more. In this case,
+   * if a job leader claimed its job at or before the revision of the machine leader's replica, no
+   * start by an earlier leader of the job can reach the machine.
    */
   public boolean isFullyReported(String id, MachineEntry entry) {
     MachineView machine = machines.get(id);
--- a/src/main/java/mallowstall/core/cluster/Connectivity.java
+++ b/src/main/java/mallowstall/core/cluster/Connectivity.java
@@ -5,9 +5,12 @@
 import mallowstall.core.kv.StateStore;
 import mallowstall.core.model.CoreSettings;
 
-/** How well this controller is connected to the state service and to its peers. */
+/** Determines whether this controller reaches the state service and its peers. */
 public final class Connectivity {
-  /** ms. Of the cancellation deadline, kept in reserve when the state service can't be reached. */
+  /**
+   * The part of the cancellation deadline, in milliseconds, that is kept in reserve while the state
+   * service can't be reached.
+   */
   private static final long CANCELLATION_MARGIN_MS = 5_000;
 
   private final EventClock clock;
@@ -15,7 +18,7 @@
   private final StateStore store;
   private final ClusterView view;
 
-  /** Judges by the replica's age and by the peers' status updates. */
+  /** Uses the age of the replica and the status updates of the peers. */
   public Connectivity(EventClock clock, CoreSettings settings, StateStore store, ClusterView view) {
     this.clock = clock;
     this.settings = settings;
@@ -24,49 +27,53 @@
   }
 
   /**
-   * Whether heartbeats may be answered, which renews worker leases: a controller that may have
-   * missed a confirmed cancellation lets the leases expire in time. It knows of all cancellations
-   * up to when its replica was fresh, or else up to when each of its peers last sent theirs.
+   * Returns whether this controller may answer heartbeats, which renews worker leases. A controller
+   * that may have missed a confirmed cancellation lets the leases expire before the cancellation
+   * deadline. A controller has all cancellations up to the time at which its replica was last
+   * fresh, or else up to the time for which each of its peers has sent its cancellations.
    */
   public boolean mayRenewWorkerLeases() {
-    long limit =
+    long maxAgeMs =
         settings.cancellationDeadlineMs() - settings.workerLeaseMs() - CANCELLATION_MARGIN_MS;
-    if (clock.now() - store.freshAtMs() < limit) {
+    if (clock.now() - store.freshAtMs() < maxAgeMs) {
       return true;
     }
     for (String peer : settings.peers()) {
-      if (clock.now() - view.peer(peer).cancellationsKnownAtMs() >= limit) {
+      if (clock.now() - view.peer(peer).cancellationsKnownAtMs() >= maxAgeMs) {
         return false;
       }
     }
     return true;
   }
 
-  /** Whether the state service serves a peer but not this controller. */
+  /** Returns whether the state service serves a peer but not this controller. */
   public boolean isIsolatedFromStateService() {
     return clock.now() - store.lastContactMs() >= Constants.STATE_CUT_OFF_MS
         && peerWithStateAccess() != null;
   }
 
-  /** Whether status updates of every peer have come lately. */
+  /** Returns whether this controller has recently received a status update from every peer. */
   public boolean hearsAllPeers() {
     for (String peer : settings.peers()) {
-      if (!isHeard(view.peer(peer))) {
+      if (!hasRecentUpdate(view.peer(peer))) {
         return false;
       }
     }
     return true;
   }
 
-  private boolean isHeard(PeerState peer) {
+  private boolean hasRecentUpdate(PeerState peer) {
     return clock.now() - peer.lastUpdateMs() < Constants.STATUS_UPDATE_STALE_MS;
   }
 
-  /** A peer with recent status updates that the state service serves; null: none is known. */
+  /**
+   * Returns a peer that has recently sent a status update and that the state service serves, or
+   * null if there is none.
+   */
   public String peerWithStateAccess() {
     for (String name : settings.peers()) {
       PeerState peer = view.peer(name);
-      if (isHeard(peer)
+      if (hasRecentUpdate(peer)
           && clock.now() - peer.replicaFreshAtMs()
               < Constants.STATE_CUT_OFF_MS + Constants.WATCH_TIMEOUT_MS) {
         return name;
--- a/src/main/java/mallowstall/core/cluster/DigestPublisher.java
+++ b/src/main/java/mallowstall/core/cluster/DigestPublisher.java
@@ -16,9 +16,9 @@
 import mallowstall.core.model.DigestEntry;
 import mallowstall.core.model.FreeCapacity;
 
-/** Writes this controller's free capacity and pending work to the state service now and then. */
+/** Writes this controller's free capacity and pending work to the state service periodically. */
 public final class DigestPublisher {
-  /** ms. Between two digests of free capacity (docs/design.md: every 5 seconds). */
+  /** Interval between two digests in milliseconds (docs/design.md: every 5 seconds). */
   private static final long DIGEST_INTERVAL_MS = 5_000;
 
   private final EventClock clock;
@@ -30,7 +30,12 @@
   private final RetryDelay retry = new RetryDelay();
   private long nextPublishMs;
 
-  /** Publishes what the two suppliers return: free capacity and the processors that wait. */
+  /**
+   * Creates a publisher.
+   *
+   * @param freeCapacity supplies the free capacity of machines, those with the most free CPUs first
+   * @param pendingCpus supplies the number of CPUs that pending tasks need
+   */
   public DigestPublisher(
       EventClock clock,
       CoreSettings settings,
@@ -46,7 +51,7 @@
     this.pendingCpus = pendingCpus;
   }
 
-  /** Writes the digest when that is due. */
+  /** Writes the digest if one is due and the session is valid. */
   public void tick() {
     if (clock.now() < nextPublishMs || !store.synced() || !store.isSessionValid()) {
       return;
@@ -64,14 +69,14 @@
         });
   }
 
-  /** The digest with as many of the machines with most free capacity as fit one value. */
+  /** Returns a digest with as many of the machines with most free CPUs as fit into one value. */
   private DigestEntry digest() {
     double pending = pendingCpus.getAsDouble();
     long incarnation = store.incarnation();
     List<FreeCapacity> free =
         ValueSize.longestFittingPrefix(
             freeCapacity.get(),
-            some -> effects.encodedSizeBytes(new DigestEntry(incarnation, some, pending)),
+            prefix -> effects.encodedSizeBytes(new DigestEntry(incarnation, prefix, pending)),
             settings.maxValueBytes());
     return new DigestEntry(incarnation, free, pending);
   }
--- a/src/main/java/mallowstall/core/cluster/KeptResults.java
+++ b/src/main/java/mallowstall/core/cluster/KeptResults.java
@@ -13,37 +13,44 @@
 import mallowstall.core.model.TaskStatus;
 
 /**
- * Which machines keep the result of which replica. A worker keeps the result of a task that is done
- * and ends it as soon as it is started there again; for a replica, which has to run again, such a
- * machine is no capacity, however much of it is free.
+ * Records which machines keep the results of which replicas. A worker keeps the result of a task
+ * that is done, and ends the task immediately if it is started there again. A replica has to run
+ * again, so a machine that keeps its result can't serve it, however much capacity is free.
  *
- * <p>Learned from the ends that status updates tell, so every controller knows the same, whoever
- * leads the job: a failover costs nothing. The first end is that of a replica that ran; the second
- * one on the same machine shows that its result is kept there. A machine counts as keeping it for a
- * minute after the last such end; then it is tried once more if nothing else can serve, which also
- * tells controllers that missed an end. A new process learns by such tries. Mutable.
+ * <p>The ends of attempts come from status updates. All controllers receive them, whichever
+ * controller leads the job, so a failover loses none. The first end is that of a replica that ran;
+ * the second end on the same machine shows that the worker keeps the result. The machine counts as
+ * keeping the result for a minute after the last end. Then the replica is started there once more
+ * if no other machine can serve it. The end of that attempt also reaches controllers that missed an
+ * earlier end, and a new process detects kept results in this way. Mutable.
  */
 public final class KeptResults {
-  /** Count. Ends of a replica as done on one machine that show that its result is kept there. */
+  /**
+   * Number of times that a replica has to end as done on a machine to show that its result is kept
+   * there.
+   */
   private static final int KEPT_RESULT_ENDS = 2;
 
   /**
-   * ms. A replica isn't tried for so long where its result is kept: above a boot, below the 90 s
-   * that work may wait.
+   * Time in milliseconds for which a replica isn't started on a machine that keeps its result. It
+   * is longer than the boot of a machine and shorter than the 90 s that work may wait.
    */
   private static final long KEPT_RESULT_MS = 60_000;
 
-  /** ms. Ends are forgotten after so long: one more try is enough until then to know again. */
+  /**
+   * Time in milliseconds after which ends are forgotten. Before that, a single further end shows
+   * again that the result is kept.
+   */
   private static final long KEPT_RESULT_MEMORY_MS = 2 * KEPT_RESULT_MS;
 
-  /** Ends of one replica as done on one machine. Mutable. */
+  /** The ends of one replica as done on one machine. Mutable. */
   private static final class Ends {
     private long lastAttempt;
     private long lastAtMs;
     private int count;
 
     void record(long attempt, long now) {
-      // every status update that lists the attempt tells the same end
+      // Every status update that lists the attempt reports its end again.
       if (attempt > lastAttempt) {
         lastAttempt = attempt;
         lastAtMs = now;
@@ -64,13 +71,13 @@
   private final StateStore store;
   private final Map<String, Map<TaskKey, Ends>> endsByMachine = new HashMap<>();
 
-  /** Knows of no results; {@code store} tells which jobs are services. */
+  /** Creates an empty record; {@code store} shows which jobs are services. */
   KeptResults(EventClock clock, StateStore store) {
     this.clock = clock;
     this.store = store;
   }
 
-  /** Takes in the ends that a machine's status tells. */
+  /** Records the ends of replicas that a machine's status reports. */
   void recordEnds(MachineStatus status) {
     for (TaskStatus task : status.tasks()) {
       if (task.exitReason() == ExitReason.DONE && isReplicaOfOpenService(task)) {
@@ -92,12 +99,12 @@
         .record(task.attempt(), now);
   }
 
-  /** The machine no longer exists. */
+  /** Removes what is recorded for a machine that no longer exists. */
   void removeMachine(String machine) {
     endsByMachine.remove(machine);
   }
 
-  /** Whether the replica would end on the machine as soon as it is started there. */
+  /** Returns whether the replica would end on the machine as soon as it is started there. */
   public boolean keepsResult(String machine, String job, int replica) {
     Map<TaskKey, Ends> ends = endsByMachine.get(machine);
     if (ends == null) {
@@ -107,7 +114,7 @@
     return known != null && known.showKeptResult(clock.now());
   }
 
-  /** The replicas of the job that would end on the machine as soon as they are started there. */
+  /** Returns the replicas of the job that would end on the machine as soon as they are started. */
   public List<Integer> replicasWithResult(String machine, String job) {
     Map<TaskKey, Ends> ends = endsByMachine.get(machine);
     if (ends == null) {
--- a/src/main/java/mallowstall/core/cluster/MachineTypeCatalog.java
+++ b/src/main/java/mallowstall/core/cluster/MachineTypeCatalog.java
@@ -9,7 +9,7 @@
 import mallowstall.core.kernel.EventClock;
 import mallowstall.core.model.MachineType;
 
-/** The machine types that the cloud offers, read again once in a while. Mutable. */
+/** The machine types that the cloud offers, read again periodically. Mutable. */
 public final class MachineTypeCatalog {
   private static final long RETRY_MS = 1_000;
   private static final long REFRESH_MS = 60_000;
@@ -18,24 +18,27 @@
   private final Effects effects;
   private final Map<String, MachineType> types = new LinkedHashMap<>();
 
-  /** Called whenever the types have been read. */
+  /** Called after each successful read of the types. */
   private Runnable subscriber = () -> {};
 
   private long nextRefreshMs;
   private boolean refreshing;
 
-  /** An empty catalog, which is read on the first tick. */
+  /** Creates an empty catalog; the first tick reads the types. */
   public MachineTypeCatalog(EventClock clock, Effects effects) {
     this.clock = clock;
     this.effects = effects;
   }
 
-  /** Sets the callback for each successful read of the types; once, before the first event. */
+  /**
+   * Sets the callback that runs after each successful read of the types. Called once, before the
+   * first event.
+   */
   public void subscribe(Runnable typesRead) {
     subscriber = typesRead;
   }
 
-  /** Reads the types when that is due. */
+  /** Reads the types if a read is due and none is pending. */
   public void tick() {
     if (clock.now() >= nextRefreshMs && !refreshing) {
       refreshing = true;
@@ -43,7 +46,11 @@
     }
   }
 
-  /** Types that are no longer offered stay known; {@code offered} is null if the read failed. */
+  /**
+   * Adds the types that the cloud offers and keeps those that it no longer offers.
+   *
+   * @param offered null if the read failed
+   */
   private void applyOffered(List<MachineType> offered) {
     refreshing = false;
     nextRefreshMs = clock.now() + (offered == null || offered.isEmpty() ? RETRY_MS : REFRESH_MS);
@@ -56,22 +63,22 @@
     subscriber.run();
   }
 
-  /** Whether no types have been read yet. */
+  /** Returns whether no types have been read yet. */
   public boolean isEmpty() {
     return types.isEmpty();
   }
 
-  /** The type of this name; null if unknown. */
+  /** Returns the type with this name, or null if it is unknown. */
   public MachineType find(String name) {
     return types.get(name);
   }
 
-  /** All types, in the order in which they became known. */
+  /** Returns all types in the order in which they were first read. */
   public Collection<MachineType> all() {
     return types.values();
   }
 
-  /** The names of all types, in the same order. */
+  /** Returns the names of all types in the order in which the types were first read. */
   public Set<String> names() {
     return types.keySet();
   }
--- a/src/main/java/mallowstall/core/cluster/MachineView.java
+++ b/src/main/java/mallowstall/core/cluster/MachineView.java
@@ -9,67 +9,71 @@
 import mallowstall.core.model.TaskAttempt;
 
 /**
- * One machine as this controller sees it: the newest status that its leader has published, and what
- * this controller has requested there since. Mutable; changed by {@link ClusterView} and by the
- * placement pass.
+ * One machine as this controller sees it: the newest status that the machine leader has published,
+ * and the starts and preemptions that this controller has requested on the machine since. Mutable;
+ * changed by {@link ClusterView} and by the scheduling pass.
  */
 public final class MachineView {
   private final String id;
 
-  /** Null while no controller leads it. */
+  /** The machine leader, or null if no controller is known to lead the machine. */
   private String leader;
 
   private long leaderIncarnation;
   private long updatedAtMs;
 
-  /** Null until a first status is applied. */
+  /** The newest status, or null if none has been applied yet. */
   private MachineStatus status;
 
   private double reservedCpus;
   private double reservedGpus;
   private double reservedMemoryGb;
 
-  /** Images on the machine and those that its tasks need, as of {@link #imagesStatus}. */
+  /** Images on the machine and images that its tasks need, as of {@link #imagesStatus}. */
   private String[] images = {};
 
   private List<String> fetchingImages = List.of();
 
-  /** The status from which the images were collected; null: none yet. */
+  /** The status from which the images were collected, or null if none were collected yet. */
   private MachineStatus imagesStatus;
 
   private final Map<TaskAttempt, Long> preemptedUntilMs = new HashMap<>();
 
-  /** A machine of which nothing is known yet. */
+  /** Creates the view of a machine without a status or a leader. */
   public MachineView(String id) {
     this.id = id;
   }
 
-  /** The machine's id. */
+  /** Returns the machine's id. */
   public String id() {
     return id;
   }
 
-  /** The controller that leads it; null if none does, as far as known. */
+  /** Returns the machine leader, or null if no controller is known to lead the machine. */
   public String leader() {
     return leader;
   }
 
-  /** The process of the leader that published the status. */
+  /** Returns the incarnation of the machine leader that published the status. */
   public long leaderIncarnation() {
     return leaderIncarnation;
   }
 
-  /** Steady time in ms at which the status was received. */
+  /** Returns the steady time in milliseconds at which the status was received. */
   public long updatedAtMs() {
     return updatedAtMs;
   }
 
-  /** The newest status; null until one is received. */
+  /** Returns the newest status, or null if none has been received yet. */
   public MachineStatus status() {
     return status;
   }
 
-  /** A controller, from now on its leader, has published a status, received at this time in ms. */
+  /**
+   * Applies a status that a controller has published; this controller is now the machine leader.
+   *
+   * @param now steady time in milliseconds at which the status was received
+   */
   public void applyStatus(String node, long incarnation, MachineStatus newStatus, long now) {
     leader = node;
     leaderIncarnation = incarnation;
@@ -77,46 +81,46 @@
     status = newStatus;
   }
 
-  /** The controller that led it leads it no longer. */
+  /** Records that the machine leader doesn't lead the machine any more. */
   public void clearLeader() {
     leader = null;
   }
 
-  /** Free processors, less what requested starts will take. */
+  /** Returns the number of free CPUs less those reserved for requested starts. */
   public double freeCpus() {
     return status.freeCpus() - reservedCpus;
   }
 
-  /** Free GPUs, less what requested starts will take. */
+  /** Returns the number of free GPUs less those reserved for requested starts. */
   public double freeGpus() {
     return status.freeGpus() - reservedGpus;
   }
 
-  /** Free memory in GB, less what requested starts will take. */
+  /** Returns the free memory in GB less that reserved for requested starts. */
   public double freeMemoryGb() {
     return status.freeMemoryGb() - reservedMemoryGb;
   }
 
-  /** How many tasks of the job fit into the free capacity. */
+  /** Returns how many tasks of the job fit into the free capacity. */
   public int fittingTasks(JobSpec spec) {
     return Capacity.fittingTasks(freeCpus(), freeGpus(), freeMemoryGb(), spec);
   }
 
-  /** Reserves capacity for so many tasks of the job; a negative number gives it back. */
+  /** Reserves capacity for this number of tasks of the job; a negative number releases it. */
   public void reserve(JobSpec spec, int tasks) {
     reservedCpus += tasks * spec.cpus();
     reservedGpus += tasks * spec.gpus();
     reservedMemoryGb += tasks * spec.memoryGb();
   }
 
-  /** Gives back all reserved capacity. */
+  /** Releases all reserved capacity. */
   public void clearReservations() {
     reservedCpus = 0;
     reservedGpus = 0;
     reservedMemoryGb = 0;
   }
 
-  /** Whether its leader accepts starts for it. */
+  /** Returns whether the newest status shows that the machine leader accepts starts. */
   public boolean isSchedulable() {
     return status != null
         && leader != null
@@ -127,24 +131,30 @@
         && !status.needsReplacement();
   }
 
-  /** Whether the job may run on a machine of this type and zone, on demand or spot. */
+  /** Returns whether the job allows the machine by its type, its zone and whether it is spot. */
   public boolean allows(JobSpec spec) {
     return spec.allowsMachine(status.type(), status.zone(), status.spot());
   }
 
-  /** Whether it will end before long: by the cloud's notice, or since it fails its tasks. */
+  /**
+   * Returns whether the machine will soon be gone, because the cloud has given notice or because
+   * the machine is faulty.
+   */
   public boolean isDeparting() {
     return status != null
         && leader != null
         && (status.interruptionNoticeS() >= 0 || status.needsReplacement());
   }
 
-  /** For how many ms it has been idle or unresponsive, time since the status included; 0: not. */
+  /**
+   * Returns for how many milliseconds the machine has been idle or unresponsive, including the time
+   * since its status was received, or 0 if it is neither.
+   */
   public long idleMs(long now) {
     return status.idleMs() == 0 ? 0 : status.idleMs() + now - updatedAtMs;
   }
 
-  /** Whether the images were collected from the present status, which is this very object. */
+  /** Returns whether the images were collected from the present status, compared by identity. */
   @SuppressWarnings("ReferenceEquality")
   boolean hasCurrentImages() {
     return imagesStatus == status;
@@ -158,29 +168,36 @@
   }
 
   /**
-   * Images on the machine and those that its tasks need, as of {@link
-   * ClusterView#updateDerivedState}; not to be changed.
+   * Returns the images on the machine and the images that its tasks need, as of the last {@link
+   * ClusterView#updateDerivedState}. The array must not be changed.
    */
   public String[] images() {
     return images;
   }
 
-  /** For each task that waits for its image or was only accepted, that image; as above. */
+  /**
+   * Returns the image of each task that is fetching its image or has only been accepted, as of the
+   * last {@link ClusterView#updateDerivedState}. The list must not be changed.
+   */
   public List<String> fetchingImages() {
     return fetchingImages;
   }
 
-  /** This controller has asked to preempt the task; it isn't asked for again until that time. */
+  /**
+   * Records that this controller has requested the preemption of a task.
+   *
+   * @param untilMs steady time in milliseconds before which the preemption isn't requested again
+   */
   public void recordPreemption(TaskAttempt task, long untilMs) {
     preemptedUntilMs.put(task, untilMs);
   }
 
-  /** Forgets preemptions whose time is over. */
+  /** Removes recorded preemptions that may be requested again at this steady time. */
   public void forgetPreemptions(long now) {
     preemptedUntilMs.values().removeIf(untilMs -> untilMs <= now);
   }
 
-  /** Whether this controller has asked to preempt the task, and hasn't forgotten it yet. */
+  /** Returns whether a preemption of the task is recorded. */
   public boolean isPreempted(TaskAttempt task) {
     return preemptedUntilMs.containsKey(task);
   }
--- a/src/main/java/mallowstall/core/cluster/Membership.java
+++ b/src/main/java/mallowstall/core/cluster/Membership.java
@@ -6,18 +6,18 @@
 import mallowstall.core.kv.StateStore;
 import mallowstall.core.model.CoreSettings;
 
-/** Which controllers are live, and which of them a new machine should report to. */
+/** Determines which controllers are live and to which of them a new machine should report. */
 public final class Membership {
   private final CoreSettings settings;
   private final StateStore store;
 
-  /** Reads the sessions that the replica holds, and zones from the settings. */
+  /** Uses the sessions in the replica and the zones of controllers in the settings. */
   public Membership(CoreSettings settings, StateStore store) {
     this.settings = settings;
     this.store = store;
   }
 
-  /** Controllers with a session, sorted; this one is among them once its own stands. */
+  /** Returns the controllers with a session, sorted; this one too once its session exists. */
   public List<String> liveNodes() {
     List<String> live = new ArrayList<>();
     for (String key : store.entriesUnder(StateKeys.SESSION_PREFIX).keySet()) {
@@ -26,29 +26,33 @@
     return live;
   }
 
-  /** The controller a new machine should report to: by hash among live ones, its own zone first. */
+  /**
+   * Returns the controller to which a new machine should report. The controller is chosen by hash
+   * among the live controllers in the machine's zone if these are at least half of all live ones,
+   * and among all live ones otherwise.
+   */
   public String preferredLeader(String machine, String zone) {
-    List<String> all = liveNodes();
-    List<String> near = new ArrayList<>();
-    for (String node : all) {
+    List<String> live = liveNodes();
+    List<String> inZone = new ArrayList<>();
+    for (String node : live) {
       if (zone.equals(settings.nodeZones().get(node))) {
-        near.add(node);
+        inZone.add(node);
       }
     }
-    List<String> candidates = near.size() * 2 >= all.size() ? near : all;
+    List<String> candidates = inZone.size() * 2 >= live.size() ? inZone : live;
     String best = settings.node();
-    int top = Integer.MIN_VALUE;
+    int bestWeight = Integer.MIN_VALUE;
     for (String node : candidates) {
       int weight = rendezvousWeight(machine, node);
-      if (weight >= top) {
-        top = weight;
+      if (weight >= bestWeight) {
+        bestWeight = weight;
         best = node;
       }
     }
     return best;
   }
 
-  /** Rendezvous hashing: a node that comes or goes moves only its own share of the machines. */
+  /** Rendezvous hashing: a node that joins or leaves moves only its own share of the machines. */
   private static int rendezvousWeight(String machine, String node) {
     int hash = (machine + "|" + node).hashCode() * 0x9E3779B1;
     hash ^= hash >>> 15;
--- a/src/main/java/mallowstall/core/cluster/OpenJobs.java
+++ b/src/main/java/mallowstall/core/cluster/OpenJobs.java
@@ -5,11 +5,11 @@
 import java.util.Map;
 import mallowstall.core.model.JobEntry;
 
-/** Index of the jobs that some controller must still look after, whoever leads them. Mutable. */
+/** Index of the jobs that still need a leader, whichever controller leads them. Mutable. */
 public final class OpenJobs {
   private final Map<String, JobEntry> open = new LinkedHashMap<>();
 
-  /** A job's entry has changed; {@code before} is null if it is new. */
+  /** Adds or removes a job whose entry has changed; {@code before} is null if the job is new. */
   public void jobChanged(JobEntry before, JobEntry after) {
     String id = after.spec().id();
     if (after.needsLeader()) {
@@ -19,7 +19,7 @@
     }
   }
 
-  /** The open jobs in the order in which they became known; a live view. */
+  /** Returns the open jobs in the order in which they became known, as a live view. */
   public Collection<JobEntry> all() {
     return open.values();
   }
--- a/src/main/java/mallowstall/core/cluster/PeerMessenger.java
+++ b/src/main/java/mallowstall/core/cluster/PeerMessenger.java
@@ -11,7 +11,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Sends requests to the controllers that lead machines; those to itself are delivered at once. */
+/**
+ * Sends requests to machine leaders. Requests to this controller itself are delivered immediately.
+ */
 public final class PeerMessenger {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.core");
 
@@ -22,7 +24,7 @@
   private final Consumer<StartBatch> ownStarts;
   private final Consumer<StopBatch> ownStops;
 
-  /** {@code ownStarts} and {@code ownStops} receive what this controller sends to itself. */
+  /** The two consumers receive the requests that this controller sends to itself. */
   public PeerMessenger(
       CoreSettings settings,
       Effects effects,
@@ -38,18 +40,18 @@
     this.ownStops = ownStops;
   }
 
-  /** A new connection to the peer stands; numbers only grow within a process. */
+  /** Handles a new connection to the peer; connection numbers only grow within a process. */
   public void peerConnected(String node, long connection) {
     PeerState peer = view.peer(node);
     peer.startConnection(connection);
-    // says which connection counts from now on, so that starts lost with the last one are resolved
+    // Announces the new connection, so that starts lost with the previous one are resolved.
     effects.send(
         node,
         new StartBatch(
             settings.node(), store.incarnation(), connection, peer.takeSequence(), List.of()));
   }
 
-  /** Sends starts to the controller that leads their machines. */
+  /** Sends start requests to the controller that leads their machines. */
   public void sendStarts(String node, StartBatch startBatch) {
     if (node.equals(settings.node())) {
       ownStarts.accept(startBatch);
@@ -58,12 +60,12 @@
     }
   }
 
-  /** Asks the controller to stop a task on one of its machines. */
+  /** Sends a request to stop a task to the controller that leads its machine. */
   public void sendStop(String node, StopRequest stop) {
     sendStops(node, new StopBatch(settings.node(), store.incarnation(), List.of(stop), List.of()));
   }
 
-  /** Asks the controller to start nothing more on these machines of its own. */
+  /** Sends a request to start no more tasks on these machines to the controller that leads them. */
   public void sendDrain(String node, List<String> machines) {
     LOG.info("drain {} through {}", machines, node);
     sendStops(node, new StopBatch(settings.node(), store.incarnation(), List.of(), machines));
--- a/src/main/java/mallowstall/core/cluster/PeerState.java
+++ b/src/main/java/mallowstall/core/cluster/PeerState.java
@@ -6,16 +6,17 @@
 import mallowstall.core.model.StatusUpdate;
 
 /**
- * What this controller knows of one controller, which may be itself: the status updates received
- * from it, what it has acknowledged, and the starts received from it. Mutable.
+ * The state that this controller keeps about one controller, called the peer here, which may be
+ * this controller itself: the status updates received from the peer, what the peer has
+ * acknowledged, and the starts exchanged with the peer. Mutable.
  *
  * <p>Connections are numbered by the process that opens them, status updates and batches of starts
- * by the process that sends them; all numbers only grow within a process.
+ * by the process that sends them. All numbers only grow within a process.
  */
 public final class PeerState {
   private final String node;
 
-  // received status updates
+  // Status updates received from the peer.
   private long incarnation;
   private long serial;
   private long lastUpdateMs = Long.MIN_VALUE / 2;
@@ -24,17 +25,17 @@
   private long replicaFreshAtMs = Long.MIN_VALUE / 2;
   private Set<String> machines = new HashSet<>();
 
-  // what it has acknowledged of this process
+  // What the peer has acknowledged of this process.
   private long acknowledgedSerial;
   private long acknowledgedConnection;
   private long acknowledgedSequence;
   private long cancellationsKnownAtMs = Long.MIN_VALUE / 2;
 
-  // starts sent to it
+  // Starts sent to the peer.
   private long connection;
   private long nextSequence = 1;
 
-  // starts received from it
+  // Starts received from the peer.
   private long lastStartsIncarnation;
   private long lastStartsConnection;
   private long lastStartsSequence;
@@ -43,22 +44,25 @@
     this.node = node;
   }
 
-  /** The node of the controller. */
+  /** Returns the peer's node name. */
   String node() {
     return node;
   }
 
-  /** Its newest process from which a status update was received; 0: none was. */
+  /** Returns the newest incarnation of the peer that sent a status update, or 0 if none did. */
   public long incarnation() {
     return incarnation;
   }
 
-  /** The number of the newest status update applied of that process; 0: none was. */
+  /**
+   * Returns the serial number of the newest status update applied of the peer's newest incarnation,
+   * or 0 if none was applied.
+   */
   public long serial() {
     return serial;
   }
 
-  /** The controller has a new process, which has published and acknowledged nothing yet. */
+  /** Records a new process of the peer, which has published and acknowledged nothing yet. */
   void startIncarnation(long newIncarnation) {
     incarnation = newIncarnation;
     acknowledgedConnection = 0;
@@ -67,11 +71,11 @@
   }
 
   /**
-   * Applies what a status update says of its sender.
+   * Applies the fields of a status update that describe its sender.
    *
-   * @param ordinal how many updates of all controllers were received with this one
-   * @param ownIncarnation this process; what was acknowledged of a former one doesn't count
-   * @param now steady time in ms
+   * @param ordinal number of updates received from all controllers, including this one
+   * @param ownIncarnation incarnation of this process; acknowledgements of a former one are ignored
+   * @param now steady time in milliseconds
    */
   void applyHeader(StatusUpdate update, long ordinal, long ownIncarnation, long now) {
     lastUpdateOrdinal = ordinal;
@@ -80,8 +84,8 @@
         update.acknowledgedIncarnation() == ownIncarnation ? update.acknowledgedSerial() : 0;
     lastUpdateMs = now;
     replicaRevision = update.replicaRevision();
-    // guards against a task started twice: connections are numbered anew by each process, so an
-    // acknowledgement of a former one's starts says nothing of this one's
+    // Prevents a second start of a task: each process numbers its connections anew, so the
+    // acknowledgement of a former process's starts doesn't apply to the starts of this process.
     boolean acknowledgesThisIncarnation = update.acknowledgedStartsIncarnation() == ownIncarnation;
     acknowledgedConnection =
         acknowledgesThisIncarnation ? update.acknowledgedStartsConnection() : 0;
@@ -89,106 +93,123 @@
     replicaFreshAtMs = now - update.replicaAgeMs();
   }
 
-  /** Steady time in ms of the last status update applied. */
+  /** Returns the steady time in milliseconds of the last status update applied. */
   public long lastUpdateMs() {
     return lastUpdateMs;
   }
 
-  /** How many updates of all controllers were received here up to its last one. */
+  /** Returns how many updates of all controllers were received up to the peer's last one. */
   public long lastUpdateOrdinal() {
     return lastUpdateOrdinal;
   }
 
-  /** The revision of its replica when it made its last status update. */
+  /** Returns the revision of the peer's replica when the peer composed its last status update. */
   public long replicaRevision() {
     return replicaRevision;
   }
 
-  /** Steady time in ms up to which its replica was fresh by its last update; not before that. */
+  /**
+   * Returns the steady time in milliseconds up to which the peer's replica was fresh, according to
+   * its last status update. The value is computed from the arrival time of the update, so it may be
+   * later than the true time but never earlier.
+   */
   public long replicaFreshAtMs() {
     return replicaFreshAtMs;
   }
 
-  /** Whether it leads the machine, by its status updates. */
+  /** Returns whether the peer leads the machine according to its status updates. */
   public boolean leads(String machine) {
     return machines.contains(machine);
   }
 
-  /** The machines that it leads; a live view, not to be changed. */
+  /** Returns the machines that the peer leads, as a live view that must not be changed. */
   Set<String> machines() {
     return machines;
   }
 
-  /** It leads these machines and no others; the set is kept, not copied. */
+  /** Sets the machines that the peer leads; the set is kept, not copied. */
   void replaceMachines(Set<String> led) {
     machines = led;
   }
 
-  /** It leads these machines too. */
+  /** Adds machines that the peer leads. */
   void addMachines(Set<String> led) {
     machines.addAll(led);
   }
 
-  /** It leads the machine no longer; returns whether it did. */
+  /** Records that the peer doesn't lead the machine any more; returns whether it did. */
   boolean removeMachine(String machine) {
     return machines.remove(machine);
   }
 
-  /** The newest status update of this process that it has applied; 0: it needs a full one. */
+  /**
+   * Returns the serial number of the newest status update of this process that the peer has
+   * applied, or 0 if the peer needs a full update.
+   */
   public long acknowledgedSerial() {
     return acknowledgedSerial;
   }
 
-  /** The connection of this process by which the last starts have reached it; 0: none has. */
+  /**
+   * Returns the number of the connection on which the last starts of this process reached the peer,
+   * or 0 if none did.
+   */
   public long acknowledgedConnection() {
     return acknowledgedConnection;
   }
 
-  /** The number of the last batch of starts that has reached it by that connection. */
+  /**
+   * Returns the number of the last batch of starts that reached the peer on {@link
+   * #acknowledgedConnection}.
+   */
   public long acknowledgedSequence() {
     return acknowledgedSequence;
   }
 
   /**
-   * Steady time in ms up to which this controller knows of all cancellations that the peer has
-   * confirmed to users. An update names them, and it was made after the peer had applied one that
-   * was sent from here at this time; the time of arrival won't do, since an update may be delayed.
+   * Returns the steady time in milliseconds up to which this controller has all cancellations that
+   * the peer has confirmed to users. The peer's update that named them was composed after the peer
+   * had applied an update that this controller sent at this time. The arrival time of the peer's
+   * update can't be used instead, since the update may be delayed.
    */
   long cancellationsKnownAtMs() {
     return cancellationsKnownAtMs;
   }
 
-  /** All cancellations that the peer confirmed up to this time are known. */
+  /** Records that all cancellations that the peer confirmed up to this time were received. */
   void recordCancellationsKnown(long atMs) {
     cancellationsKnownAtMs = Math.max(cancellationsKnownAtMs, atMs);
   }
 
-  /** A new connection stands; its other end may be another process, which needs a full update. */
+  /**
+   * Records a new connection to the peer. Its other end may be a new process, which needs a full
+   * status update.
+   */
   void startConnection(long newConnection) {
     connection = newConnection;
     acknowledgedSerial = 0;
   }
 
-  /** The present connection to it, or the last one. */
+  /** Returns the number of the present connection to the peer, or else of the last one. */
   public long connection() {
     return connection;
   }
 
-  /** The number that the next batch of starts to it will have. */
+  /** Returns the number that the next batch of starts to the peer will have. */
   public long nextSequence() {
     return nextSequence;
   }
 
-  /** Takes the number for a batch of starts to it. */
+  /** Returns the number for a batch of starts to the peer and increments it for the next one. */
   public long takeSequence() {
     return nextSequence++;
   }
 
   /**
-   * Records a batch of starts received from it. Those that come by a former connection were
-   * answered as lost already.
+   * Records a batch of starts received from the peer. Starts on a former connection are ignored,
+   * since this controller has already reported them as lost.
    *
-   * @return false: the batch is a repeated one, or one of a former connection or process
+   * @return false if the batch is repeated or belongs to a former connection or process
    */
   boolean acceptStarts(StartBatch batch) {
     if (batch.incarnation() < lastStartsIncarnation) {
@@ -208,17 +229,20 @@
     return true;
   }
 
-  /** The process from which the last starts were received, to be acknowledged; 0: none. */
+  /**
+   * Returns the peer's incarnation that sent the last starts received, or 0 if none were received.
+   * Status updates acknowledge it.
+   */
   public long lastStartsIncarnation() {
     return lastStartsIncarnation;
   }
 
-  /** The connection by which the last starts were received, to be acknowledged. */
+  /** Returns the connection of the last starts received; status updates acknowledge it. */
   public long lastStartsConnection() {
     return lastStartsConnection;
   }
 
-  /** The number of the last batch of starts received, to be acknowledged. */
+  /** Returns the number of the last batch of starts received; status updates acknowledge it. */
   public long lastStartsSequence() {
     return lastStartsSequence;
   }
--- a/src/main/java/mallowstall/core/cluster/StatusUpdateReceiver.java
+++ b/src/main/java/mallowstall/core/cluster/StatusUpdateReceiver.java
@@ -6,32 +6,38 @@
 import mallowstall.core.kv.StateStore;
 import mallowstall.core.model.StatusUpdate;
 
-/** Takes in status updates: cancellations first, then machines, then what jobs learn from them. */
+/** Applies status updates: first their cancellations, then the machines, then the jobs. */
 public final class StatusUpdateReceiver {
   private final StateStore store;
   private final ClusterView view;
   private final CancellationExchange cancellations;
-  private final LongUnaryOperator publishedAt;
+  private final LongUnaryOperator composedAtMs;
   private final Consumer<StatusUpdate> jobTracker;
   private final PlacementTrigger placementTrigger;
 
-  /** {@code publishedAt} tells when this controller made the update of a serial number. */
+  /**
+   * Creates a receiver.
+   *
+   * @param composedAtMs returns the steady time in milliseconds at which this controller composed
+   *     its own update with this serial number
+   * @param jobTracker receives each update after its machines have been applied
+   */
   public StatusUpdateReceiver(
       StateStore store,
       ClusterView view,
       CancellationExchange cancellations,
-      LongUnaryOperator publishedAt,
-      Consumer<StatusUpdate> jobs,
+      LongUnaryOperator composedAtMs,
+      Consumer<StatusUpdate> jobTracker,
       PlacementTrigger placementTrigger) {
     this.store = store;
     this.view = view;
     this.cancellations = cancellations;
-    this.publishedAt = publishedAt;
-    this.jobTracker = jobs;
+    this.composedAtMs = composedAtMs;
+    this.jobTracker = jobTracker;
     this.placementTrigger = placementTrigger;
   }
 
-  /** A controller, perhaps this one, has published a status update. */
+  /** Handles a status update from a controller, which may be this one. */
   public void receive(StatusUpdate update) {
     receiveCancellations(update);
     if (!view.applyStatusUpdate(update)) {
@@ -45,13 +51,13 @@
         view.lastUpdateChangedMachines() || !update.rejections().isEmpty());
   }
 
-  /** Cancellations count whether the update's machines can be taken in or not. */
+  /** Applies the cancellations of an update, whether or not its machines can be applied. */
   private void receiveCancellations(StatusUpdate update) {
-    boolean all = cancellations.applyPeerCancellations(update.cancelledJobs());
-    if (!all || update.acknowledgedIncarnation() != store.incarnation()) {
+    boolean allRecorded = cancellations.applyPeerCancellations(update.cancelledJobs());
+    if (!allRecorded || update.acknowledgedIncarnation() != store.incarnation()) {
       return;
     }
     view.peer(update.node())
-        .recordCancellationsKnown(publishedAt.applyAsLong(update.acknowledgedSerial()));
+        .recordCancellationsKnown(composedAtMs.applyAsLong(update.acknowledgedSerial()));
   }
 }
--- a/src/main/java/mallowstall/core/cluster/TaskCounts.java
+++ b/src/main/java/mallowstall/core/cluster/TaskCounts.java
@@ -6,31 +6,32 @@
 import mallowstall.core.model.TaskStatus;
 
 /**
- * Tasks on all machines, by job. Adjusted with each status that replaces another: counted over all
- * machines for every question they took a third of all processor time. Mutable.
+ * Counts the tasks on all machines by job. The counts are adjusted with each status that replaces
+ * another, because counting over all machines on each call took a third of all processor time.
+ * Mutable.
  */
 final class TaskCounts {
   private final Object2IntOpenHashMap<String> placed = new Object2IntOpenHashMap<>();
   private final Object2IntOpenHashMap<String> running = new Object2IntOpenHashMap<>();
 
-  /** Counts the tasks of a status that applies from now on. */
+  /** Adds the tasks of a status that now applies. */
   void add(MachineStatus status) {
     adjust(status, 1);
   }
 
-  /** No longer counts the tasks of a status that doesn't apply any more; null: there was none. */
+  /** Subtracts the tasks of a status that no longer applies; null if there was none. */
   void subtract(MachineStatus status) {
     if (status != null) {
       adjust(status, -1);
     }
   }
 
-  /** The job's tasks that are on machines or were accepted there. */
+  /** Returns the number of the job's tasks that are on machines or have been accepted there. */
   int placed(String job) {
     return placed.getInt(job);
   }
 
-  /** The job's tasks that run. */
+  /** Returns the number of the job's running tasks. */
   int running(String job) {
     return running.getInt(job);
   }
--- a/src/main/java/mallowstall/core/cluster/package-info.java
+++ b/src/main/java/mallowstall/core/cluster/package-info.java
@@ -1,11 +1,12 @@
 /**
- * What this controller knows of the others: machines from status updates ({@link
- * mallowstall.core.cluster.ClusterView} owns that view and the counts derived from it), live
- * members, program versions, open jobs, machine types, image sizes and cancellations. It also sends
- * requests to peers and takes in what they send.
+ * This controller's view of the cluster: machines as status updates report them ({@link
+ * mallowstall.core.cluster.ClusterView} holds that view and the counts derived from it), live
+ * controllers, program versions, open jobs, machine types, image sizes and cancellations. The
+ * package also sends requests to peers and receives messages from them.
  *
- * <p>The view is partial and a little old; the machine leader admits or rejects each start, so no
- * rule depends on it being right. One event at a time; no I/O, clock or threads. May depend on
- * model, kernel and kv. See docs/design.md, "What controllers tell each other" and "ran_cancelled".
+ * <p>The view is partial and slightly out of date. The machine leader accepts or rejects each
+ * start, so no rule depends on the view being correct. The classes handle one event at a time and
+ * use no I/O, system clock or threads. The package may depend on model, kernel and kv. See
+ * docs/design.md, "What controllers tell each other" and "ran_cancelled".
  */
 package mallowstall.core.cluster;
