--- a/src/main/java/mallowstall/core/autoscaling/Autoscaler.java
+++ b/src/main/java/mallowstall/core/autoscaling/Autoscaler.java
@@ -6,11 +6,13 @@
 import mallowstall.core.kv.StateStore;
 
 /**
- * Runs autoscaling: every controller counts the demand for machines, and the leader of autoscaling
- * also reads the cloud's inventory and plans what is requested and returned. Mutable.
+ * Runs autoscaling. Every controller computes the demand for machines. The autoscaler leader also
+ * reads the cloud's inventory and plans which machines are requested and returned. Mutable.
  */
 public final class Autoscaler {
-  /** ms. The next plan follows a scale-out response so soon, as more may be missing. */
+  /**
+   * ms. Maximum delay from a scale-out response to the next plan: machines may still be missing.
+   */
   private static final long AUTOSCALER_FOLLOW_UP_MS = 300;
 
   private final EventClock clock;
@@ -24,7 +26,7 @@
   private long nextPlanMs;
   private long nextDemandMs;
 
-  /** Does nothing before the state replica and the machine types are complete. */
+  /** Creates an autoscaler that is idle until the state replica and machine types are loaded. */
   public Autoscaler(
       EventClock clock,
       StateStore store,
@@ -44,12 +46,12 @@
     this.scaleIn = scaleIn;
   }
 
-  /** A scale-out request has been answered: what else is missing is asked for soon. */
+  /** Brings the next plan forward after a scale-out response, to request what is still missing. */
   public void planSoon() {
     nextPlanMs = Math.min(nextPlanMs, clock.now() + AUTOSCALER_FOLLOW_UP_MS);
   }
 
-  /** Counts demand, acquires a vacant leadership and, as the leader, plans when due. */
+  /** Computes demand, acquires vacant leadership, and plans when due if this is the leader. */
   public void tick() {
     long now = clock.now();
     if (!store.synced() || types.isEmpty()) {
--- a/src/main/java/mallowstall/core/autoscaling/AutoscalerLeadership.java
+++ b/src/main/java/mallowstall/core/autoscaling/AutoscalerLeadership.java
@@ -17,8 +17,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Leadership of autoscaling: one controller at a time holds the entry, which ends with its session
- * at the state service. Mutable.
+ * The leadership of the autoscaler. One controller at a time holds the entry, which the state
+ * service deletes when that controller's session ends. Mutable.
  */
 public final class AutoscalerLeadership {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.autoscaling");
@@ -29,14 +29,14 @@
   private final RetryDelay retry = new RetryDelay();
   private boolean requestInFlight;
 
-  /** Led by nobody until the state replica names a leader. */
+  /** Creates a leadership that is vacant until the state replica holds the leader's entry. */
   public AutoscalerLeadership(EventClock clock, CoreSettings settings, StateStore store) {
     this.clock = clock;
     this.settings = settings;
     this.store = store;
   }
 
-  /** Whether this incarnation is the leader, by the state replica and a valid session. */
+  /** Returns whether the state replica names this incarnation and its session is valid. */
   boolean isLeader() {
     StoredValue stored = store.entry(StateKeys.AUTOSCALER_LEADER_KEY);
     if (stored == null || !store.isSessionValid()) {
@@ -47,7 +47,7 @@
         && leaderEntry.incarnation() == store.incarnation();
   }
 
-  /** Asks for leadership when nobody has it and no earlier request is under way. */
+  /** Requests leadership if no controller holds it and no earlier request is in flight. */
   void acquireIfVacant(long now) {
     if (store.entry(StateKeys.AUTOSCALER_LEADER_KEY) == null
         && !requestInFlight
@@ -60,7 +60,8 @@
     requestInFlight = true;
     boolean accepted =
         store.transact(
-            // as urgent as machines: behind registrations and jobs it would wait too long
+            // uses the priority of machine requests, since the request would wait too long behind
+            // registrations and jobs
             RequestPriority.MACHINE,
             new Transaction(
                 List.of(new Condition(StateKeys.AUTOSCALER_LEADER_KEY, 0)),
--- a/src/main/java/mallowstall/core/autoscaling/CloudInventory.java
+++ b/src/main/java/mallowstall/core/autoscaling/CloudInventory.java
@@ -9,9 +9,9 @@
 import mallowstall.core.kernel.TokenBucket;
 import mallowstall.core.model.ListedMachine;
 
-/** The cloud's list of machines, read page by page; it lags behind what the cloud has. Mutable. */
+/** The cloud's list of machines, read page by page. It lags behind the actual machines. Mutable. */
 public final class CloudInventory {
-  /** ms. Between two reads of the cloud's inventory. */
+  /** ms. Interval between two reads of the cloud's inventory. */
   private static final long INVENTORY_INTERVAL_MS = 8_000;
 
   private final EventClock clock;
@@ -22,34 +22,37 @@
   private boolean readInFlight;
   private long nextReadMs;
 
-  /** Empty until the first list is complete; pages are read as far as the call rate allows. */
+  /** Creates an inventory that is empty until the first list is complete. */
   public CloudInventory(EventClock clock, Effects effects, TokenBucket apiCallBucket) {
     this.clock = clock;
     this.effects = effects;
     this.apiCallBucket = apiCallBucket;
   }
 
-  /** The machines of the newest complete list. */
+  /** Returns the machines of the newest complete list. */
   Collection<ListedMachine> machines() {
     return machines.values();
   }
 
-  /** Whether the newest complete list names the machine. */
+  /** Returns whether the newest complete list contains the machine. */
   boolean contains(String machine) {
     return machines.containsKey(machine);
   }
 
-  /** When the newest complete list was read, in ms of the steady clock. */
+  /**
+   * Returns the steady time in ms at which the newest complete list was read, or a time far in the
+   * past if there is none.
+   */
   long readAtMs() {
     return readAtMs;
   }
 
-  /** Forgets a machine that was returned. */
+  /** Removes a returned machine from the newest list, which may still contain it. */
   public void remove(String machine) {
     machines.remove(machine);
   }
 
-  /** Reads the list again when due. */
+  /** Starts the next read if it is due and the limit on cloud API calls allows it. */
   void tick(long now) {
     if (now < nextReadMs || readInFlight || !apiCallBucket.canSpend(now, 1, 0)) {
       return;
--- a/src/main/java/mallowstall/core/autoscaling/IdleScaleIn.java
+++ b/src/main/java/mallowstall/core/autoscaling/IdleScaleIn.java
@@ -10,30 +10,31 @@
 
 /** Drains idle machines that aren't needed, and returns them once they are drained. */
 public final class IdleScaleIn {
-  /** ms. An idle machine that the plan doesn't need is returned after this. */
+  /** ms. Idle time after which a spot machine that the plan doesn't need is drained. */
   private static final long SCALE_IN_IDLE_MS = 40_000;
 
-  /** ms. The same for on-demand machines, which cost a multiple of spot ones. */
+  /** ms. Idle time for on-demand machines: shorter, as they cost a multiple of spot machines. */
   private static final long SCALE_IN_IDLE_ON_DEMAND_MS = 30_000;
 
-  /** Count. One of so many machines of a type may be drained by one plan. */
+  /** Divisor of the number of machines of a type; the result limits the drains of one plan. */
   private static final int DRAIN_BATCH_DIVISOR = 6;
 
   private final ScaleIn scaleIn;
   private final PeerMessenger messenger;
 
-  /** Drains go to the machines' leaders, returns to the cloud. */
+  /** Creates a scale-in that sends drains to the machine leaders and returns to the cloud. */
   public IdleScaleIn(ScaleIn scaleIn, PeerMessenger messenger) {
     this.scaleIn = scaleIn;
     this.messenger = messenger;
   }
 
   /**
-   * Returns drained machines of the type, or else drains idle ones down to what is to be kept.
+   * Returns drained machines of the type to the cloud. If there are none, drains idle machines down
+   * to the number to be kept.
    *
-   * @param current machines of the type that are in service or will be
-   * @param keepTotal machines to be kept
-   * @param keepOnDemand machines below which no on-demand one is drained
+   * @param current number of machines of the type that are in service or expected to be
+   * @param keepTotal number of machines to be kept
+   * @param keepOnDemand number of machines at which no further on-demand machine is drained
    */
   void scaleIn(
       String type,
@@ -60,7 +61,9 @@
     return drained;
   }
 
-  /** Machines of the type that have been idle for long, in the order in which they are drained. */
+  /**
+   * Returns the machines whose idle time exceeds the limit, in the order in which to drain them.
+   */
   private List<MachineView> idleMachines(String type, List<MachineView> available, long now) {
     List<MachineView> idle = new ArrayList<>();
     for (MachineView machine : available) {
@@ -72,14 +75,14 @@
         idle.add(machine);
       }
     }
-    // on-demand machines first, then the longest idle
+    // on-demand machines first, then by idle time, longest first
     idle.sort(
         Comparator.comparing((MachineView machine) -> machine.status().spot())
             .thenComparing(machine -> -machine.idleMs(now)));
     return idle;
   }
 
-  /** Whether the machine is of the type, has no tasks and isn't being returned. */
+  /** Returns whether the machine is of the type, has no tasks and isn't being returned. */
   private boolean isEmpty(MachineView machine, String type) {
     return machine.status().type().equals(type)
         && machine.status().tasks().isEmpty()
--- a/src/main/java/mallowstall/core/autoscaling/KeptResultScaleOuts.java
+++ b/src/main/java/mallowstall/core/autoscaling/KeptResultScaleOuts.java
@@ -5,28 +5,28 @@
 import java.util.Set;
 
 /**
- * Spaces the machines that are requested for services whose waiting replicas have left their
- * results on every machine with room. Each further machine serves one more run of such a replica;
- * if it ends again and again, the time between two requests doubles, up to a limit. Known to the
- * leader of autoscaling alone: the next leader begins anew, at the cost of one machine. Times are
- * in ms of the steady clock. Mutable.
+ * The backoff of scale-out requests for services whose pending replicas have their results kept on
+ * every machine with free capacity. Each further machine serves one more run of a pending replica.
+ * If the replica ends again and again, the delay between two requests doubles up to a limit. Only
+ * the autoscaler leader has this state: the next leader starts without it, which costs one more
+ * machine. Times are in ms of the steady clock. Mutable.
  */
 final class KeptResultScaleOuts {
-  /** ms. Most between two requests for a service whose replicas end wherever they run. */
+  /** ms. Maximum delay between two requests for a service whose replicas end on each machine. */
   private static final long KEPT_RESULT_SCALE_OUT_MAX_MS = 600_000;
 
-  /** When the next request for a job may be made, and the delay that led to it. */
+  /** The steady time of the next permitted request for a job, and the delay before it, in ms. */
   private record Delay(long delayMs, long nextRequestMs) {}
 
   private final Map<String, Delay> delays = new HashMap<>();
 
-  /** Whether a machine may be requested for the job. */
+  /** Returns whether a machine may be requested for the job now. */
   boolean isDue(String job, long now) {
     Delay delay = delays.get(job);
     return delay == null || now >= delay.nextRequestMs();
   }
 
-  /** A machine is requested for the job. */
+  /** Records a request for the job and sets the delay before the next one. */
   void record(String job, long now) {
     Delay last = delays.get(job);
     boolean first = last == null || now - last.nextRequestMs() > KEPT_RESULT_SCALE_OUT_MAX_MS;
@@ -37,7 +37,7 @@
     delays.put(job, new Delay(delayMs, now + delayMs));
   }
 
-  /** Forgets all jobs but these. */
+  /** Removes the delays of all jobs except these. */
   void retain(Set<String> jobs) {
     delays.keySet().retainAll(jobs);
   }
--- a/src/main/java/mallowstall/core/autoscaling/MachineCensus.java
+++ b/src/main/java/mallowstall/core/autoscaling/MachineCensus.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import mallowstall.core.cluster.MachineView;
 
-/** What one scaling plan finds of the machines. Mutable; lives as long as the plan. */
+/** The machines as one scaling plan counts and classifies them. Mutable; used by that plan only. */
 final class MachineCensus {
   private final Map<String, Integer> countByType = new HashMap<>();
   private final Set<String> registered = new HashSet<>();
@@ -19,84 +19,86 @@
   private final List<String> unresponsiveHosts = new ArrayList<>();
   private int unresponsive;
 
-  /** Machines of the type that are in service or will be. */
+  /** Returns the number of machines of the type that are in service or expected to be. */
   int count(String type) {
     return countByType.getOrDefault(type, 0);
   }
 
-  /** Whether the machine has an entry in the state, so that it has reported at least once. */
+  /**
+   * Returns whether the machine has an entry in the state service, which shows that it has reported
+   * at least once.
+   */
   boolean isRegistered(String machine) {
     return registered.contains(machine);
   }
 
-  /** Machines with an entry in the state. */
+  /** Returns the machines that have an entry in the state service. */
   Set<String> registered() {
     return registered;
   }
 
-  /** Machines in service. */
+  /** Returns the machines in service. */
   List<MachineView> available() {
     return available;
   }
 
-  /** Machines that are to go back to the cloud. */
+  /** Returns the machines that are to be returned to the cloud. */
   List<String> toReturn() {
     return toReturn;
   }
 
-  /** Returned machines that have an entry again. */
+  /** Returns the returned machines that have an entry again. */
   List<String> lateEntries() {
     return lateEntries;
   }
 
-  /** The machine has an entry in the state. */
+  /** Records that the machine has an entry in the state service. */
   void addRegistered(String machine) {
     registered.add(machine);
   }
 
-  /** A machine of the type counts, since it is in service or may yet be. */
+  /** Counts a machine of the type that is in service or expected to be. */
   void addExpected(String type) {
     countByType.merge(type, 1, Integer::sum);
   }
 
-  /** The machine is in service. */
+  /** Records and counts a machine in service. */
   void addAvailable(MachineView machine) {
     addExpected(machine.status().type());
     available.add(machine);
   }
 
-  /** The machine is to go back to the cloud. */
+  /** Records that the machine is to be returned to the cloud. */
   void addToReturn(String machine) {
     toReturn.add(machine);
   }
 
-  /** The machine was returned, so its entry is a late one. */
+  /** Records that the machine has an entry although it was returned. */
   void addLateEntry(String machine) {
     lateEntries.add(machine);
   }
 
-  /** The machine's leader has no session and it has registered with no other. */
+  /** Records a machine whose leader has no session and that has no new leader yet. */
   void addUnmanaged(String machine) {
     unmanaged.add(machine);
   }
 
-  /** The machine's leader gets no heartbeats from it. */
+  /** Counts a machine whose leader receives no heartbeats from it. */
   void addUnresponsive() {
     unresponsive++;
   }
 
-  /**
-   * An unresponsive machine, already counted as such, hosts replicas that could start elsewhere.
-   */
+  /** Records that an already counted unresponsive machine hosts replicas to start elsewhere. */
   void addUnresponsiveHost(String machine) {
     unresponsiveHosts.add(machine);
   }
 
   /**
-   * Decides on machines that may be lost, once all are counted. Returning one proves that its tasks
-   * have ended, so that they can start elsewhere before its lease expires. Many at once are rather
-   * cut off or slow to register again, and are left alone; for that, all unresponsive ones count,
-   * since those of one cut pass the longer time one by one.
+   * Decides which possibly lost machines are returned, after all machines are counted. Returning a
+   * machine proves that its tasks have ended, so that they can start elsewhere before the machine's
+   * lease expires. If many machines are affected at once, they are more likely cut off by the
+   * network or slow to register again, and none is returned. That check counts all unresponsive
+   * machines, because machines that are cut off together exceed the longer timeout one by one.
    */
   void resolveLost() {
     if (isSmallShare(unmanaged.size())) {
@@ -107,7 +109,7 @@
     }
   }
 
-  /** At most a quarter of all machines. */
+  /** Returns whether this number is at most a quarter of the registered machines, plus one. */
   private boolean isSmallShare(int machines) {
     return machines * 4 <= registered.size() + 4;
   }
--- a/src/main/java/mallowstall/core/autoscaling/MachineDemand.java
+++ b/src/main/java/mallowstall/core/autoscaling/MachineDemand.java
@@ -19,40 +19,38 @@
 import mallowstall.core.model.Team;
 
 /**
- * What the open jobs need, by machine type. Every controller counts it, for placement too: which
- * types are scarce, and which machines are reserved for urgent work. Mutable.
+ * The demand of the open jobs by machine type. Every controller computes it, because placement also
+ * uses it to find scarce types and the machines that are reserved for urgent jobs. Mutable.
  */
 public final class MachineDemand {
-  /** Tasks that fit by a resource of which they take nothing. */
+  /** Count. Tasks that fit by a resource that they don't use. */
   private static final double TASKS_UNLIMITED = 1e9;
 
-  /** Machines. The least demand that counts: rounded up, it asks for one machine. */
+  /** Machines. The smallest demand: it is rounded up to one machine. */
   private static final double DEMAND_MIN_MACHINES = 0.01;
 
-  /** ms. Time constant of the average of used processors, by which a floor of machines is kept. */
+  /** ms. Time constant of the averages of demand, for which idle machines are kept. */
   private static final double USAGE_TIME_CONSTANT_MS = 90_000;
 
-  /** Factor on the average urgent demand: arrivals come in bursts. */
+  /** Factor on the average urgent demand, because urgent jobs arrive in bursts. */
   static final double RESERVE_FACTOR = 2.0;
 
-  /** Fraction of a type's machines that may be kept for urgent work. */
+  /** Maximum fraction of a type's machines that may be reserved for urgent jobs. */
   private static final double RESERVE_MAX_FRACTION = 0.35;
 
-  /** Factor on a user's estimate when machines are planned by it: it is often too low. */
+  /** Factor on a user's estimate of the run time, because the estimate is often too low. */
   private static final double ESTIMATE_FACTOR = 1.2;
 
-  /** Count. Most tasks planned to run one after the other in one place. */
+  /** Count. Maximum number of tasks that are planned to run one after the other in one slot. */
   private static final double WAVES_MAX = 2;
 
-  /**
-   * Fraction of the boot time: of tasks that run shorter, one counts for a part of a machine only.
-   */
+  /** Fraction of the boot time. A task with a run time below this counts only in part. */
   private static final double SHORT_RUN_BOOT_FRACTION = 0.8;
 
-  /** s. The least such run time, whatever the boot time. */
+  /** s. A task with a run time below this counts only in part, however short the boot time is. */
   private static final double SHORT_RUN_MIN_S = 20;
 
-  /** Count. Jobs whose smallest fitting type is remembered: more than are ever open at once. */
+  /** Count. Maximum number of jobs in the cache of types: more than are ever open at once. */
   private static final int SMALLEST_TYPE_CACHE_MAX = 2_000;
 
   private final EventClock clock;
@@ -62,10 +60,10 @@
   private final OpenJobs openJobs;
   private final Map<String, TypeDemand> demandByType = new HashMap<>();
 
-  /** The smallest machine type that holds a task, by job. */
+  /** The smallest machine type on which a task fits, by job id. */
   private final Map<String, String> minimalTypeByJob = new HashMap<>();
 
-  /** Types that are the smallest for some open job. */
+  /** Types that are the smallest fitting type of some open job. */
   private final Set<String> minimalTypesInUse = new HashSet<>();
 
   /** Machines that are reserved for urgent jobs. */
@@ -73,7 +71,7 @@
 
   private long computedAtMs;
 
-  /** Nothing is needed until the demand is counted first. */
+  /** Creates a demand that is zero for all types until it is first computed. */
   public MachineDemand(
       EventClock clock,
       CoreSettings settings,
@@ -87,18 +85,18 @@
     this.openJobs = openJobs;
   }
 
-  /** The demand for this type. */
-  TypeDemand of(String type) {
+  /** Returns the demand for this type, which is zero if no open job needs it. */
+  TypeDemand demandFor(String type) {
     return demandByType.computeIfAbsent(type, k -> new TypeDemand());
   }
 
-  /** Whether a machine of this type is larger than the job needs while others need that type. */
+  /** Returns whether the job fits a smaller type and some open job fits none smaller than this. */
   public boolean isScarce(JobSpec spec, String type) {
     String minimal = minimalType(spec);
     return minimal != null && !minimal.equals(type) && minimalTypesInUse.contains(type);
   }
 
-  /** The smallest type on which a task of the job fits; null if on none. */
+  /** Returns the smallest type on which a task of the job fits, or null if it fits on none. */
   public String minimalType(JobSpec spec) {
     String cached = minimalTypeByJob.get(spec.id());
     if (cached != null) {
@@ -114,7 +112,7 @@
     return found;
   }
 
-  /** The catalog of types has changed. */
+  /** Clears the cache of smallest fitting types after a change to the machine type catalog. */
   public void onTypesChanged() {
     minimalTypeByJob.clear();
   }
@@ -134,7 +132,7 @@
     return best == null ? null : best.name();
   }
 
-  /** Counts the demand of all open jobs anew. */
+  /** Computes the demand, its averages and the reserved machines from all open jobs. */
   void recompute(long now) {
     minimalTypesInUse.clear();
     demandByType.values().forEach(TypeDemand::resetCurrent);
@@ -183,17 +181,17 @@
     if (spec.priority().isUrgent()) {
       urgentByType.merge(typeName, machines, Double::sum);
     }
-    addToType(of(typeName), job, type, machines);
+    addToType(demandFor(typeName), job, type, machines);
   }
 
   private void addToType(TypeDemand demand, JobEntry job, MachineType type, double machines) {
     JobSpec spec = job.spec();
-    double worth = machines * bootTimeShare(spec, type) / sequentialWaves(job, type);
-    demand.add(worth, machines, spec.spot());
+    double effectiveMachines = machines * bootTimeShare(spec, type) / sequentialWaves(job, type);
+    demand.add(effectiveMachines, machines, spec.spot());
     if (spec.zone() != null) {
       demand.addPinned(spec.zone(), machines, spec.spot());
     }
-    // at most half of a spread job may be in one zone: it needs another
+    // at most half of a spread job's tasks may be in one zone, so it needs machines in a second one
     if (spec.spread()) {
       for (String zone : type.zones()) {
         demand.addPinned(zone, DEMAND_MIN_MACHINES, spec.spot());
@@ -218,8 +216,9 @@
   }
 
   /**
-   * The part of its own machines that a task is worth: what is over before one has booted needs
-   * none. A service has no estimate and stands for good.
+   * Returns the fraction of the machines for the job that is counted, at most 1. A task that ends
+   * before a new machine has booted needs no new machine. A service counts in full, because it has
+   * no estimated run time and runs permanently.
    */
   private static double bootTimeShare(JobSpec spec, MachineType type) {
     if (spec.isService()) {
@@ -231,9 +230,9 @@
   }
 
   /**
-   * How many of the job's tasks may run one after the other in one place and still be on time, on a
-   * machine that must first boot and fetch the image. Whole waves only: fractions would ask for too
-   * few machines for jobs of which only one wave is on time.
+   * Returns how many of the job's tasks may run one after the other in one slot and still meet the
+   * deadline, on a machine that must first boot and fetch the image. The number is whole, because a
+   * fraction would request too few machines for a job of which only one wave meets the deadline.
    */
   private double sequentialWaves(JobEntry job, MachineType type) {
     JobSpec spec = job.spec();
@@ -247,9 +246,9 @@
   }
 
   /**
-   * Reserves as many machines for urgent jobs as these use on average, so that they needn't preempt
-   * others. On-demand ones first, then by id: the cloud doesn't take them back, and every
-   * controller chooses the same.
+   * Reserves machines for urgent jobs according to their average demand, so that they needn't
+   * preempt other jobs. On-demand machines come first, because the cloud doesn't take them back.
+   * Further machines follow by id, so that every controller chooses the same ones.
    */
   private void recomputeReserved() {
     reserved.clear();
@@ -284,7 +283,7 @@
     }
   }
 
-  /** Whether the machine is reserved for urgent jobs. */
+  /** Returns whether the machine is reserved for urgent jobs. */
   public boolean isReserved(String machine) {
     return reserved.contains(machine);
   }
--- a/src/main/java/mallowstall/core/autoscaling/PendingMachines.java
+++ b/src/main/java/mallowstall/core/autoscaling/PendingMachines.java
@@ -6,34 +6,34 @@
 import java.util.List;
 import java.util.Map;
 
-/** Machines that the cloud has provided and that haven't registered yet. Mutable. */
+/** The machines that the cloud has provided and that haven't registered yet. Mutable. */
 public final class PendingMachines {
-  /** A machine that hasn't registered yet, and when it was requested in ms of the steady clock. */
+  /** A machine that hasn't registered yet, and the steady time in ms at which it was requested. */
   record PendingMachine(String type, String zone, boolean spot, long requestedAtMs) {}
 
   private final Map<String, PendingMachine> pendingMachines = new LinkedHashMap<>();
 
-  /** The cloud has provided the machine. */
+  /** Adds a machine that the cloud has provided in response to a request. */
   void add(String id, PendingMachine machine) {
     pendingMachines.put(id, machine);
   }
 
-  /** The cloud lists the machine; one that is already known stays as it is. */
+  /** Adds a machine from the cloud's inventory, unless it is already pending. */
   void addListed(String id, PendingMachine machine) {
     pendingMachines.putIfAbsent(id, machine);
   }
 
-  /** The machine has registered, was returned, or is given up. */
+  /** Removes a machine that has registered, was returned, or didn't register in time. */
   public void remove(String id) {
     pendingMachines.remove(id);
   }
 
-  /** All of them, in the order in which they became known. */
+  /** Returns all pending machines in the order in which they were added. */
   Collection<PendingMachine> all() {
     return pendingMachines.values();
   }
 
-  /** A copy of what is pending by id, in that order, so that entries may be removed meanwhile. */
+  /** Returns a copy in the order of addition, so that machines may be removed while iterating. */
   List<Map.Entry<String, PendingMachine>> snapshot() {
     return new ArrayList<>(pendingMachines.entrySet());
   }
--- a/src/main/java/mallowstall/core/autoscaling/RegisteredMachines.java
+++ b/src/main/java/mallowstall/core/autoscaling/RegisteredMachines.java
@@ -12,26 +12,28 @@
 import mallowstall.core.model.CoreSettings;
 import mallowstall.core.model.MachineEntry;
 
-/** Counts the machines that have an entry in the state, and finds those to be returned. Mutable. */
+/** Counts the machines that have an entry, and finds those that are to be returned. Mutable. */
 public final class RegisteredMachines {
   /**
-   * ms. Within this and one and a half heartbeat intervals a worker whose controller has ended has
-   * registered with another: 4 s for the missing response, 1 s before the next try, the rest for
-   * the registration.
+   * ms. Within this time plus one and a half heartbeat intervals, a worker whose controller has
+   * ended registers with another controller. The worker waits 4 s for the missing response and 1 s
+   * before the next attempt; the rest is for the registration.
    */
   private static final long WORKER_REREGISTRATION_MS = 7_500;
 
-  /** s. With less than this left of its notice an unresponsive machine counts as removed. */
+  /**
+   * s. An unresponsive machine with less time left of its interruption notice counts as removed.
+   */
   private static final double INTERRUPTION_IMMINENT_S = 2;
 
   /**
-   * ms. Added to the heartbeat interval: a machine with replicas that is unresponsive for longer is
-   * returned, which proves that they have ended. Its tasks would be lost with its lease some
-   * seconds later.
+   * ms. Added to the heartbeat interval. A machine that hosts replicas and is unresponsive for
+   * longer is returned, which proves that the replicas have ended. Its tasks would be lost anyway
+   * some seconds later, when its lease expires.
    */
   private static final long UNRESPONSIVE_REPLICA_HOST_MARGIN_MS = 5_000;
 
-  /** ms. Added to a worker's lease: a machine unresponsive for longer is returned. */
+  /** ms. Added to the worker lease. A machine that is unresponsive for longer is returned. */
   private static final long UNRESPONSIVE_SCALE_IN_MARGIN_MS = 12_000;
 
   private final CoreSettings settings;
@@ -40,13 +42,13 @@
   private final PendingMachines pendingMachines;
   private final ReturnedMachines returnedMachines;
 
-  /** Machines of which no status update tells, and since when. */
-  private final Map<String, Long> unaccountedSinceMs = new HashMap<>();
+  /** Steady time in ms since which a machine has no current and complete status, by id. */
+  private final Map<String, Long> statusUnknownSinceMs = new HashMap<>();
 
-  /** Faulty machines with replicas that are still to be relocated, and since when. */
+  /** Steady time in ms since which the replicas of a faulty machine are to be relocated, by id. */
   private final Map<String, Long> replaceSinceMs = new HashMap<>();
 
-  /** Machines that turn out to be registered are pending no longer. */
+  /** Creates a counter that removes registered machines from the pending ones. */
   public RegisteredMachines(
       CoreSettings settings,
       StateStore store,
@@ -60,7 +62,7 @@
     this.returnedMachines = returnedMachines;
   }
 
-  /** Counts all registered machines and forgets those that no longer are. */
+  /** Counts all registered machines, and drops the times kept for machines without an entry. */
   void count(MachineCensus census, long now) {
     for (Map.Entry<String, StoredValue> entry :
         store.entriesUnder(StateKeys.MACHINE_PREFIX).entrySet()) {
@@ -68,7 +70,7 @@
       countMachine(id, (MachineEntry) entry.getValue().value(), census, now);
     }
     census.resolveLost();
-    unaccountedSinceMs.keySet().retainAll(census.registered());
+    statusUnknownSinceMs.keySet().retainAll(census.registered());
     replaceSinceMs.keySet().retainAll(census.registered());
   }
 
@@ -84,18 +86,18 @@
     if (view.isFullyReported(id, entry)
         && leaderLive
         && now - view.lastUpdateMs(machine) < 2 * Constants.STATUS_UPDATE_STALE_MS) {
-      unaccountedSinceMs.remove(id);
-      countAccounted(machine, census, now);
+      statusUnknownSinceMs.remove(id);
+      countWithKnownStatus(machine, census, now);
       return;
     }
     if (leaderLive && isPeerUnresponsive(entry.node(), now)) {
       census.addExpected(entry.type());
       return;
     }
-    long unaccountedMs = now - unaccountedSinceMs.computeIfAbsent(id, k -> now);
-    if (unaccountedMs > settings.workerLeaseMs() + 2 * UNRESPONSIVE_SCALE_IN_MARGIN_MS) {
+    long statusUnknownMs = now - statusUnknownSinceMs.computeIfAbsent(id, k -> now);
+    if (statusUnknownMs > settings.workerLeaseMs() + 2 * UNRESPONSIVE_SCALE_IN_MARGIN_MS) {
       census.addToReturn(id);
-    } else if (!leaderLive && unaccountedMs > failoverGraceMs()) {
+    } else if (!leaderLive && statusUnknownMs > failoverGraceMs()) {
       census.addUnmanaged(id);
     } else {
       census.addExpected(entry.type());
@@ -107,8 +109,8 @@
         && now - view.peer(node).lastUpdateMs() > Constants.STATUS_UPDATE_STALE_MS;
   }
 
-  /** A machine whose leader is live and has published its status. */
-  private void countAccounted(MachineView machine, MachineCensus census, long now) {
+  /** Counts a machine whose leader has a session and has published the machine's full status. */
+  private void countWithKnownStatus(MachineView machine, MachineCensus census, long now) {
     if (machine.status().unresponsive()) {
       countUnresponsive(machine, census, now);
     } else if (machine.status().needsReplacement()) {
@@ -133,14 +135,15 @@
     }
   }
 
-  /** How long a machine whose leader has no session may take to register with another. */
+  /** Returns how long in ms a machine may take to register after its leader's session has ended. */
   private long failoverGraceMs() {
     return WORKER_REREGISTRATION_MS + settings.heartbeatIntervalMs() * 3 / 2;
   }
 
   /**
-   * Unresponsive at the end of its interruption notice: the cloud has taken it back, and a return
-   * proves at once what its lease would prove only later.
+   * Returns whether an unresponsive machine is at the end of its interruption notice. The cloud has
+   * then taken it back, and returning it proves at once that its tasks have ended, which its lease
+   * expiry would prove only later.
    */
   private static boolean isReclaimedByCloud(MachineView machine, long now) {
     double remainingS =
@@ -148,12 +151,15 @@
     return machine.status().interruptionNoticeS() >= 0 && remainingS < INTERRUPTION_IMMINENT_S;
   }
 
-  /** Some heartbeats later than where a machine counts as unresponsive. */
+  /**
+   * Returns after how long in ms an unresponsive machine that hosts replicas may be returned. This
+   * is some heartbeats longer than the time after which a machine counts as unresponsive.
+   */
   private long unresponsiveHostMs() {
     return UNRESPONSIVE_REPLICA_HOST_MARGIN_MS + settings.heartbeatIntervalMs();
   }
 
-  /** Whether a faulty machine's replicas have had their time to be relocated. */
+  /** Returns whether the time to relocate the replicas of a faulty machine is over. */
   private boolean isReplacementOverdue(String id, long now) {
     return now - replaceSinceMs.computeIfAbsent(id, k -> now) > Constants.RELOCATION_RESERVATION_MS;
   }
--- a/src/main/java/mallowstall/core/autoscaling/ScaleIn.java
+++ b/src/main/java/mallowstall/core/autoscaling/ScaleIn.java
@@ -26,19 +26,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Returns machines to the cloud and then deletes their entries, which tells every job leader that
- * their tasks have ended (protocol, Cloud). Mutable.
+ * Returns machines to the cloud and then deletes their entries. The deletion notifies every job
+ * leader that the tasks on these machines have ended (protocol, Cloud). Mutable.
  */
 public final class ScaleIn {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.autoscaling");
 
   /**
-   * ms. A returned machine may stay in the inventory for twice its lag; no more requests are made
-   * for it.
+   * ms. How long a returned machine is excluded from further return requests. The inventory may
+   * list a returned machine for twice the inventory's lag.
    */
-  private static final long SCALE_IN_MEMORY_MS = 60_000;
+  private static final long RETURNED_MACHINE_RETENTION_MS = 60_000;
 
-  /** Why machines are returned. */
+  /** The reason for which machines are returned. */
   enum Reason {
     IDLE,
     LOST_OR_FAULTY
@@ -52,23 +52,23 @@
 
   private final ReturnedMachines returnedMachines;
 
-  /** Called for each machine that the cloud confirms as returned. */
+  /** Called with the id of each machine that the cloud confirms as returned. */
   private final Consumer<String> onReturned;
 
   private final Set<String> returnsInFlight = new HashSet<>();
 
-  /** Returned machines, and when that was confirmed. */
+  /** Returned machines, with the steady time in ms at which the cloud confirmed the return. */
   private final Map<String, Long> returnedAtMs = new HashMap<>();
 
-  /** Returned machines whose entries are still to be deleted. */
+  /** Returned machines whose entries are to be deleted by the next transaction. */
   private final Set<String> entriesToDelete = new HashSet<>();
 
-  /** Returned machines whose entries are being deleted by an unanswered transaction. */
+  /** Returned machines whose entries are deleted by a transaction that is in flight. */
   private final Set<String> deletionsInFlight = new HashSet<>();
 
   private final RetryDelay deleteRetry = new RetryDelay();
 
-  /** Each machine that the cloud confirms as returned is handed to {@code onReturned}. */
+  /** Creates a scale-in that calls {@code onReturned} for each machine confirmed as returned. */
   public ScaleIn(
       EventClock clock,
       CoreSettings settings,
@@ -86,23 +86,23 @@
     this.onReturned = onReturned;
   }
 
-  /** Whether the cloud has been asked to take the machine back and hasn't answered. */
+  /** Returns whether a return request for the machine is in flight. */
   boolean isReturnInFlight(String machine) {
     return returnsInFlight.contains(machine);
   }
 
-  /** Whether it was returned so recently that the cloud's inventory may still list it. */
+  /** Returns whether the machine was returned so recently that the inventory may still list it. */
   boolean wasReturnedRecently(String machine, long now) {
     Long returnedMs = returnedAtMs.get(machine);
-    return returnedMs != null && now - returnedMs < SCALE_IN_MEMORY_MS;
+    return returnedMs != null && now - returnedMs < RETURNED_MACHINE_RETENTION_MS;
   }
 
-  /** Forgets returns that are older than any inventory still to come. */
+  /** Removes returned machines that no future inventory can list. */
   void expireReturned(long now) {
-    returnedAtMs.values().removeIf(returnedMs -> now - returnedMs > SCALE_IN_MEMORY_MS);
+    returnedAtMs.values().removeIf(returnedMs -> now - returnedMs > RETURNED_MACHINE_RETENTION_MS);
   }
 
-  /** Those of the machines that are neither returned nor being returned. */
+  /** Returns the machines that are neither recently returned nor being returned. */
   List<String> withoutReturned(Collection<String> machines) {
     List<String> remaining = new ArrayList<>(machines);
     remaining.removeAll(returnsInFlight);
@@ -111,8 +111,8 @@
   }
 
   /**
-   * Returns as many of the machines as one request may name; the rest come with a later plan. The
-   * cloud rejects a longer request as a whole.
+   * Requests the return of as many of the machines as one request may name. The cloud rejects a
+   * longer request as a whole, so a later plan returns the rest.
    */
   void returnMachines(List<String> machines, Reason reason) {
     if (!apiCallBucket.canSpend(clock.now(), 1, 0)) {
@@ -144,29 +144,29 @@
   }
 
   /**
-   * Deletes entries of machines that are known to be returned, with the next tick: heartbeats that
-   * were under way have registered them again. Nothing is compared, since no entry of such a
-   * machine can be right.
+   * Schedules the entries of returned machines for deletion by the next tick. Heartbeats that were
+   * in flight during the return have registered these machines again. The deletion has no
+   * conditions, because no entry of a returned machine can be valid.
    */
   void deleteLateEntries(Collection<String> machines) {
     List<String> late = new ArrayList<>(machines);
     late.removeAll(entriesToDelete);
-    // guards against a backlog: a slow deletion sent again with each plan uses up the write rate
+    // otherwise each plan sends a slow deletion again, and the backlog uses up the write rate
     late.removeAll(deletionsInFlight);
     if (!late.isEmpty()) {
-      LOG.info("late entries of returned machines machines={}", late);
+      LOG.info("returned machines registered again, deleting their entries machines={}", late);
       entriesToDelete.addAll(late);
     }
   }
 
-  /** Tries again to delete entries whose deletion has failed. */
+  /** Sends the next deletion of entries if one is pending and the retry delay is over. */
   void tick(long now) {
     if (!entriesToDelete.isEmpty() && deleteRetry.isDue(now)) {
       deleteEntries();
     }
   }
 
-  /** Deletes as many entries as one transaction may change. */
+  /** Deletes as many entries as one transaction may change; later ticks delete the rest. */
   private void deleteEntries() {
     entriesToDelete.removeIf(id -> store.machine(id) == null);
     if (entriesToDelete.isEmpty()) {
@@ -196,7 +196,7 @@
                 entriesToDelete.addAll(machines);
               }
             });
-    // job leaders wait for these machines until their entries are deleted
+    // a full queue must not drop the deletion: job leaders wait until the entries are deleted
     if (!accepted) {
       machines.forEach(deletionsInFlight::remove);
       entriesToDelete.addAll(machines);
--- a/src/main/java/mallowstall/core/autoscaling/ScaleOut.java
+++ b/src/main/java/mallowstall/core/autoscaling/ScaleOut.java
@@ -15,14 +15,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Decides of which zone and kind missing machines of a type are requested. */
+/** Decides in which zone, and whether as spot or on-demand, missing machines are requested. */
 public final class ScaleOut {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.autoscaling");
 
-  /** Fraction of the need that must be missing before on-demand machines replace spot ones. */
+  /** Fraction of the target that must be missing before on-demand machines replace spot ones. */
   private static final double ON_DEMAND_FALLBACK_FRACTION = 0.15;
 
-  /** Machines of one type by zone, and the on-demand ones among them. Mutable. */
+  /** Counts of all machines and of on-demand machines of one type by zone. Mutable. */
   private static final class ZoneCounts {
     private final Map<String, Integer> countByZone = new HashMap<>();
     private final Map<String, Integer> onDemandByZone = new HashMap<>();
@@ -57,7 +57,9 @@
   private final PendingMachines pendingMachines;
   private final ScaleOutRequests requests;
 
-  /** Machines in service and pending ones count; what is missing goes into requests. */
+  /**
+   * Creates a scale-out that counts machines in service and pending ones, and requests the rest.
+   */
   public ScaleOut(
       ClusterView view,
       MachineTypeCatalog types,
@@ -75,12 +77,16 @@
     this.requests = requests;
   }
 
-  /** Whether a request may be sent now. */
+  /** Returns whether a request may be sent now. */
   boolean canRequest(long now) {
     return requests.canRequest(now);
   }
 
-  /** Asks for machines where those that count can't serve the demand; whether it has asked. */
+  /**
+   * Requests machines for jobs that need one zone or on-demand machines, if too few of these exist.
+   *
+   * @return whether a request was sent
+   */
   boolean scaleOutConstrained(
       String type, TypeDemand typeDemand, List<MachineView> available, long now) {
     ZoneCounts counts = new ZoneCounts();
@@ -98,10 +104,7 @@
         || scaleOutOnDemand(type, typeDemand, counts, now);
   }
 
-  /**
-   * Asks for machines for jobs that only one zone can serve: enough machines elsewhere are of no
-   * use to them.
-   */
+  /** Requests machines for jobs that only one zone can serve, as other zones can't help them. */
   private boolean scaleOutPinned(String type, TypeDemand typeDemand, ZoneCounts counts, long now) {
     for (Map.Entry<String, Double> pinned : typeDemand.pinnedByZone().entrySet()) {
       String zone = pinned.getKey();
@@ -110,7 +113,7 @@
         return true;
       }
     }
-    // a spot machine in the zone and an on-demand one elsewhere don't make one for such a job
+    // neither a spot machine in the zone nor an on-demand one in another zone serves these jobs
     for (Map.Entry<String, Double> pinned : typeDemand.onDemandPinnedByZone().entrySet()) {
       String zone = pinned.getKey();
       int missing = (int) Math.ceil(pinned.getValue()) - counts.onDemandInZone(zone);
@@ -121,7 +124,7 @@
     return false;
   }
 
-  /** Asks for machines for jobs that spot machines can't serve. */
+  /** Requests machines for jobs that spot machines can't serve. */
   private boolean scaleOutOnDemand(
       String type, TypeDemand typeDemand, ZoneCounts counts, long now) {
     int missing = (int) Math.ceil(typeDemand.onDemandMachines()) - counts.onDemand();
@@ -137,8 +140,10 @@
   }
 
   /**
-   * Asks for one machine for a job that fits on none, though there are enough by their number; it
-   * would wait for good otherwise.
+   * Requests one machine for a job that fits on no machine although their number meets the demand.
+   * Without the request the job would wait forever.
+   *
+   * @return whether a request was sent
    */
   boolean scaleOutForUnplaceable(String type, List<MachineView> available, long now) {
     if (openJobs.all().stream().noneMatch(job -> job.spec().isService() && !job.isTerminal())) {
@@ -163,7 +168,7 @@
     return false;
   }
 
-  /** Whether one has been asked for; not while a machine that may serve is pending. */
+  /** Requests one machine unless a suitable one is pending. Returns whether a request was sent. */
   private boolean requestOne(String type, String zone, boolean spotAllowed, long now) {
     for (PendingMachine pending : pendingMachines.all()) {
       if (pending.type().equals(type)
@@ -178,8 +183,8 @@
   }
 
   /**
-   * Asks for some of the missing machines: spot before on-demand ones, and first in the zone that
-   * has the fewest.
+   * Requests some of the missing machines. It tries spot before on-demand, and the zone that has
+   * the fewest machines of the type first.
    */
   void scaleOut(String type, int missing, int targetCount, boolean spotAllowed, long now) {
     List<String> zones = zonesByFewest(type);
--- a/src/main/java/mallowstall/core/autoscaling/ScaleOutRequests.java
+++ b/src/main/java/mallowstall/core/autoscaling/ScaleOutRequests.java
@@ -13,18 +13,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Asks the cloud for machines of one type, zone and kind at a time (protocol, Cloud). One request
- * is in flight at most; what was rejected isn't asked for again for a while. Mutable.
+ * Requests machines from the cloud, each time of one type, of one zone, and either spot or
+ * on-demand (protocol, Cloud). At most one request is in flight. A combination that was rejected
+ * isn't requested again before a cooldown ends. Mutable.
  */
 public final class ScaleOutRequests {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.autoscaling");
 
-  /** Count. Most machines per scale-out request (protocol). */
+  /** Count. Maximum number of machines per scale-out request (protocol). */
   private static final int SCALE_OUT_MACHINES_MAX = 50;
 
   /**
-   * ms. After a lack of capacity in the cloud that type, zone and kind isn't asked for again for so
-   * long.
+   * ms. How long a combination of type, zone, and spot or on-demand isn't requested again after the
+   * cloud lacked the capacity for it.
    */
   private static final long SCALE_OUT_REJECTED_COOLDOWN_MS = 15_000;
 
@@ -37,16 +38,16 @@
   private final TokenBucket apiCallBucket;
   private final PendingMachines pendingMachines;
 
-  /** Called when a request is answered. */
+  /** Called after each response, successful or not. */
   private final Runnable onResponse;
 
-  /** Until when types, zones and kinds that were rejected aren't asked for, in ms. */
-  private final Map<String, Long> backoffUntilMs = new HashMap<>();
+  /** Steady time in ms until which a combination of type, zone and spot isn't requested again. */
+  private final Map<String, Long> cooldownUntilMs = new HashMap<>();
 
   private boolean requestInFlight;
   private int requestCounter;
 
-  /** Machines that the cloud provides become pending; each answer calls {@code onResponse}. */
+  /** Creates a sender that adds provided machines to the pending ones. */
   public ScaleOutRequests(
       EventClock clock,
       Effects effects,
@@ -62,21 +63,25 @@
     this.onResponse = onResponse;
   }
 
-  /** Whether a request may be sent now. */
+  /** Returns whether no request is in flight and the limit on cloud API calls allows one. */
   boolean canRequest(long now) {
     return !requestInFlight && apiCallBucket.canSpend(now, 1, 0);
   }
 
-  /** Asks for spot machines, or else for on-demand ones; whether a request was sent. */
+  /**
+   * Requests spot machines, or on-demand ones during the cooldown for spot.
+   *
+   * @return whether a request was sent
+   */
   boolean requestSpotOrOnDemand(String type, String zone, int count, long now) {
     return requestInZone(type, zone, true, count, now)
         || requestInZone(type, zone, false, count, now);
   }
 
-  /** Sends a request unless one like it was rejected lately; whether it was sent. */
+  /** Sends a request unless its combination is in the cooldown. Returns whether it was sent. */
   boolean requestInZone(String type, String zone, boolean spot, int count, long now) {
     String key = type + "/" + zone + "/" + spot;
-    if (backoffUntilMs.getOrDefault(key, 0L) > now) {
+    if (cooldownUntilMs.getOrDefault(key, 0L) > now) {
       return false;
     }
     String name = "r-" + store.incarnation() + "-" + ++requestCounter;
@@ -117,10 +122,10 @@
           receivedCount,
           request.count());
       if (receivedCount < request.count()) {
-        backoffUntilMs.put(key, now + SCALE_OUT_REJECTED_COOLDOWN_MS);
+        cooldownUntilMs.put(key, now + SCALE_OUT_REJECTED_COOLDOWN_MS);
       }
     } else if (reply.status() == HTTP_UNAVAILABLE) {
-      backoffUntilMs.put(key, now + SCALE_OUT_REJECTED_COOLDOWN_MS);
+      cooldownUntilMs.put(key, now + SCALE_OUT_REJECTED_COOLDOWN_MS);
       LOG.info("scale out rejected request={} status={}", request.name(), reply.status());
     } else {
       LOG.debug("scale out failed request={} status={}", request.name(), reply.status());
--- a/src/main/java/mallowstall/core/autoscaling/ScalingPlanner.java
+++ b/src/main/java/mallowstall/core/autoscaling/ScalingPlanner.java
@@ -10,7 +10,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Plans which machines are requested and returned; by machine type, not by task. */
+/** Plans which machines are requested and returned, by machine type and not by task. */
 public final class ScalingPlanner {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.autoscaling");
 
@@ -21,7 +21,7 @@
   private final TypePlanner typePlanner;
   private final ScaleIn scaleIn;
 
-  /** Each plan counts the machines anew; it is run only by the leader of autoscaling. */
+  /** Creates a planner for the autoscaler leader. */
   public ScalingPlanner(
       StateStore store,
       MachineTypeCatalog types,
@@ -37,7 +37,7 @@
     this.scaleIn = scaleIn;
   }
 
-  /** Plans every type, and then returns machines that are lost, failed or faulty. */
+  /** Counts the machines, plans each type, and returns lost, failed and faulty machines. */
   void plan(long now) {
     MachineCensus census = new MachineCensus();
     registeredMachines.count(census, now);
@@ -56,7 +56,7 @@
     }
   }
 
-  /** What the machines' processors are used for: the first thing to look at when jobs wait. */
+  /** Logs what the processors of the machines are used for, to explain why jobs wait. */
   private void logUtilization(List<MachineView> available) {
     double runningCpus = 0;
     double fetchingCpus = 0;
--- a/src/main/java/mallowstall/core/autoscaling/TypeDemand.java
+++ b/src/main/java/mallowstall/core/autoscaling/TypeDemand.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What the open jobs need of one machine type, in machines. Mutable. */
+/** The demand of the open jobs for one machine type, as a number of machines. Mutable. */
 final class TypeDemand {
   private double machines;
   private double averageMachines;
@@ -14,42 +14,42 @@
   private final Map<String, Double> pinnedByZone = new HashMap<>();
   private final Map<String, Double> onDemandPinnedByZone = new HashMap<>();
 
-  /** What they need now. */
+  /** Returns the present demand, reduced for short tasks and tasks that may run in sequence. */
   double machines() {
     return machines;
   }
 
-  /** What they need, averaged over time. */
+  /** Returns the average of {@link #machines} over time. */
   double averageMachines() {
     return averageMachines;
   }
 
-  /** What urgent jobs need, averaged over time. */
+  /** Returns the average demand of urgent jobs over time. */
   double averageUrgentMachines() {
     return averageUrgentMachines;
   }
 
-  /** Whether spot machines can serve some of it; what they can't is requested first. */
+  /** Returns whether spot machines can serve some of the demand; the rest is requested first. */
   boolean spotAllowed() {
     return spotAllowed;
   }
 
-  /** The part that spot machines can't serve. */
+  /** Returns the present demand that spot machines can't serve. */
   double onDemandMachines() {
     return onDemandMachines;
   }
 
-  /** The part that only one zone can serve, by zone; for reading. */
+  /** Returns by zone the demand that spot or on-demand machines of just this zone can serve. */
   Map<String, Double> pinnedByZone() {
     return Collections.unmodifiableMap(pinnedByZone);
   }
 
-  /** The part that only on-demand machines of one zone can serve, by zone; for reading. */
+  /** Returns by zone the demand that only on-demand machines of this zone can serve. */
   Map<String, Double> onDemandPinnedByZone() {
     return Collections.unmodifiableMap(onDemandPinnedByZone);
   }
 
-  /** Forgets what is needed now; the averages stay. */
+  /** Clears the present demand; the averages stay. */
   void resetCurrent() {
     machines = 0;
     spotAllowed = false;
@@ -59,26 +59,28 @@
   }
 
   /**
-   * Adds what one job needs.
+   * Adds the demand of one job.
    *
-   * @param worth machines that its tasks are worth, given how long they run
-   * @param all machines that hold all its tasks at once
-   * @param spot whether spot machines can serve it
+   * @param effective machines, reduced for short tasks and for tasks that may run in sequence
+   * @param concurrent machines that hold all tasks of the job at once
+   * @param spot whether spot machines can serve the job
    */
-  void add(double worth, double all, boolean spot) {
-    machines += worth;
+  void add(double effective, double concurrent, boolean spot) {
+    machines += effective;
     spotAllowed |= spot;
     if (!spot) {
-      onDemandMachines += all;
+      onDemandMachines += concurrent;
     }
   }
 
-  /** Adds machines that only this zone can serve, by on-demand machines unless spot ones can. */
+  /**
+   * Adds the demand of a job that needs this zone, and on-demand machines unless it allows spot.
+   */
   void addPinned(String zone, double pinned, boolean spot) {
     (spot ? pinnedByZone : onDemandPinnedByZone).merge(zone, pinned, Double::sum);
   }
 
-  /** Moves the averages towards what is needed now, by a weight from 0 to 1. */
+  /** Moves the averages towards the present demand by a weight from 0 to 1. */
   void updateAverages(double urgentMachines, double weight) {
     averageMachines += (machines - averageMachines) * weight;
     averageUrgentMachines += (urgentMachines - averageUrgentMachines) * weight;
--- a/src/main/java/mallowstall/core/autoscaling/TypePlanner.java
+++ b/src/main/java/mallowstall/core/autoscaling/TypePlanner.java
@@ -3,28 +3,28 @@
 import java.util.List;
 import mallowstall.core.cluster.MachineView;
 
-/** Compares the machines of a type with the demand for it, and scales out or in. */
+/** Compares the number of machines of a type with the demand for it, and scales out or in. */
 public final class TypePlanner {
-  /** Factor. Machines requested per machine needed: some boot late, or never. */
+  /** Factor. Machines requested per machine needed, because some boot late or never. */
   private static final double SCALE_OUT_FACTOR = 1.1;
 
-  /** Machines. A need is rounded up only if it is above a whole number by this. */
+  /** Machines. A target is rounded up only if it exceeds a whole number by more than this. */
   private static final double SCALE_OUT_ROUNDING = 0.05;
 
   /** Fraction of the average demand for which idle on-demand machines are kept. */
   private static final double ON_DEMAND_FLOOR_FRACTION = 0.8;
 
-  /** Factor. Machines kept per machine needed now. */
+  /** Factor. Machines kept per machine of the present demand. */
   private static final double RETENTION_FACTOR = 1.2;
 
-  /** Factor. Machines kept per machine needed on average. */
+  /** Factor. Machines kept per machine of the average demand. */
   private static final double RETENTION_AVERAGE_FACTOR = 1.15;
 
   private final MachineDemand demand;
   private final ScaleOut scaleOut;
   private final IdleScaleIn idleScaleIn;
 
-  /** Of scaling out and in at most one is asked for in each plan of a type. */
+  /** Creates a planner that either scales a type out or in, but not both in one plan. */
   public TypePlanner(MachineDemand demand, ScaleOut scaleOut, IdleScaleIn idleScaleIn) {
     this.demand = demand;
     this.scaleOut = scaleOut;
@@ -32,13 +32,13 @@
   }
 
   /**
-   * Scales out for what the type lacks, or scales in what it doesn't need.
+   * Requests missing machines of the type, or scales in those that aren't needed.
    *
-   * @param current machines of the type that are in service or will be
+   * @param current number of machines of the type that are in service or expected to be
    * @param available machines of all types in service
    */
   void plan(String type, int current, List<MachineView> available, long now) {
-    TypeDemand typeDemand = demand.of(type);
+    TypeDemand typeDemand = demand.demandFor(type);
     if (scaleOut.canRequest(now)
         && scaleOut.scaleOutConstrained(type, typeDemand, available, now)) {
       return;
@@ -75,7 +75,7 @@
                 typeDemand.averageMachines() * RETENTION_AVERAGE_FACTOR));
   }
 
-  /** On-demand machines cost more, and are kept for present demand more than for past demand. */
+  /** On-demand machines cost more, so fewer of them are kept for past demand than for present. */
   private static int keepOnDemand(TypeDemand typeDemand) {
     double onDemandFloor =
         Math.max(
--- a/src/main/java/mallowstall/core/autoscaling/UnplaceableJobs.java
+++ b/src/main/java/mallowstall/core/autoscaling/UnplaceableJobs.java
@@ -22,18 +22,19 @@
 import mallowstall.core.model.TeamUsageEntry;
 
 /**
- * Open jobs with a task that no machine can serve, although by their number there are enough: what
- * replicas leave free may be too little on each machine, or in a zone that the job doesn't allow,
- * or the machines with room keep the results of just those replicas that wait. Mutable.
+ * Finds open jobs with a task that no machine can serve, although the number of machines meets the
+ * demand. The capacity that replicas leave free may be too small on each machine, or lie in a zone
+ * that the job doesn't allow. The machines with free capacity may also keep the results of the
+ * pending replicas, which then end at once there. Mutable.
  */
 public final class UnplaceableJobs {
-  /** ms. A replica that has found no machine for longer gets one requested for it alone. */
+  /** ms. A replica that fits on no machine for longer has one requested for it alone. */
   static final long REPLICA_UNPLACEABLE_MS = 5_000;
 
-  /** ms. The same for a batch job of which no task fits beside services. */
+  /** ms. A batch job of which no task fits beside services for longer has a machine requested. */
   private static final long BATCH_UNPLACEABLE_MS = 20_000;
 
-  /** What keeps a job's task from being placed. */
+  /** The reason for which a task of a job can't be placed. */
   private enum Shortage {
     NONE,
     NO_CAPACITY,
@@ -46,14 +47,14 @@
   private final Map<String, Long> unplaceableSinceMs = new HashMap<>();
   private final KeptResultScaleOuts keptResultScaleOuts = new KeptResultScaleOuts();
 
-  /** Remembers since when each job has fitted on no machine. */
+  /** Creates a tracker without unplaceable jobs. */
   public UnplaceableJobs(CoreSettings settings, StateStore store, ClusterView view) {
     this.settings = settings;
     this.store = store;
     this.view = view;
   }
 
-  /** Forgets jobs that are terminal. */
+  /** Removes jobs that are terminal or no longer open. */
   void retainOpen(Iterable<JobEntry> open) {
     Set<String> ids = new HashSet<>();
     for (JobEntry job : open) {
@@ -66,8 +67,8 @@
   }
 
   /**
-   * The zones of the type in which a machine would help the job; none while it may fit on one, or
-   * hasn't been unplaceable for long.
+   * Returns the zones of the type in which a machine is to be requested for the job. The list is
+   * empty if the job may fit on a machine or hasn't been unplaceable for long enough.
    */
   List<String> zonesNeedingMachines(
       JobEntry jobEntry, MachineType type, List<MachineView> available, long now) {
@@ -87,7 +88,9 @@
     return due ? zones : List.of();
   }
 
-  /** A machine has been requested for the job, which {@link #zonesNeedingMachines} had named. */
+  /**
+   * Records that a machine was requested in one of the {@link #zonesNeedingMachines} of the job.
+   */
   void recordScaleOut(
       JobEntry jobEntry, List<MachineView> available, List<String> zones, long now) {
     JobSpec job = jobEntry.spec();
@@ -96,7 +99,7 @@
     }
   }
 
-  /** A replica, or every task of a batch job, is on no machine, and not for its team's quota. */
+  /** Returns whether a replica or a whole batch job is unplaced, and not because of the quota. */
   private boolean isWaitingForCapacity(JobEntry jobEntry) {
     JobSpec job = jobEntry.spec();
     int placed = view.placedTasks(job.id());
@@ -160,11 +163,13 @@
     if (machines.isEmpty()) {
       return Shortage.NO_CAPACITY;
     }
-    return job.isService() && keepAllResults(job, machines) ? Shortage.RESULTS_KEPT : Shortage.NONE;
+    return job.isService() && allKeepResultOfSameReplica(job, machines)
+        ? Shortage.RESULTS_KEPT
+        : Shortage.NONE;
   }
 
-  /** Whether some replica that is on no machine would end at once on each of these. */
-  private boolean keepAllResults(JobSpec job, List<MachineView> machines) {
+  /** Returns whether all these machines keep the result of one and the same unplaced replica. */
+  private boolean allKeepResultOfSameReplica(JobSpec job, List<MachineView> machines) {
     Set<Integer> candidates = replicasWithResult(job, machines.get(0));
     if (candidates.isEmpty()) {
       return false;
@@ -195,7 +200,7 @@
     return replicas;
   }
 
-  /** Machines that placement may use for the job and that have room for a task of it. */
+  /** Returns the machines that are usable for the job and have capacity for one of its tasks. */
   private static List<MachineView> machinesWithCapacity(
       JobSpec job, List<String> zones, List<MachineView> available) {
     List<MachineView> machines = new ArrayList<>();
--- a/src/main/java/mallowstall/core/autoscaling/UnregisteredMachines.java
+++ b/src/main/java/mallowstall/core/autoscaling/UnregisteredMachines.java
@@ -7,15 +7,15 @@
 import mallowstall.core.model.ListedMachine;
 import mallowstall.core.model.MachineType;
 
-/** Counts the machines that haven't registered yet, and gives up those that never will. */
+/** Counts the machines that haven't registered yet, and finds overdue ones to be returned. */
 public final class UnregisteredMachines {
-  /** Factor on the usual boot time after which a machine is taken for one that never boots. */
+  /** Factor on the usual boot time, after which a machine is assumed never to boot. */
   private static final double BOOT_TIMEOUT_FACTOR = 4.0;
 
-  /** s. No machine is given up sooner, however short the boot time of its type. */
+  /** s. Minimum boot timeout, however short the boot time of the type is. */
   private static final double BOOT_TIMEOUT_MIN_S = 60;
 
-  /** s. When a machine of an unknown type is given up. */
+  /** s. Boot timeout of a machine of an unknown type. */
   private static final double BOOT_TIMEOUT_UNKNOWN_TYPE_S = 120;
 
   private final CoreSettings settings;
@@ -24,7 +24,7 @@
   private final ScaleIn scaleIn;
   private final PendingMachines pendingMachines;
 
-  /** Adds to the pending machines what the cloud lists, and removes what is given up. */
+  /** Creates a counter that adds listed machines to the pending ones and removes overdue ones. */
   public UnregisteredMachines(
       CoreSettings settings,
       MachineTypeCatalog types,
@@ -38,13 +38,18 @@
     this.pendingMachines = pendingMachines;
   }
 
-  /** Counts what is listed or pending; registered machines must have been counted before. */
+  /**
+   * Counts listed and pending machines. The caller must have counted registered machines before.
+   */
   void count(MachineCensus census, long now) {
     countListed(census, now);
     countPending(census, now);
   }
 
-  /** Machines that the cloud lists and that have never registered are booting, or failed. */
+  /**
+   * Adds each listed machine that has never registered to the pending machines if it may be
+   * booting, or to the machines to be returned if it has failed or is overdue.
+   */
   private void countListed(MachineCensus census, long now) {
     for (ListedMachine listed : cloudInventory.machines()) {
       String id = listed.id();
@@ -65,7 +70,7 @@
     }
   }
 
-  /** Pending machines count unless they take too long or the cloud doesn't list them. */
+  /** Counts the pending machines except those that are overdue or missing from the inventory. */
   private void countPending(MachineCensus census, long now) {
     long inventoryLagMs = settings.inventoryLagMs();
     for (Map.Entry<String, PendingMachine> entry : pendingMachines.snapshot()) {
@@ -86,7 +91,7 @@
     }
   }
 
-  /** After so many seconds a machine that hasn't registered is taken for one that never boots. */
+  /** Returns the time in s after which an unregistered machine is assumed never to boot. */
   private static double bootTimeoutS(MachineType type) {
     return Math.max(BOOT_TIMEOUT_MIN_S, BOOT_TIMEOUT_FACTOR * type.bootS());
   }
