--- a/src/main/java/mallowstall/core/autoscaling/ScaleIn.java
+++ b/src/main/java/mallowstall/core/autoscaling/ScaleIn.java
@@ -154,7 +154,7 @@
     // otherwise each plan sends a slow deletion again, and the backlog uses up the write rate
     late.removeAll(deletionsInFlight);
     if (!late.isEmpty()) {
-      LOG.info("returned machines registered again, deleting their entries machines={}", late);
+      LOG.info("late entries of returned machines machines={}", late);
       entriesToDelete.addAll(late);
     }
   }
