--- a/src/main/java/mallowstall/core/kernel/Backoff.java
+++ b/src/main/java/mallowstall/core/kernel/Backoff.java
@@ -3,39 +3,45 @@
 import mallowstall.Constants;
 
 /**
- * The wait after a failed try: doubled with each failure in a row, up to a limit, and reset by
- * success. Times are steady, in ms. Mutable.
+ * The delay after a failed attempt. Each further failure doubles the delay up to a limit, and a
+ * success resets it to the initial delay. All times are steady times in milliseconds. Mutable.
  */
 public final class Backoff {
   private long waitUntilMs;
   private long delayMs = Constants.BACKOFF_INITIAL_MS;
 
-  /** {@link PlacementTrigger#capacityVersion} at the last failure. */
+  /** The value of {@link PlacementTrigger#capacityVersion} at the last failure. */
   private long failedCapacityVersion;
 
-  /** Whether the delay still runs at this time. */
+  /** Returns whether the delay has not yet ended at this time. */
   public boolean isWaiting(long now) {
     return now < waitUntilMs;
   }
 
-  /** Whether the delay still runs and no capacity has been reported since the failure. */
+  /**
+   * Returns whether the delay has not yet ended and no capacity has been reported since the last
+   * failure.
+   */
   public boolean isWaiting(long now, long capacityVersion) {
     return isWaiting(now) && capacityVersion <= failedCapacityVersion;
   }
 
-  /** A try failed at this time: starts the delay, and doubles the next one. */
+  /** Records a failure at this time, which starts the delay and doubles the next one. */
   public void recordFailure(long now) {
     waitUntilMs = now + delayMs;
     delayMs = Math.min(Constants.BACKOFF_MAX_MS, delayMs * 2);
   }
 
-  /** As above; capacity reported after this version ends the delay early. */
+  /**
+   * Records a failure at this time, which starts the delay and doubles the next one. A capacity
+   * version above {@code capacityVersion} ends the delay early.
+   */
   public void recordFailure(long now, long capacityVersion) {
     recordFailure(now);
     failedCapacityVersion = capacityVersion;
   }
 
-  /** A try succeeded: ends the delay; the next failure starts with the initial one. */
+  /** Records a success, which ends the delay and resets the next one to the initial delay. */
   public void reset() {
     waitUntilMs = 0;
     delayMs = Constants.BACKOFF_INITIAL_MS;
--- a/src/main/java/mallowstall/core/kernel/Effects.java
+++ b/src/main/java/mallowstall/core/kernel/Effects.java
@@ -9,57 +9,70 @@
 import mallowstall.core.model.WorkerCommand;
 
 /**
- * All that the core asks of the outside: the state service, peers, workers and the cloud.
+ * The interface through which the core calls the state service, peers, workers and the cloud.
  *
- * <p>Every call returns at once and does no I/O on the caller's behalf before it returns. A
- * callback is called once, as an event of its own on the event loop, or within the call if nothing
- * could be sent; calls end in any order, and one that times out ends with an outcome that says so.
- * Failures come as results, never as exceptions. Durations are in ms.
+ * <p>No method blocks or does I/O on the caller's behalf before it returns. Each callback is called
+ * exactly once. It is called as an event of its own on the event loop, or within the method if
+ * nothing could be sent. Requests complete in any order. A request that times out completes with a
+ * result that indicates the timeout. Failures are reported as results, never as exceptions.
+ * Durations are in milliseconds.
  */
 public interface Effects {
 
   /**
-   * Changes keys of the state service, all or none, if every condition holds. May commit after its
-   * timeout: {@link ResultCode#OUTCOME_UNKNOWN} says nothing of whether or when it does.
+   * Changes keys of the state service atomically if every condition holds. A transaction may commit
+   * after its timeout, so {@link ResultCode#OUTCOME_UNKNOWN} doesn't tell whether or when it
+   * commits.
    */
   void transact(Transaction transaction, Consumer<TransactionResult> callback);
 
-  /** The size in bytes of the value as the state service measures it; computed at once. */
+  /**
+   * Returns the size of the value in bytes, as the state service measures it. The size is computed
+   * locally, without a request.
+   */
   int encodedSizeBytes(StoredEntry value);
 
-  /** Reads one key; the result is at least as new as the call. */
+  /** Reads one key. The result is at least as recent as the call. */
   void get(String key, Consumer<GetResult> callback);
 
-  /** Reads a page of all keys in their order, from after this key; null: from the first one. */
+  /**
+   * Reads a page of all keys in key order. The page starts after {@code afterKey}, or at the first
+   * key if {@code afterKey} is null.
+   */
   void list(String afterKey, Consumer<ListResult> callback);
 
   /**
-   * Waits for changes after this revision, for up to {@code waitMs}; no events: none came in time.
-   * {@link ResultCode#EXPIRED}: the service no longer has all of them, so list again.
+   * Waits up to {@code waitMs} for changes after this revision. The result has no events if none
+   * occurred in that time. {@link ResultCode#EXPIRED} means that the state service no longer has
+   * all changes after the revision, so that the caller must list all keys again.
    */
   void watch(long afterRevision, long waitMs, Consumer<WatchResult> callback);
 
-  /** Requests a new lease that lasts {@code ttlMs} from some time between call and result. */
+  /**
+   * Requests a new lease. Its lifetime of {@code ttlMs} starts at some time between the call and
+   * the result.
+   */
   void grantLease(long ttlMs, Consumer<LeaseResult> callback);
 
   /**
-   * Renews a lease for its time to live, from some time between call and result. {@link
-   * ResultCode#EXPIRED}: it has ended, and the keys attached to it are deleted.
+   * Renews a lease for its time to live, which starts again at some time between the call and the
+   * result. {@link ResultCode#EXPIRED} means that the lease has ended and the keys attached to it
+   * are deleted.
    */
   void renewLease(long leaseId, Consumer<LeaseResult> callback);
 
   /**
-   * Sends a message to a peer. It may be lost or arrive late, after others or by a connection that
-   * has been replaced since; the sender gets no answer.
+   * Sends a message to a peer. The message may be lost, or arrive late, after later messages or
+   * over a connection that has been replaced since. The sender receives no response.
    */
   void send(String node, PeerMessage message);
 
   /**
-   * Sends commands to a worker's own address, in place of the answer to a heartbeat.
+   * Sends direct commands to a worker's own address, instead of in the response to a heartbeat.
    *
-   * @param address host and port of the worker
-   * @param fencingToken the token by which this controller leads the machine
-   * @param session the worker session for which they are meant
+   * @param address the host and port of the worker
+   * @param fencingToken the token with which this controller leads the machine
+   * @param session the worker session for which the commands are intended
    */
   void sendCommands(
       String address,
@@ -68,15 +81,24 @@
       List<WorkerCommand> commands,
       Consumer<CommandResult> callback);
 
-  /** Reads the machine types that the cloud offers; null: that failed. */
+  /** Reads the machine types that the cloud offers. The callback receives null if that failed. */
   void fetchMachineTypes(Consumer<List<MachineType>> callback);
 
-  /** Rents machines; they cost from the cloud's answer on, whether that arrives or not. */
+  /**
+   * Rents machines. They are charged from the time of the cloud's response, even if the response
+   * doesn't arrive.
+   */
   void scaleOut(ScaleOutRequest request, Consumer<ScaleOutResult> callback);
 
-  /** Returns machines to the cloud; false: perhaps not done, and may be repeated. */
+  /**
+   * Returns machines to the cloud. The callback receives false if the machines may not have been
+   * returned; the call may then be repeated.
+   */
   void scaleIn(List<String> machines, Consumer<Boolean> callback);
 
-  /** Reads a page of the cloud's list of rented machines, from after this id; null: the first. */
+  /**
+   * Reads a page of the cloud's list of rented machines. The page starts after the machine {@code
+   * afterId}, or at the first machine if {@code afterId} is null.
+   */
   void listMachines(String afterId, Consumer<InventoryPage> callback);
 }
--- a/src/main/java/mallowstall/core/kernel/EventClock.java
+++ b/src/main/java/mallowstall/core/kernel/EventClock.java
@@ -4,13 +4,16 @@
 
 /**
  * The time of the event being handled, and the timers. Time doesn't advance while an event is
- * handled. Steady time counts ms from an unspecified start. Not thread-safe.
+ * handled. Steady time counts milliseconds from an unspecified start. Not thread-safe.
  */
 public final class EventClock {
-  /** Keeps a timer that schedules itself again without delay from blocking the event loop. */
+  /**
+   * Maximum number of timers run for one event. Without the limit, a timer that schedules itself
+   * again without delay would block the event loop.
+   */
   private static final int TIMERS_PER_EVENT = 10_000;
 
-  /** A scheduled action. */
+  /** A scheduled action; {@code sequence} orders timers that are due at one time. */
   private record Timer(long dueMs, long sequence, Runnable action) {}
 
   private final PriorityQueue<Timer> timers =
@@ -24,47 +27,59 @@
   private long nextTimerSequence;
   private long startedAtMs;
 
-  /** Sets steady time and time of day, both in ms; a smaller steady time is ignored. */
+  /**
+   * Sets the steady time and the time of day, both in milliseconds. A steady time before the
+   * current one is ignored.
+   */
   public void advance(long steadyMs, long wallMs) {
     now = Math.max(now, steadyMs);
     wallClockMs = wallMs;
   }
 
-  /** Steady time in ms. */
+  /** Returns the steady time in milliseconds. */
   public long now() {
     return now;
   }
 
-  /** Time of day in ms since 1970. */
+  /** Returns the time of day in milliseconds since 1970. */
   public long wallClockMs() {
     return wallClockMs;
   }
 
-  /** Runs the action once so many ms of steady time have passed. */
+  /** Schedules the action to run once after {@code delayMs} milliseconds of steady time. */
   public void schedule(long delayMs, Runnable action) {
     timers.add(new Timer(now + delayMs, nextTimerSequence++, action));
   }
 
-  /** Runs the timers that are due, the earliest first; of equal ones the one scheduled first. */
+  /**
+   * Runs the timers that are due, the earliest first. Timers that are due at one time run in the
+   * order in which they were scheduled.
+   */
   public void runDue() {
     for (int i = 0; i < TIMERS_PER_EVENT && !timers.isEmpty() && timers.peek().dueMs <= now; i++) {
       timers.poll().action.run();
     }
   }
 
-  /** Steady time at which the next timer is due; {@code Long.MAX_VALUE} if there is none. */
+  /**
+   * Returns the steady time in milliseconds at which the next timer is due, or {@code
+   * Long.MAX_VALUE} if there is none.
+   */
   public long nextTimerMs() {
     return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().dueMs;
   }
 
-  /** The process begins its regular work now; only the first call counts. */
+  /** Records that the process starts its periodic work now. Only the first call has an effect. */
   public void markStarted() {
     if (startedAtMs == 0) {
       startedAtMs = now;
     }
   }
 
-  /** Steady time in ms at which this process began; any former process had ended by then. */
+  /**
+   * Returns the steady time in milliseconds at which this process started its periodic work, or 0
+   * if it hasn't yet. Any former process of this controller had ended by then.
+   */
   public long startedAtMs() {
     return startedAtMs;
   }
--- a/src/main/java/mallowstall/core/kernel/EventLoopLag.java
+++ b/src/main/java/mallowstall/core/kernel/EventLoopLag.java
@@ -3,25 +3,33 @@
 import mallowstall.Constants;
 
 /**
- * By how much this process runs behind its own timers, averaged. While processor time is short,
- * work that batches what came since is done less often, so that answers aren't late (source:
- * docs/design.md, "While processor time is short"). Times are steady, in ms. Mutable.
+ * The average delay by which the periodic ticks of this process run late. While processor time is
+ * short, work that handles all input since its last run as one batch runs less often, so that
+ * responses aren't late (see docs/design.md, "While processor time is short"). All times are steady
+ * times in milliseconds. Mutable.
  */
 public final class EventLoopLag {
   /**
-   * ms. One tick's lateness counts so much at most: a process that stood still isn't overloaded.
+   * Maximum delay of one tick, in milliseconds, that the average takes into account. The limit
+   * prevents a process that was suspended once from being treated as overloaded.
    */
   static final long LAG_SAMPLE_MAX_MS = 300;
 
-  /** Fraction. Weight of the newest tick in the average lag: it follows a load within 2 s. */
+  /**
+   * Weight of the newest tick in the average lag, as a fraction. With it the average follows a
+   * change of load within 2 seconds.
+   */
   static final double LAG_WEIGHT = 0.1;
 
-  /** Factor. Gaps between passes and between status updates grow by so much of the average lag. */
+  /**
+   * Factor by which the average lag is multiplied and then added to the gaps between scheduling
+   * passes and between status updates.
+   */
   static final double LAG_GAP_FACTOR = 3;
 
   /**
-   * ms. Gaps grow by so much at most: an overloaded controller still places and publishes twice a
-   * second.
+   * Maximum time, in milliseconds, that is added to a gap. It lets an overloaded controller still
+   * run a scheduling pass and publish a status update twice a second.
    */
   static final long LAG_GAP_MAX_MS = 350;
 
@@ -29,7 +37,10 @@
   private long lastTickMs;
   private double lagMs;
 
-  /** A tick is run; without lag the one before was {@link Constants#TICK_MS} earlier. */
+  /**
+   * Records a tick. Without lag the previous tick ran {@link Constants#TICK_MS} milliseconds
+   * earlier.
+   */
   public void onTick(long now) {
     if (hasTicked) {
       long lateMs = Math.max(0, now - lastTickMs - Constants.TICK_MS);
@@ -39,7 +50,10 @@
     lastTickMs = now;
   }
 
-  /** The gap in ms between two runs of such work; {@code gapMs} while there is no lag. */
+  /**
+   * Returns the gap in milliseconds between two runs of batching work: {@code gapMs} plus a time
+   * that grows with the lag.
+   */
   public long stretchedGapMs(long gapMs) {
     return gapMs + Math.min(LAG_GAP_MAX_MS, Math.round(lagMs * LAG_GAP_FACTOR));
   }
--- a/src/main/java/mallowstall/core/kernel/GetResult.java
+++ b/src/main/java/mallowstall/core/kernel/GetResult.java
@@ -1,8 +1,9 @@
 package mallowstall.core.kernel;
 
 /**
- * How the read of a key has ended.
+ * The result of reading a key.
  *
- * @param item the key with its value, or without one if it doesn't exist; null unless code is OK
+ * @param item the key and its value, which is null if the key doesn't exist; the item is null
+ *     unless code is OK
  */
 public record GetResult(ResultCode code, KeyValue item) {}
--- a/src/main/java/mallowstall/core/kernel/InventoryPage.java
+++ b/src/main/java/mallowstall/core/kernel/InventoryPage.java
@@ -4,9 +4,10 @@
 import mallowstall.core.model.ListedMachine;
 
 /**
- * A page of the cloud's list of rented machines.
+ * A page of the inventory, the cloud's list of rented machines.
  *
- * @param succeeded false: the page couldn't be read, and the rest is empty
- * @param hasMore whether machines follow after the last of this page
+ * @param succeeded whether the page could be read; if false, {@code machines} is empty and {@code
+ *     hasMore} is false
+ * @param hasMore whether more machines follow after the last one of this page
  */
 public record InventoryPage(boolean succeeded, List<ListedMachine> machines, boolean hasMore) {}
--- a/src/main/java/mallowstall/core/kernel/KeyValue.java
+++ b/src/main/java/mallowstall/core/kernel/KeyValue.java
@@ -3,9 +3,10 @@
 import mallowstall.core.model.StoredEntry;
 
 /**
- * A key of the state service as it was read, or a change of it.
+ * A key and its value as read from the state service, or a change of a key.
  *
- * @param value null: the key doesn't exist, or was deleted by this change
- * @param modRevision the revision of its last change; 0 if it was read and doesn't exist
+ * @param value the value, or null if the key doesn't exist or this change deleted it
+ * @param modRevision the revision of the key's last change, or 0 if the key was read and doesn't
+ *     exist
  */
 public record KeyValue(String key, StoredEntry value, long modRevision) {}
--- a/src/main/java/mallowstall/core/kernel/LeaseResult.java
+++ b/src/main/java/mallowstall/core/kernel/LeaseResult.java
@@ -1,8 +1,8 @@
 package mallowstall.core.kernel;
 
 /**
- * How the grant or renewal of a lease has ended.
+ * The result of granting or renewing a lease.
  *
- * @param leaseId the lease; of no meaning for a grant unless code is OK
+ * @param leaseId the id of the lease; the result of a grant has one only if code is OK
  */
 public record LeaseResult(ResultCode code, long leaseId) {}
--- a/src/main/java/mallowstall/core/kernel/Metrics.java
+++ b/src/main/java/mallowstall/core/kernel/Metrics.java
@@ -1,10 +1,10 @@
 package mallowstall.core.kernel;
 
-/** Receives counts and durations of notable events, by the names of their series. */
+/** Records counters and durations under the names of their metrics. */
 public interface Metrics {
-  /** Counts one more event of this name. */
+  /** Adds one to the counter of this name. */
   void increment(String name);
 
-  /** Records one more duration, in ms, of this name. */
+  /** Records one duration, in milliseconds, under this name. */
   void recordDuration(String name, long durationMs);
 }
--- a/src/main/java/mallowstall/core/kernel/PlacementTrigger.java
+++ b/src/main/java/mallowstall/core/kernel/PlacementTrigger.java
@@ -2,11 +2,14 @@
 
 import mallowstall.Constants;
 
-/** When the next placement pass is due, and how often capacity has changed. Mutable. */
+/**
+ * Decides when the next scheduling pass is due, and counts the reported changes of capacity.
+ * Mutable.
+ */
 public final class PlacementTrigger {
   /**
-   * ms. Least time between two refreshes without news that count as changed capacity for waiting
-   * policies.
+   * Minimum time, in milliseconds, between two unchanged status updates that count as a change of
+   * capacity and so end the backoff of waiting policies.
    */
   private static final long REFRESH_CAPACITY_CHANGE_INTERVAL_MS = 1_000;
 
@@ -17,20 +20,26 @@
   private long capacityVersion = 1;
   private long capacityReportedAtMs;
 
-  /** No pass is due before the first request; {@code lag} stretches the gap between passes. */
+  /**
+   * Creates a trigger for which no pass is due before the first request. The gap between passes
+   * grows with {@code lag}.
+   */
   public PlacementTrigger(EventClock clock, EventLoopLag lag) {
     this.clock = clock;
     this.lag = lag;
   }
 
-  /** Requests a pass: something has changed that it should consider. */
+  /** Requests a pass because a change has occurred that the pass must take into account. */
   public void request() {
     requested = true;
   }
 
   /**
-   * A status update has been applied; {@code changed} tells whether it changed anything. One that
-   * only repeats counts once in a while, since what policies evaluate may change with time alone.
+   * Records that a status update has been applied. An update that changed nothing counts as a
+   * change of capacity only once per interval. It counts at all because the values that policies
+   * evaluate may change with time alone.
+   *
+   * @param changed whether the update changed anything
    */
   public void capacityReported(boolean changed) {
     long now = clock.now();
@@ -41,12 +50,18 @@
     }
   }
 
-  /** Grows with each report of capacity, so that jobs that back off try again. */
+  /**
+   * Returns a number that grows with each reported change of capacity, so that jobs in backoff are
+   * retried.
+   */
   public long capacityVersion() {
     return capacityVersion;
   }
 
-  /** Whether to run a pass now; if so, the next one is due after the usual gap at the earliest. */
+  /**
+   * Returns whether the caller must run a pass now. If so, the request is cleared, and the next
+   * pass is due no earlier than after the gap between passes.
+   */
   public boolean takeDue() {
     if (!requested || clock.now() < nextPassMs) {
       return false;
--- a/src/main/java/mallowstall/core/kernel/PutOperation.java
+++ b/src/main/java/mallowstall/core/kernel/PutOperation.java
@@ -3,8 +3,8 @@
 import mallowstall.core.model.StoredEntry;
 
 /**
- * A new value of a key.
+ * A write of a new value to a key.
  *
- * @param leaseId the lease with which the key is deleted; 0: it stays
+ * @param leaseId the lease whose end deletes the key, or 0 if the key is attached to no lease
  */
 public record PutOperation(String key, StoredEntry value, long leaseId) {}
--- a/src/main/java/mallowstall/core/kernel/ResultCode.java
+++ b/src/main/java/mallowstall/core/kernel/ResultCode.java
@@ -1,19 +1,28 @@
 package mallowstall.core.kernel;
 
-/** How a request to the state service, or to a worker, has ended. */
+/** The result of a request to the state service or to a worker. */
 public enum ResultCode {
-  /** Executed. */
+  /** The request was executed. */
   OK,
-  /** Not executed: a condition of the transaction, or the worker's token or session, differs. */
+  /**
+   * The request was not executed because a condition of the transaction doesn't hold, or because
+   * the worker's fencing token or session differs.
+   */
   CONFLICT,
-  /** Not executed: a lease that the transaction names has ended. */
+  /** The transaction was not executed because a lease that it names has ended. */
   LEASE_NOT_FOUND,
-  /** Not executed: the lease has ended, or the revision is older than what the service keeps. */
+  /**
+   * The request was not executed because the lease has ended, or because the revision is older than
+   * those that the state service keeps.
+   */
   EXPIRED,
-  /** Not executed, now or later; may be tried again. */
+  /** The request was not executed and won't be executed later. The caller may retry it. */
   REJECTED,
-  /** Not executed, nor ever as it is: a value or the transaction is too large. */
+  /**
+   * The request was not executed because a value or the transaction is too large. An unchanged
+   * retry fails too.
+   */
   INVALID,
-  /** No answer: perhaps executed, perhaps still to be, at any later time. */
+  /** No response arrived. The request may have been executed, or may be at any later time. */
   OUTCOME_UNKNOWN
 }
--- a/src/main/java/mallowstall/core/kernel/RetryDelay.java
+++ b/src/main/java/mallowstall/core/kernel/RetryDelay.java
@@ -3,33 +3,35 @@
 import mallowstall.Constants;
 
 /**
- * The wait before a transaction that the state service rejected is tried again: doubled with each
- * rejection in a row. One that is too large stays so until something else changes, so it is tried
- * ever more seldom; one that was over the rate or came in an outage is tried again within seconds.
- * Times are steady, in ms. Mutable.
+ * The delay before the retry of a transaction that the state service rejected. Each further
+ * rejection doubles the delay. A transaction that is too large stays too large until something else
+ * changes, so its delay grows up to a high limit. A transaction that exceeded the rate or was sent
+ * during an outage is retried within seconds. All times are steady times in milliseconds. Mutable.
  */
 public final class RetryDelay {
   /**
-   * ms. Longest wait before a change that is too large for the state service is tried again: it
-   * needs another layout or other limits, and each try costs all controllers a change.
+   * Maximum delay, in milliseconds, before the retry of a change that is too large for the state
+   * service. The change needs another layout or other limits to succeed, and each attempt takes one
+   * change from the rate that all controllers share.
    */
   private static final long STATE_INVALID_RETRY_MAX_MS = 30_000;
 
   /**
-   * ms. Longest wait before a change that was rejected otherwise is tried again: long for an
-   * exceeded rate, yet after an outage all that waits is recorded within seconds.
+   * Maximum delay, in milliseconds, before the retry of a change that was rejected for another
+   * reason. It is long enough for an exceeded rate, and still short enough that all pending changes
+   * are recorded within seconds after an outage.
    */
   private static final long STATE_REJECTED_RETRY_MAX_MS = 3_200;
 
   private long delayMs;
   private long retryAtMs = Long.MIN_VALUE / 2;
 
-  /** Whether the transaction may be tried now. */
+  /** Returns whether the transaction may be sent now. */
   public boolean isDue(long now) {
     return now >= retryAtMs;
   }
 
-  /** Records how a try ended; only REJECTED and INVALID make the next one wait. */
+  /** Records the result of an attempt. Only REJECTED and INVALID delay the next attempt. */
   public void recordResult(long now, ResultCode code) {
     if (code == ResultCode.OK) {
       delayMs = 0;
@@ -43,7 +45,7 @@
     retryAtMs = now + delayMs;
   }
 
-  /** Steady time in ms from which the transaction may be tried again. */
+  /** Returns the steady time in milliseconds from which the transaction may be sent again. */
   public long retryAtMs() {
     return retryAtMs;
   }
--- a/src/main/java/mallowstall/core/kernel/ScaleOutResult.java
+++ b/src/main/java/mallowstall/core/kernel/ScaleOutResult.java
@@ -3,9 +3,10 @@
 import java.util.List;
 
 /**
- * How a request to rent machines has ended.
+ * The result of a scale-out request.
  *
- * @param status the HTTP status of the cloud's answer, or that of an answer that never came
- * @param machines ids of the machines rented, perhaps fewer than requested
+ * @param status the HTTP status of the cloud's response, or the status that stands for a missing
+ *     response
+ * @param machines the ids of the rented machines, which may be fewer than requested
  */
 public record ScaleOutResult(int status, List<String> machines) {}
--- a/src/main/java/mallowstall/core/kernel/TokenBucket.java
+++ b/src/main/java/mallowstall/core/kernel/TokenBucket.java
@@ -1,8 +1,8 @@
 package mallowstall.core.kernel;
 
 /**
- * A token bucket: this controller's share of a rate that all controllers have together. Times are
- * steady, in ms. Mutable.
+ * A token bucket that limits this controller to its share of a rate that all controllers have
+ * together. All times are steady times in milliseconds. Mutable.
  */
 public final class TokenBucket {
   private double tokensPerMs;
@@ -10,14 +10,17 @@
   private double tokens;
   private long lastRefillMs;
 
-  /** A full bucket; {@code burst} is the most that it holds, at least 1. */
+  /** Creates a full bucket that holds at most {@code burst} tokens, or 1 if burst is less. */
   public TokenBucket(double perSecond, double burst) {
     this.tokensPerMs = perSecond / 1000.0;
     this.burst = Math.max(1.0, burst);
     this.tokens = this.burst;
   }
 
-  /** Sets the share from now on; the bucket holds one second's worth of it, at least 1. */
+  /**
+   * Sets the rate from now on. The capacity of the bucket becomes the tokens of one second, or 1 if
+   * that is less.
+   */
   public void setRate(long now, double perSecond) {
     refill(now);
     tokensPerMs = perSecond / 1000.0;
@@ -33,16 +36,16 @@
   }
 
   /**
-   * Whether {@code cost} may be spent while {@code reserve} stays for others; a negative reserve
-   * lets the bucket be overdrawn so far. What costs more than the bucket holds may go when it is
-   * full.
+   * Returns whether {@code cost} tokens may be spent while {@code reserve} tokens stay in the
+   * bucket for other requests. With a negative reserve, the bucket may be overdrawn by that amount.
+   * A cost above the capacity of the bucket may be spent when the bucket is full.
    */
   public boolean canSpend(long now, double cost, double reserve) {
     refill(now);
     return tokens >= Math.min(burst, cost + reserve);
   }
 
-  /** Takes tokens, also more than there are: the bucket is then overdrawn. */
+  /** Removes tokens from the bucket. If it holds fewer, the bucket is overdrawn. */
   public void spend(long now, double cost) {
     refill(now);
     tokens -= cost;
--- a/src/main/java/mallowstall/core/kernel/Transaction.java
+++ b/src/main/java/mallowstall/core/kernel/Transaction.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * A change of the state service that is made as a whole or not at all.
+ * An atomic change of entries in the state service.
  *
- * @param conditions must all hold for the change to be made
- * @param puts keys that get new values
- * @param deletes keys that are deleted
+ * @param conditions the conditions that must all hold for the transaction to be executed
+ * @param puts the keys to write, with their new values
+ * @param deletes the keys to delete
  */
 public record Transaction(
     List<Condition> conditions, List<PutOperation> puts, List<String> deletes) {}
--- a/src/main/java/mallowstall/core/kernel/TransactionResult.java
+++ b/src/main/java/mallowstall/core/kernel/TransactionResult.java
@@ -1,8 +1,9 @@
 package mallowstall.core.kernel;
 
 /**
- * How a transaction has ended.
+ * The result of a transaction.
  *
- * @param revision with OK, that of all its changes; with CONFLICT, that of the answer; otherwise 0
+ * @param revision the revision of all changes of the transaction if code is OK, the revision of the
+ *     response if code is CONFLICT, otherwise 0
  */
 public record TransactionResult(ResultCode code, long revision) {}
--- a/src/main/java/mallowstall/core/kernel/WatchResult.java
+++ b/src/main/java/mallowstall/core/kernel/WatchResult.java
@@ -3,9 +3,11 @@
 import java.util.List;
 
 /**
- * Changes after the revision that was asked for.
+ * The result of a watch: the changes after the requested revision.
  *
- * @param events in the order of their revisions; a null value says that the key was deleted
- * @param revision the one up to which the events are complete; go on from it
+ * @param events the changes in the order of their revisions; a null value means that the key was
+ *     deleted
+ * @param revision the revision up to which the events are complete, and after which the next watch
+ *     starts
  */
 public record WatchResult(ResultCode code, List<KeyValue> events, long revision) {}
--- a/src/main/java/mallowstall/core/kernel/package-info.java
+++ b/src/main/java/mallowstall/core/kernel/package-info.java
@@ -1,12 +1,13 @@
 /**
- * What every module of the core builds on: {@link mallowstall.core.kernel.Effects} (all that the
- * core asks of the outside, with the result types), the clock of the current event with its timers,
- * token buckets, retry delays, and the request for a scheduling pass.
+ * The classes on which every module of the core depends: {@link mallowstall.core.kernel.Effects},
+ * through which the core calls other systems, with its result types; the clock of the current event
+ * with its timers; token buckets; retry delays; and the trigger of scheduling passes.
  *
- * <p>Each object belongs to the module that created it; only {@code EventClock}, {@code
- * EventLoopLag} and {@code PlacementTrigger} are shared, and the core alone advances the first two.
- * Used on the event loop, one event at a time; no I/O, no system clock and no threads. May depend
- * on model only. docs/design.md, "While processor time is short", says what may and may not follow
- * the lag.
+ * <p>Each object belongs to the module that created it. Only {@code EventClock}, {@code
+ * EventLoopLag} and {@code PlacementTrigger} are shared, and only the core advances the first two.
+ * The package is used on the event loop, one event at a time. It does no I/O and uses no system
+ * clock and no threads. It may depend only on the model package. The section "While processor time
+ * is short" of docs/design.md describes which work may run less often as the lag grows and which
+ * may not.
  */
 package mallowstall.core.kernel;
