--- a/src/main/java/mallowstall/core/kernel/EventLoopLag.java
+++ b/src/main/java/mallowstall/core/kernel/EventLoopLag.java
@@ -22,7 +22,7 @@
   static final double LAG_WEIGHT = 0.1;
 
   /**
-   * Factor by which the average lag is multiplied and then added to the gaps between scheduling
+   * Factor that multiplies the average lag. The product is added to the gaps between scheduling
    * passes and between status updates.
    */
   static final double LAG_GAP_FACTOR = 3;
--- a/src/main/java/mallowstall/core/kernel/PlacementTrigger.java
+++ b/src/main/java/mallowstall/core/kernel/PlacementTrigger.java
@@ -8,8 +8,8 @@
  */
 public final class PlacementTrigger {
   /**
-   * Minimum time, in milliseconds, between two unchanged status updates that count as a change of
-   * capacity and so end the backoff of waiting policies.
+   * Time, in milliseconds, after the last change of capacity from which a status update that
+   * changes nothing counts as a change too and ends the backoff of waiting policies.
    */
   private static final long REFRESH_CAPACITY_CHANGE_INTERVAL_MS = 1_000;
 
@@ -36,7 +36,7 @@
 
   /**
    * Records that a status update has been applied. An update that changed nothing counts as a
-   * change of capacity only once per interval. It counts at all because the values that policies
+   * change of capacity only once in an interval. It counts because the values that policies
    * evaluate may change with time alone.
    *
    * @param changed whether the update changed anything
--- a/src/main/java/mallowstall/core/kv/JobBitmaps.java
+++ b/src/main/java/mallowstall/core/kv/JobBitmaps.java
@@ -21,28 +21,30 @@
 import mallowstall.core.model.StoredEntry;
 
 /**
- * How a job and the bits of its done tasks stand in the state service. Pure: it is given what is
- * stored and says what to write.
+ * Defines how a job and its completion bitmap are stored in the state service. This class sends no
+ * requests: it computes from the stored values which values to write.
  *
- * <p>There are two layouts. In the first one the job's entry holds the bits of its first 16,384
- * tasks and values of their own the further chunks of as many. In the compact one, for value limits
- * that this doesn't fit, the entry holds no bits and all stand in pieces of 8,192. Jobs of up to
- * {@link #INLINE_TASKS} tasks have all their bits in the entry in both.
+ * <p>There are two layouts. In the first layout, the job's entry holds the bits of the first 16,384
+ * tasks, and each further chunk of 16,384 bits is a value of its own. The compact layout is used if
+ * the first one exceeds the value limit. There the entry holds no bits, and all bits are stored in
+ * pieces of 8,192. In both layouts, the entry of a job of up to {@link #INLINE_TASKS} tasks holds
+ * all bits of the job.
  *
- * <p>A task is done if either layout says so. Bits are only ever added, so both may be there at
- * once, and nothing is dropped when a job changes its layout: the transaction that takes bits out
- * of the entry writes the pieces that hold them.
+ * <p>A task is completed if its bit is set in either layout. Bits are only ever added, so bits of
+ * both layouts may exist at once. No bit is lost when a job changes its layout, because the
+ * transaction that removes bits from the entry also writes the pieces that hold them.
  */
 public final class JobBitmaps {
   /**
-   * A change of a job: its conditions, its puts, and the pieces whose bits it records. Bits come
-   * before the entry, so that whoever takes the puts in one by one knows them with the entry.
+   * A change of a job: its conditions, its puts, and the pieces whose bits it records. The puts of
+   * bits precede the put of the job's entry, so that a controller that applies the puts one by one
+   * already has the bits when it applies the entry.
    */
   public record Write(List<Condition> conditions, List<PutOperation> puts, Set<Integer> pieces) {}
 
   /**
-   * Count. Jobs of up to so many tasks have all completion bits in their entry: at most 344 bytes
-   * encoded.
+   * Maximum number of tasks of a job whose entry holds all completion bits. The bits take at most
+   * 344 bytes encoded.
    */
   private static final int INLINE_TASKS = 2_048;
 
@@ -56,20 +58,23 @@
   private final Function<String, StoredValue> entryLookup;
 
   /**
-   * {@code allReadPieces} tells whether every controller reads the compact layout, {@code stored}
-   * what stands under a key, null if nothing does.
+   * Uses the value and transaction limits of {@code settings}.
+   *
+   * @param encodedSize returns the size of a value in bytes as the state service measures it
+   * @param compactLayoutReadable returns whether every controller reads the compact layout
+   * @param entryLookup returns the stored value of a key, or null if the key doesn't exist
    */
   public JobBitmaps(
       CoreSettings settings,
       ToIntFunction<StoredEntry> encodedSize,
-      BooleanSupplier allReadPieces,
-      Function<String, StoredValue> stored) {
+      BooleanSupplier compactLayoutReadable,
+      Function<String, StoredValue> entryLookup) {
     this.maxValueBytes = settings.maxValueBytes();
     this.maxTransactionOps = settings.maxTransactionOps();
     this.longestNode = longestNodeName(settings);
     this.encodedSize = encodedSize;
-    this.compactLayoutReadable = allReadPieces;
-    this.entryLookup = stored;
+    this.compactLayoutReadable = compactLayoutReadable;
+    this.entryLookup = entryLookup;
   }
 
   private static String longestNodeName(CoreSettings settings) {
@@ -82,42 +87,45 @@
     return longest;
   }
 
-  /** The key of the job's entry. */
+  /** Returns the key of the job's entry. */
   public static String jobKey(String job) {
     return StateKeys.job(job);
   }
 
-  /** The key of a further chunk of the job's completion bits. */
+  /** Returns the key of a chunk in the first layout. The job's entry holds chunk 0 instead. */
   public static String chunkKey(String job, int chunk) {
     return StateKeys.COMPLETION_BITS_PREFIX + job + "/" + chunk;
   }
 
-  /** Versions without the compact layout never look such a key up. */
+  /** Returns the key of a piece. Program versions without the compact layout never read it. */
   public static String pieceKey(String job, int piece) {
     return StateKeys.COMPLETION_BITS_PREFIX + job + "/p" + piece;
   }
 
-  /** The job to which a key of bits belongs. */
+  /** Returns the job to which the key of a chunk or piece belongs. */
   static String jobFromBitsKey(String bitsKey) {
     return bitsKey.substring(StateKeys.COMPLETION_BITS_PREFIX.length(), bitsKey.lastIndexOf('/'));
   }
 
-  /** The piece that holds the task's completion bit in the compact layout. */
+  /** Returns the index of the piece that holds the task's bit in the compact layout. */
   public static int pieceIndex(int task) {
     return task / Constants.BITS_PER_PIECE;
   }
 
-  /** Whether all bits of the job stand in its entry, in either layout. */
+  /** Returns whether the job's entry holds all bits of the job, in both layouts. */
   public static boolean isInline(JobSpec spec) {
     return spec.tasks() <= INLINE_TASKS;
   }
 
-  /** All tasks that are recorded as done. */
+  /** Returns all tasks of the job that are recorded as completed. */
   public BitSet completedTasks(JobEntry job) {
     return completedTasks(job, entryLookup);
   }
 
-  /** All tasks that are recorded as done by what stands under the keys. */
+  /**
+   * Returns all tasks of the job that are recorded as completed, in the entry or in the values that
+   * {@code entryLookup} returns.
+   */
   public static BitSet completedTasks(JobEntry entry, Function<String, StoredValue> entryLookup) {
     BitSet done = BitSet.valueOf(entry.completionBits());
     if (isInline(entry.spec())) {
@@ -141,7 +149,7 @@
     }
   }
 
-  /** Whether the task is recorded as done. */
+  /** Returns whether the task is recorded as completed. */
   public boolean isRecordedCompleted(JobEntry entry, int task) {
     if (isBitSet(entry.completionBits(), task)) {
       return true;
@@ -169,28 +177,33 @@
     return index / 8 < bits.length && (bits[index / 8] >> (index % 8) & 1) != 0;
   }
 
-  /** Whether the job's entry stays within the value limit whatever becomes of the job. */
+  /**
+   * Returns whether the job's entry stays within the value limit at its largest possible size. A
+   * job that isn't inline is measured without bits, as in the compact layout.
+   */
   public boolean fitsAtLargest(JobEntry job) {
     int bits = isInline(job.spec()) ? job.spec().tasks() : 0;
     return encodedSize.applyAsInt(largestEntry(job, bits)) <= maxValueBytes;
   }
 
-  /** Whether the entry as it is stays within the value limit. */
+  /** Returns whether the entry in its present form is within the value limit. */
   public boolean fitsAsStored(JobEntry job) {
     return encodedSize.applyAsInt(job) <= maxValueBytes;
   }
 
-  /** Whether the compact layout is written for this job. */
+  /** Returns whether this job is written in the compact layout. */
   boolean usesCompactLayout(JobEntry job) {
     if (isInline(job.spec()) || !compactLayoutReadable.getAsBoolean()) {
       return false;
     }
-    // a chunk is smaller than the entry of a job that has chunks
+    // Chunks need no check: a chunk is smaller than the entry of a job that has chunks.
     int bits = Math.min(job.spec().tasks(), Constants.BITS_PER_CHUNK);
     return encodedSize.applyAsInt(largestEntry(job, bits)) > maxValueBytes;
   }
 
-  /** The entry with so many done bits and each number and name at its longest. */
+  /**
+   * Returns the entry with {@code bits} bits set and with the longest possible numbers and names.
+   */
   private JobEntry largestEntry(JobEntry job, int bits) {
     byte[] done = new byte[(bits + 7) / 8];
     Arrays.fill(done, (byte) 0xFF);
@@ -208,8 +221,10 @@
   }
 
   /**
-   * Whether bits stand where the present layout doesn't have them: in the entry of a job that is to
-   * be compact, or in pieces only while a controller may not read these.
+   * Returns whether bits are stored where the job's current layout doesn't hold them. This is the
+   * case if a job in the compact layout has bits in its entry. It is also the case if bits exist
+   * only in pieces although the job uses the first layout, because a controller may be unable to
+   * read pieces.
    */
   public boolean needsLayoutMigration(JobEntry job) {
     if (isInline(job.spec())) {
@@ -226,7 +241,7 @@
     return false;
   }
 
-  /** Whether a piece holds bits that the first layout doesn't. */
+  /** Returns whether a piece holds bits that are not set in the first layout. */
   private boolean pieceHasUnmergedBits(JobEntry job, int piece) {
     BitSet bits = BitSet.valueOf(storedBits(pieceKey(job.spec().id(), piece)));
     if (bits.isEmpty()) {
@@ -241,8 +256,9 @@
   }
 
   /**
-   * A change of the entry by somebody who knows of no new done tasks. The pieces that it must write
-   * for bits that leave the entry are compared, since its view of them may be older than the entry.
+   * Returns the write of a changed entry for a caller that has no newly completed tasks to record.
+   * If bits move from the entry to pieces, the write has conditions on the revisions of these
+   * pieces, because the caller's copies of the pieces may be older than the entry.
    */
   public Write writePreservingBits(JobEntry job, long modRevision) {
     if (!usesCompactLayout(job)) {
@@ -252,9 +268,12 @@
   }
 
   /**
-   * The leader's transaction that records completed tasks: {@code done} are all, {@code dirty} the
-   * pieces with bits that aren't recorded yet. If not all of those find room in one transaction the
-   * rest is for the next one, and the job's count and final state wait for it.
+   * Returns the job leader's write that records completed tasks. If one transaction can't hold all
+   * unrecorded pieces, the remaining ones are left to the next transaction, and the job's number of
+   * completed tasks and its outcome aren't changed before all pieces are recorded.
+   *
+   * @param done all completed tasks of the job
+   * @param unrecordedPieces the pieces with bits that aren't recorded yet
    */
   public Write writeRecordingCompletions(
       JobEntry stored, long modRevision, BitSet done, Collection<Integer> unrecordedPieces) {
@@ -263,7 +282,7 @@
         !stored.spec().isService()
             && completedCount == stored.spec().tasks()
             && !stored.isTerminal();
-    // the outcome of a finished job never changes
+    // The outcome of a finished job never changes.
     JobEntry job =
         stored.isTerminal()
             ? stored
@@ -293,7 +312,7 @@
         chunks.add(piece / PIECES_PER_CHUNK);
       }
     }
-    chunks.remove(0); // the entry itself
+    chunks.remove(0); // the job's entry holds chunk 0
     List<PutOperation> puts = new ArrayList<>();
     Set<Integer> written = new TreeSet<>();
     addPieces(written, 0);
@@ -329,7 +348,7 @@
       boolean comparePieces) {
     int maxPuts = maxTransactionOps - 1;
     Set<Integer> pieces = new TreeSet<>();
-    // the last ones first: what then stays in the entry is shorter
+    // Moves the last pieces first, so that the bits that remain in the entry are shorter.
     BitSet kept = BitSet.valueOf(stored.completionBits());
     while (!kept.isEmpty() && pieces.size() < maxPuts) {
       int last = pieceIndex(kept.length() - 1);
--- a/src/main/java/mallowstall/core/kv/ReplicaSync.java
+++ b/src/main/java/mallowstall/core/kv/ReplicaSync.java
@@ -12,11 +12,15 @@
 import mallowstall.core.model.MachineGroupMember;
 
 /**
- * Keeps the replica in step with the state service: lists all keys once, then watches for changes;
- * lists again if the watch's revision has been compacted away.
+ * Synchronizes the state replica with the state service. It lists all keys once and then watches
+ * for changes. If the state service has compacted the revision of the watch, it lists all keys
+ * again.
  */
 final class ReplicaSync {
-  /** ms. Pause between watches, so that a burst of changes doesn't spend the request budget. */
+  /**
+   * Pause between two watches, in milliseconds. It keeps a burst of changes from using up the
+   * request budget.
+   */
   private static final long WATCH_PAUSE_MS = 60;
 
   private final EventClock clock;
@@ -26,12 +30,15 @@
   private boolean synced;
   private boolean listing;
 
-  /** A listing whose pages are read, until the watch has passed the last of them; else null. */
+  /**
+   * The listing whose pages have all been read, until the watch has reached the revision of its
+   * last page; otherwise null.
+   */
   private Listing unfinishedListing;
 
   private long freshAtMs = Long.MIN_VALUE / 2;
 
-  /** A listing in progress. */
+  /** A listing of all keys, whose pages may have different revisions. */
   private static final class Listing {
     private final long startedMs;
     private final Set<String> keys = new HashSet<>();
@@ -42,7 +49,7 @@
     /** The revision of the first page, up to which the listing is complete. */
     private long revision;
 
-    /** The revision of the last page; the watch tells what has changed since the first. */
+    /** The revision of the last page. The watch returns the changes since the first page. */
     private long lastPageRevision;
 
     Listing(long startedMs) {
@@ -50,29 +57,32 @@
     }
   }
 
-  /** A replica that isn't synced before {@link #start}. */
+  /** Creates the synchronization of a replica, which isn't synced before {@link #start}. */
   ReplicaSync(EventClock clock, StateRequests requests, StateReplica replica) {
     this.clock = clock;
     this.requests = requests;
     this.replica = replica;
   }
 
-  /** The revision up to which the replica is complete; 0: it isn't. */
+  /** Returns the revision up to which the replica is complete, or 0 if it isn't complete. */
   long revision() {
     return synced && unfinishedListing == null ? revision : 0;
   }
 
-  /** Whether all keys have been listed and are being watched; see {@link #revision} too. */
+  /**
+   * Returns whether all keys have been listed and are being watched. The replica is complete only
+   * when {@link #revision} isn't 0.
+   */
   boolean synced() {
     return synced;
   }
 
-  /** Steady time in ms up to which the replica surely holds every change. */
+  /** Returns the steady time in milliseconds up to which the replica holds every change. */
   long freshAtMs() {
     return freshAtMs;
   }
 
-  /** Starts to list all keys, unless the replica is synced or is about to be. */
+  /** Starts a listing of all keys, unless the replica is synced or a listing is in progress. */
   void start() {
     if (synced || listing) {
       return;
@@ -118,9 +128,10 @@
   }
 
   /**
-   * The replica is complete once it holds what changed while the pages were read. A key that is on
-   * no page may have moved from a later page to one that was read before, as machines do that turn
-   * to another group: taken for deleted, a living machine would count as returned.
+   * Completes the listing once the replica holds all changes made while the pages were read. Before
+   * that, a key that is on no page must not be treated as deleted. The key may have moved from a
+   * later page to one that had already been read, which happens when a machine joins another group.
+   * A running machine would then be treated as returned.
    */
   private void finishListing() {
     Listing listed = unfinishedListing;
@@ -128,7 +139,7 @@
       return;
     }
     unfinishedListing = null;
-    // what was deleted while no watch ran
+    // These keys were deleted while no watch was active.
     replica.deleteUnlisted(listed.keys, listed.revision);
     freshAtMs = Math.max(freshAtMs, listed.startedMs);
   }
--- a/src/main/java/mallowstall/core/kv/RequestPriority.java
+++ b/src/main/java/mallowstall/core/kv/RequestPriority.java
@@ -1,16 +1,19 @@
 package mallowstall.core.kv;
 
-/** Priority of requests to the state service, the highest first: it is served first. */
+/** Priorities of requests to the state service, from the highest, which is sent first. */
 public enum RequestPriority {
-  /** This controller's own session; goes out even if a large transaction has overdrawn the rate. */
+  /**
+   * Requests for this controller's own session. They are sent even if a large transaction has
+   * overdrawn the rate.
+   */
   SESSION(-100, -100),
-  /** Requests that a user waits for. */
+  /** Requests on whose result a user waits. */
   USER(0, 0),
-  /** Leadership of machines and autoscaling. */
+  /** Requests for the leadership of machines and for autoscaling. */
   MACHINE(0, 0),
-  /** Leadership and completion of jobs, and quota. */
+  /** Requests for the leadership and completion of jobs, and for quota. */
   JOB(0, 0),
-  /** Work that may wait; leaves tokens for all the others. */
+  /** Requests that can wait. They leave tokens for all other priorities. */
   BACKGROUND(4, 3);
 
   private final double requestReserve;
@@ -21,12 +24,18 @@
     this.writeReserve = writeReserve;
   }
 
-  /** Requests that must stay in the budget for others; negative: it may be overdrawn so far. */
+  /**
+   * Returns the number of requests that must remain in the budget for others. If negative, the
+   * budget may be overdrawn by that number.
+   */
   double requestReserve() {
     return requestReserve;
   }
 
-  /** Writes that must stay in the budget for others; negative: it may be overdrawn so far. */
+  /**
+   * Returns the number of writes that must remain in the budget for others. If negative, the budget
+   * may be overdrawn by that number.
+   */
   double writeReserve() {
     return writeReserve;
   }
--- a/src/main/java/mallowstall/core/kv/RequestQueue.java
+++ b/src/main/java/mallowstall/core/kv/RequestQueue.java
@@ -9,27 +9,28 @@
 import mallowstall.core.model.CoreSettings;
 
 /**
- * Keeps this controller's requests to the state service within its share of the rates that all
- * controllers have together. What the share doesn't allow yet waits, by priority.
+ * Limits this controller's requests to the state service to its share of the rates that all
+ * controllers have together. Requests that exceed the share wait in one queue per priority.
  */
 final class RequestQueue {
   /**
-   * Count. Most operations waiting for the state service's budget; beyond it callers are rejected.
+   * Maximum number of requests that wait for the budget. Further requests are rejected, except
+   * those of the session.
    */
   private static final int STATE_QUEUE_MAX = 200;
 
-  /** s. Shortest Retry-After in a response. */
+  /** Minimum Retry-After in a response, in seconds. */
   private static final int RETRY_AFTER_MIN_S = 1;
 
-  /** s. Longest Retry-After in a response. */
+  /** Maximum Retry-After in a response, in seconds. */
   private static final int RETRY_AFTER_MAX_S = 20;
 
-  /** Queued requests for which a rejected user is asked to wait one second longer. */
+  /** Number of queued requests that add one second to Retry-After. */
   private static final int REQUESTS_PER_RETRY_S = 20;
 
   private static final RequestPriority[] PRIORITIES = RequestPriority.values();
 
-  /** A request that waits, and what it costs; a cost of 0 writes needs no write budget. */
+  /** A waiting request with its costs. A request with a write cost of 0 needs no write budget. */
   private record QueuedRequest(double requestCost, double writeCost, Runnable action) {}
 
   private final EventClock clock;
@@ -41,7 +42,10 @@
   /** The queues in the order of {@link RequestPriority}. */
   private final List<ArrayDeque<QueuedRequest>> queues = new ArrayList<>();
 
-  /** A queue that takes an equal share until it learns how many controllers live. */
+  /**
+   * Creates a queue with an equal share for each configured controller, which applies until {@link
+   * #setLiveControllers} is called.
+   */
   RequestQueue(EventClock clock, CoreSettings settings) {
     this.clock = clock;
     int controllers = settings.peers().size() + 1;
@@ -55,16 +59,16 @@
     }
   }
 
-  /** Sets the share to that of one among so many live controllers, at least 1. */
+  /** Sets the share for {@code liveControllers} live controllers. The number is at least 1. */
   void setLiveControllers(int liveControllers) {
     requestBucket.setRate(clock.now(), totalRequestsPerS / liveControllers);
     writeBucket.setRate(clock.now(), totalWritesPerS / liveControllers);
   }
 
   /**
-   * Sends the request as soon as the budget allows, perhaps before this returns.
+   * Sends the request as soon as the budget allows, possibly before this method returns.
    *
-   * @return false: the queue is full, and the request won't ever be sent
+   * @return false if the queue is full, in which case the request is never sent
    */
   boolean enqueue(RequestPriority priority, double requestCost, double writeCost, Runnable action) {
     if (priority != RequestPriority.SESSION && length() >= STATE_QUEUE_MAX) {
@@ -75,12 +79,12 @@
     return true;
   }
 
-  /** Charges one request that is sent at once, whatever the budget. */
+  /** Charges one request that the caller sends at once, even if it overdraws the budget. */
   void chargeRequest() {
     requestBucket.spend(clock.now(), 1);
   }
 
-  /** Sends what the budget allows, the highest priority first. */
+  /** Sends the waiting requests that the budget allows, the highest priority first. */
   void dispatch() {
     long now = clock.now();
     for (RequestPriority priority : PRIORITIES) {
@@ -112,7 +116,10 @@
     return total;
   }
 
-  /** Seconds after which a rejected user should try again, by the length of the queue. */
+  /**
+   * Returns the number of seconds after which a rejected user should retry. It grows with the
+   * number of waiting requests.
+   */
   int retryAfterS() {
     int seconds = RETRY_AFTER_MIN_S + length() / REQUESTS_PER_RETRY_S;
     return Math.min(RETRY_AFTER_MAX_S, seconds);
--- a/src/main/java/mallowstall/core/kv/SessionLease.java
+++ b/src/main/java/mallowstall/core/kv/SessionLease.java
@@ -20,17 +20,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This controller's session: an incarnation number, a lease, and an entry attached to that lease by
- * which the others see that this process lives. Obtains them in this order, one request at a time,
- * and renews the lease (source: protocol, Leases).
+ * Maintains this controller's session, which consists of an incarnation number, a lease, and a
+ * session entry attached to the lease. The entry shows the peers that this process is running. This
+ * class obtains the three in this order, with one request at a time, and renews the lease (source:
+ * protocol, Leases).
  */
 final class SessionLease {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.state");
 
-  /** ms. Between renewals of the session: four fit into a lease. */
+  /** Milliseconds between renewals of the session lease. Four renewals fit into a lease. */
   private static final long SESSION_RENEWAL_INTERVAL_MS = 1_200;
 
-  /** ms. A job leader stops starting tasks this long before its lease can end. */
+  /**
+   * Time, in milliseconds, before the earliest possible end of the lease at which a job leader
+   * stops starting tasks.
+   */
   private static final long SESSION_MARGIN_MS = 500;
 
   private final EventClock clock;
@@ -38,7 +42,7 @@
   private final StateRequests requests;
   private final String sessionKey;
   private final Runnable tick;
-  private final Runnable registered;
+  private final Runnable onRegistered;
 
   private long incarnation;
   private long leaseId;
@@ -49,39 +53,47 @@
   private long nextAttemptMs;
 
   /**
-   * {@code tick} is run when the next step can be taken at once, {@code registered} each time the
-   * session's entry has been written.
+   * Creates a session that sends no request before the first {@link #tick}.
+   *
+   * @param tick run when the next step is possible without delay
+   * @param onRegistered run each time the session entry has been written
    */
   SessionLease(
       EventClock clock,
       CoreSettings settings,
       StateRequests requests,
       Runnable tick,
-      Runnable registered) {
+      Runnable onRegistered) {
     this.clock = clock;
     this.settings = settings;
     this.requests = requests;
     this.sessionKey = StateKeys.session(settings.node());
     this.tick = tick;
-    this.registered = registered;
+    this.onRegistered = onRegistered;
   }
 
-  /** The number of this process among all of all controllers; 0: none was obtained yet. */
+  /**
+   * Returns the incarnation number of this process, which is unique among all processes of all
+   * controllers, or 0 if none has been obtained yet.
+   */
   long incarnation() {
     return incarnation;
   }
 
-  /** The lease of the session; 0: none. */
+  /** Returns the id of the session lease, or 0 if there is none. */
   long leaseId() {
     return leaseId;
   }
 
-  /** Milliseconds for which the session surely lasts; not positive: there is none. */
+  /**
+   * Returns the time in milliseconds for which the session is certain to last. If it is 0 or
+   * negative, there is no valid session.
+   */
   long remainingMs() {
     return sessionRegistered ? leaseValidUntilMs - clock.now() : -1;
   }
 
-  /** Takes the next step towards a session or its renewal, if one is due. */
+  /** Sends the next request that obtains or renews the session, if one is due. */
   void tick() {
     if (requestPending || clock.now() < nextAttemptMs) {
       return;
@@ -98,9 +110,10 @@
   }
 
   /**
-   * The replica shows another session of this node, or none ({@code null}). A change that a former
-   * process asked for may be executed late, replace this one's entry and expire with the former
-   * lease: without a new entry this process would renew a lease that holds nothing.
+   * Called when this controller's session entry in the replica has changed, or has been deleted
+   * ({@code null}). A write requested by a former process may be executed late, replace this
+   * process's entry and expire with the former process's lease. This process then writes its entry
+   * again, because otherwise it would renew a lease to which no key is attached.
    */
   void entryChanged(SessionEntry session) {
     if (!sessionRegistered || (session != null && session.incarnation() == incarnation)) {
@@ -115,7 +128,10 @@
     nextAttemptMs = clock.now() + Constants.STATE_RETRY_MS;
   }
 
-  /** Incarnations come from a counter that only grows, so no two processes share one. */
+  /**
+   * Obtains an incarnation number from a counter that only grows, so that no two processes share a
+   * number.
+   */
   private void obtainIncarnation() {
     requestPending = true;
     requests.read(
@@ -166,7 +182,11 @@
         });
   }
 
-  /** Counted from when the request was sent, less drift: the service can't end it earlier. */
+  /**
+   * Extends the time for which the lease is certain to last. The time counts from when the request
+   * was sent and is reduced by the clock drift, so that the state service can't end the lease
+   * earlier.
+   */
   private void extendLease(long sentMs) {
     lastRenewalMs = sentMs;
     leaseValidUntilMs =
@@ -177,7 +197,10 @@
                 - SESSION_MARGIN_MS);
   }
 
-  /** Compared with what was read, so that a write executed late replaces no later one. */
+  /**
+   * Reads the session entry and writes it on condition that it hasn't changed in between, so that a
+   * write that is executed late can't replace a later one.
+   */
   private void registerSession() {
     requestPending = true;
     requests.read(
@@ -204,10 +227,10 @@
     requests.transact(
         RequestPriority.SESSION,
         new Transaction(List.of(new Condition(sessionKey, modRevision)), puts, List.of()),
-        this::sessionPut);
+        this::handlePutResult);
   }
 
-  private void sessionPut(TransactionResult result) {
+  private void handlePutResult(TransactionResult result) {
     if (result.code() == ResultCode.LEASE_NOT_FOUND) {
       leaseId = 0;
     }
@@ -218,16 +241,16 @@
     requestPending = false;
     sessionRegistered = true;
     LOG.info("session registered incarnation={}", incarnation);
-    registered.run();
+    onRegistered.run();
   }
 
   private void renewLease() {
     requestPending = true;
     long sentMs = clock.now();
-    requests.renewLease(leaseId, result -> leaseRenewed(result, sentMs));
+    requests.renewLease(leaseId, result -> handleRenewalResult(result, sentMs));
   }
 
-  private void leaseRenewed(LeaseResult result, long sentMs) {
+  private void handleRenewalResult(LeaseResult result, long sentMs) {
     requestPending = false;
     if (result.code() == ResultCode.OK) {
       extendLease(sentMs);
--- a/src/main/java/mallowstall/core/kv/StateChangeDispatcher.java
+++ b/src/main/java/mallowstall/core/kv/StateChangeDispatcher.java
@@ -8,16 +8,19 @@
 import mallowstall.core.model.MachineEntry;
 import mallowstall.core.model.StoredEntry;
 
-/** Hands each change of the replica, typed, to the modules it concerns, in their fixed order. */
+/**
+ * Passes each change of the state replica, cast to its entry type, to the subscribers for that
+ * type, in a fixed order.
+ */
 public final class StateChangeDispatcher implements StateChangeListener {
-  /** Receives changes of jobs; their entries are never deleted. */
+  /** Receives changes of job entries, which are never deleted. */
   public interface JobSubscriber {
-    /** A job's entry has changed; {@code before} is null if it is new. */
+    /** Called when a job's entry has changed. {@code before} is null if the job is new. */
     void jobChanged(JobEntry before, JobEntry after);
   }
 
   private final List<JobSubscriber> jobSubscribers;
-  private final Consumer<String> completionBits;
+  private final Consumer<String> completionBitsChanged;
   private final BiConsumer<String, MachineEntry> machineChanged;
   private final List<Consumer<String>> machineRemoved;
   private final BiConsumer<String, MachineEntry> machineEntrySuperseded;
@@ -26,23 +29,23 @@
   private final LongConsumer synced;
 
   /**
-   * Subscribers are called in the order of their lists; {@code machineChanged} gets removals too,
-   * by a null record, before {@code machineRemoved}.
+   * Creates a dispatcher that calls subscribers in the order of their lists. When a machine is
+   * removed, {@code machineChanged} receives a null entry before {@code machineRemoved} is called.
    */
   public StateChangeDispatcher(
-      List<JobSubscriber> jobs,
-      Consumer<String> completionBits,
+      List<JobSubscriber> jobSubscribers,
+      Consumer<String> completionBitsChanged,
       BiConsumer<String, MachineEntry> machineChanged,
       List<Consumer<String>> machineRemoved,
-      BiConsumer<String, MachineEntry> machineOvertaken,
+      BiConsumer<String, MachineEntry> machineEntrySuperseded,
       Consumer<String> machineReturned,
       Runnable advanced,
       LongConsumer synced) {
-    this.jobSubscribers = jobs;
-    this.completionBits = completionBits;
+    this.jobSubscribers = jobSubscribers;
+    this.completionBitsChanged = completionBitsChanged;
     this.machineChanged = machineChanged;
     this.machineRemoved = machineRemoved;
-    this.machineEntrySuperseded = machineOvertaken;
+    this.machineEntrySuperseded = machineEntrySuperseded;
     this.machineReturned = machineReturned;
     this.advanced = advanced;
     this.synced = synced;
@@ -66,7 +69,7 @@
       }
     } else if (key.startsWith(StateKeys.COMPLETION_BITS_PREFIX)) {
       if (after != null) {
-        completionBits.accept(JobBitmaps.jobFromBitsKey(key));
+        completionBitsChanged.accept(JobBitmaps.jobFromBitsKey(key));
       }
     } else if (key.startsWith(StateKeys.MACHINE_PREFIX)) {
       machineChanged(StateKeys.machineOf(key), (MachineEntry) after);
--- a/src/main/java/mallowstall/core/kv/StateChangeListener.java
+++ b/src/main/java/mallowstall/core/kv/StateChangeListener.java
@@ -3,29 +3,36 @@
 import mallowstall.core.model.MachineEntry;
 import mallowstall.core.model.StoredEntry;
 
-/** Receives the changes of the replica, on the thread and within the event that brought them. */
+/**
+ * Receives the changes of the state replica. The methods are called on the event loop, within the
+ * event that applied the change.
+ */
 public interface StateChangeListener {
   /**
-   * A machine had this entry for a while, before the newer one that the replica holds already.
+   * Called when the replica receives an entry that a machine had before the newer entry that the
+   * replica already holds.
    *
    * @param machine the machine's id
    */
   void machineEntrySuperseded(String machine, MachineEntry entry);
 
   /**
-   * The machine's entry was deleted, which only follows its return to the cloud. The replica may
-   * hold a later entry, or may never have held one.
+   * Called when a machine's entry has been deleted, which happens only after the machine's return
+   * to the cloud. The replica may hold a later entry of the machine, or may never have held one.
    *
    * @param machine the machine's id
    */
   void machineReturned(String machine);
 
-  /** A key changed; {@code before} is null if it is new, {@code after} if it was deleted. */
+  /**
+   * Called when a key has changed. {@code before} is null if the key is new, and {@code after} is
+   * null if the key was deleted.
+   */
   void entryChanged(String key, StoredEntry before, StoredEntry after);
 
-  /** The watch was answered: the replica is known to be fresh up to a later time. */
+  /** Called when a watch has returned, so that the replica is up to date as of a later time. */
   void advanced();
 
-  /** The replica is complete after a listing, at this revision. */
+  /** Called when all keys have been listed. The listing is complete up to this revision. */
   void replicaSynced(long revision);
 }
--- a/src/main/java/mallowstall/core/kv/StateReplica.java
+++ b/src/main/java/mallowstall/core/kv/StateReplica.java
@@ -16,73 +16,83 @@
 import mallowstall.core.model.StoredEntry;
 
 /**
- * Local copy of all keys of the state service. Changes may come in any order, from the watch, from
- * listings and from this controller's own requests; the one of the highest revision wins.
+ * The state replica: a local copy of all keys of the state service. Changes arrive in any order,
+ * from the watch, from listings and from this controller's own requests. For each key, the change
+ * with the highest revision applies.
  */
 final class StateReplica {
-  /** Bounds the memory that tombstones take. */
+  /**
+   * Maximum number of tombstones, which bounds their memory. All are dropped when it is exceeded.
+   */
   private static final int TOMBSTONES_MAX = 20_000;
 
   private final String ownSessionKey;
   private final Consumer<SessionEntry> ownSessionChanged;
 
-  /** Set once, before the first event. */
+  /** The receiver of changes, set once before the first event. */
   private StateChangeListener listener;
 
   private final TreeMap<String, StoredValue> entries = new TreeMap<>();
 
   /**
-   * Jobs and machines by id. Looked up for every task on every machine: building the key and
-   * searching the ordered map took a quarter of all processor time.
+   * Jobs by id. Jobs and machines are looked up for every task on every machine, and building the
+   * key and searching the ordered map took a quarter of all processor time.
    */
   private final Object2ObjectOpenHashMap<String, JobEntry> jobs = new Object2ObjectOpenHashMap<>();
 
+  /** Machines by id, for the lookups described at {@link #jobs}. */
   private final Object2ObjectOpenHashMap<String, MachineEntry> machines =
       new Object2ObjectOpenHashMap<>();
 
-  /** Revisions of deletions, so that an older event or listing can't bring a key back. */
+  /** Revisions of deletions, by key, so that an older event or listing can't restore a key. */
   private final Object2ObjectOpenHashMap<String, Long> tombstones =
       new Object2ObjectOpenHashMap<>();
 
   /**
-   * Revisions of machines' own entries, by key. {@link #entries} holds for a machine the newest of
-   * its own entry and of the groups that name it.
+   * Revisions of machines' own entries, by key. For a machine, {@link #entries} holds the newest
+   * among its own entry and the entries of the groups that contain it.
    */
   private final Object2ObjectOpenHashMap<String, Long> machineEntryRevisions =
       new Object2ObjectOpenHashMap<>();
 
-  /** {@code ownSessionChanged} receives each change of that key, null if deleted, first of all. */
+  /**
+   * Creates an empty replica. {@code ownSessionChanged} receives each change of the key {@code
+   * ownSessionKey} before the listener does, or null if the key was deleted.
+   */
   StateReplica(String ownSessionKey, Consumer<SessionEntry> ownSessionChanged) {
     this.ownSessionKey = ownSessionKey;
     this.ownSessionChanged = ownSessionChanged;
   }
 
-  /** Sets the receiver of changes; called once, before the first event. */
+  /** Sets the receiver of changes. This method is called once, before the first event. */
   void subscribe(StateChangeListener subscriber) {
     listener = subscriber;
   }
 
-  /** The value of a key; null if it doesn't exist. */
+  /** Returns the value of a key, or null if the key doesn't exist. */
   StoredValue entry(String key) {
     return entries.get(key);
   }
 
-  /** All keys with this prefix, in their order; a live view. */
+  /** Returns a live view of all keys with this prefix, in key order. */
   SortedMap<String, StoredValue> entriesUnder(String prefix) {
     return entries.subMap(prefix, prefix + Character.MAX_VALUE);
   }
 
-  /** The entry of a job; null if none is known. */
+  /** Returns the entry of a job, or null if the replica has none. */
   JobEntry job(String id) {
     return jobs.get(id);
   }
 
-  /** The entry of a machine; null if it has none, or was returned. */
+  /** Returns the entry of a machine, or null if it has none or was returned to the cloud. */
   MachineEntry machine(String id) {
     return machines.get(id);
   }
 
-  /** The revision with which a write of the key is compared; 0: the key doesn't exist. */
+  /**
+   * Returns the revision to use in the condition of a write of the key, or 0 if the key doesn't
+   * exist.
+   */
   long modRevision(String key) {
     if (key.startsWith(StateKeys.MACHINE_PREFIX)) {
       return machineEntryRevisions.getOrDefault(key, 0L);
@@ -91,7 +101,10 @@
     return stored == null ? 0 : stored.modRevision();
   }
 
-  /** Whether a group names the machine: then deleting its own entry wouldn't remove it. */
+  /**
+   * Returns whether a group contains the machine. If so, deleting the machine's own entry doesn't
+   * remove the machine.
+   */
   boolean isInMachineGroup(String id) {
     for (StoredValue stored : entriesUnder(StateKeys.MACHINE_GROUP_PREFIX).values()) {
       for (MachineGroupMember member : ((MachineGroupEntry) stored.value()).machines()) {
@@ -103,7 +116,7 @@
     return false;
   }
 
-  /** Keys of groups of which every machine has a newer entry, or none any more. */
+  /** Returns the keys of groups in which every machine has a newer entry or no entry any more. */
   List<String> obsoleteGroups() {
     List<String> obsolete = new ArrayList<>();
     entriesUnder(StateKeys.MACHINE_GROUP_PREFIX)
@@ -126,7 +139,10 @@
     return true;
   }
 
-  /** Applies one change, which may be older than what is known; a null value deletes the key. */
+  /**
+   * Applies one change, which may be older than the value in the replica. A null value deletes the
+   * key.
+   */
   void apply(KeyValue change) {
     if (change.value() instanceof MachineGroupEntry group) {
       applyGroupMembers(group, change.modRevision());
@@ -221,7 +237,9 @@
     listener.entryChanged(key, before, after);
   }
 
-  /** Deletes all keys but these, as of a listing that was read at this revision. */
+  /**
+   * Deletes all keys that a listing at this revision doesn't contain, unless they changed later.
+   */
   void deleteUnlisted(Set<String> listedKeys, long listRevision) {
     for (String key : new ArrayList<>(entries.keySet())) {
       if (!listedKeys.contains(key) && entries.get(key).modRevision() <= listRevision) {
@@ -230,12 +248,12 @@
     }
   }
 
-  /** The watch was answered without a gap. */
+  /** Notifies the listener that a watch has returned without missing a change. */
   void notifyAdvanced() {
     listener.advanced();
   }
 
-  /** A listing is complete, at this revision. */
+  /** Notifies the listener that all keys have been listed, completely up to this revision. */
   void notifySynced(long revision) {
     listener.replicaSynced(revision);
   }
--- a/src/main/java/mallowstall/core/kv/StateRequests.java
+++ b/src/main/java/mallowstall/core/kv/StateRequests.java
@@ -15,11 +15,12 @@
 import mallowstall.core.kernel.WatchResult;
 
 /**
- * All requests of this controller to the state service. Each one is charged to the budget, shows
- * when the service was last reached, and what it brings goes into the replica.
+ * Sends all requests of this controller to the state service. Each request is charged to the
+ * budget, and each response updates the time of the last contact. Values that were read or
+ * committed are applied to the replica.
  *
- * <p>Transactions and reads wait for the budget; listings, watches and leases are sent at once,
- * since the replica and the session must not lapse.
+ * <p>Transactions and reads wait for the budget. Listings, watches and lease requests are sent at
+ * once, because the replica must not become stale and the session must not expire.
  */
 final class StateRequests {
   private final EventClock clock;
@@ -28,7 +29,7 @@
   private final StateReplica replica;
   private long lastContactMs = Long.MIN_VALUE / 2;
 
-  /** Requests that are paid from this queue's budget and update this replica. */
+  /** Creates an instance whose requests are charged to this queue and update this replica. */
   StateRequests(EventClock clock, Effects effects, RequestQueue queue, StateReplica replica) {
     this.clock = clock;
     this.effects = effects;
@@ -36,12 +37,15 @@
     this.replica = replica;
   }
 
-  /** Steady time in ms up to which the state service surely served this controller. */
+  /**
+   * Returns the latest steady time in milliseconds at which the state service is known to have
+   * served this controller.
+   */
   long lastContactMs() {
     return lastContactMs;
   }
 
-  /** See {@link StateStore#transact}. */
+  /** Requests a transaction; see {@link StateStore#transact}. */
   boolean transact(
       RequestPriority priority, Transaction transaction, Consumer<TransactionResult> callback) {
     double writeCost = transaction.puts().size() + transaction.deletes().size();
@@ -70,7 +74,7 @@
     }
   }
 
-  /** See {@link StateStore#read}. */
+  /** Reads a key; see {@link StateStore#read}. */
   boolean read(RequestPriority priority, String key, Consumer<GetResult> callback) {
     return queue.enqueue(
         priority,
@@ -88,7 +92,7 @@
                 }));
   }
 
-  /** Reads the page of keys after this one; null: the first page. */
+  /** Reads the page of keys after {@code afterKey}, or the first page if it is null. */
   void list(String afterKey, Consumer<ListResult> callback) {
     queue.chargeRequest();
     effects.list(
@@ -99,7 +103,7 @@
         });
   }
 
-  /** Waits for changes after this revision, for a limited time. */
+  /** Waits up to {@link Constants#WATCH_TIMEOUT_MS} for changes after this revision. */
   void watch(long afterRevision, Consumer<WatchResult> callback) {
     queue.chargeRequest();
     effects.watch(
@@ -111,7 +115,7 @@
         });
   }
 
-  /** Asks for a new lease for the session. */
+  /** Requests a new lease for the session. */
   void grantLease(Consumer<LeaseResult> callback) {
     long sentMs = clock.now();
     queue.chargeRequest();
@@ -123,7 +127,7 @@
         });
   }
 
-  /** Renews the lease of the session. */
+  /** Requests the renewal of the session lease. */
   void renewLease(long leaseId, Consumer<LeaseResult> callback) {
     long sentMs = clock.now();
     queue.chargeRequest();
--- a/src/main/java/mallowstall/core/kv/StateStore.java
+++ b/src/main/java/mallowstall/core/kv/StateStore.java
@@ -15,9 +15,9 @@
 import mallowstall.core.model.SessionEntry;
 
 /**
- * This controller's access to the state service, for the modules above: reads are answered from the
- * replica, writes are transactions. Wires the replica, its synchronization, the session and the
- * request queue. Not thread-safe; called within events only.
+ * This controller's access to the state service for the other modules. Reads return values of the
+ * state replica, and writes are transactions. This class connects the replica, its synchronization,
+ * the session and the request queue. It is not thread-safe and is called only within events.
  */
 public final class StateStore {
   private final int controllerCount;
@@ -27,7 +27,7 @@
   private final ReplicaSync sync;
   private final SessionLease session;
 
-  /** A store without a session; it sends nothing before the first {@link #tick}. */
+  /** Creates a store without a session. It sends no request before the first {@link #tick}. */
   public StateStore(EventClock clock, CoreSettings settings, Effects effects) {
     controllerCount = settings.peers().size() + 1;
     queue = new RequestQueue(clock, settings);
@@ -41,125 +41,154 @@
     session.entryChanged(entry);
   }
 
-  /** Sets the receiver of changes; called once, before the first event. */
+  /** Sets the receiver of changes. This method is called once, before the first event. */
   public void subscribe(StateChangeListener listener) {
     replica.subscribe(listener);
   }
 
-  /** Does periodic work: the session and the queued requests. */
+  /** Does the periodic work: obtains or renews the session and sends queued requests. */
   public void tick() {
     queue.setLiveControllers(liveControllers());
     session.tick();
     queue.dispatch();
   }
 
-  /** Only live ones share the rates: the machines of an expired controller come all at once. */
+  /**
+   * Returns the number of live controllers. Only these share the rates, because all machines of a
+   * controller whose session has expired move to the live controllers at once.
+   */
   private int liveControllers() {
     return sync.synced()
         ? Math.max(1, Math.min(controllerCount, entriesUnder(StateKeys.SESSION_PREFIX).size()))
         : controllerCount;
   }
 
-  /** The revision up to which the replica is complete; 0: it isn't. */
+  /** Returns the revision up to which the replica is complete, or 0 if it isn't complete. */
   public long revision() {
     return sync.revision();
   }
 
-  /** Whether all keys have been listed and are being watched; see {@link #revision} too. */
+  /**
+   * Returns whether all keys have been listed and are being watched. The replica is complete only
+   * when {@link #revision} isn't 0.
+   */
   public boolean synced() {
     return sync.synced();
   }
 
-  /** Steady time in ms up to which the replica surely holds every change. */
+  /** Returns the steady time in milliseconds up to which the replica holds every change. */
   public long freshAtMs() {
     return sync.freshAtMs();
   }
 
-  /** Steady time in ms up to which the state service surely served this controller. */
+  /**
+   * Returns the latest steady time in milliseconds at which the state service is known to have
+   * served this controller.
+   */
   public long lastContactMs() {
     return requests.lastContactMs();
   }
 
-  /** The value of a key with its revision; null if it doesn't exist. */
+  /** Returns the value of a key with its revision, or null if the key doesn't exist. */
   public StoredValue entry(String key) {
     return replica.entry(key);
   }
 
-  /** All keys with this prefix, in their order; a live view. */
+  /** Returns a live view of all keys with this prefix, in key order. */
   public SortedMap<String, StoredValue> entriesUnder(String prefix) {
     return replica.entriesUnder(prefix);
   }
 
-  /** The entry of a job; null if none is known. */
+  /** Returns the entry of a job, or null if the replica has none. */
   public JobEntry job(String id) {
     return replica.job(id);
   }
 
-  /** The entry of a machine; null if it has none, or was returned. */
+  /** Returns the entry of a machine, or null if it has none or was returned to the cloud. */
   public MachineEntry machine(String id) {
     return replica.machine(id);
   }
 
-  /** Whether the machine's entry that was written at this revision has been deleted since. */
+  /** Returns whether the machine's entry written at this revision has been deleted since. */
   public boolean returned(String machine, long entryRevision) {
     return machine(machine) == null && entryRevision <= revision();
   }
 
-  /** The revision with which a write of the key is compared; 0: the key doesn't exist. */
+  /**
+   * Returns the revision to use in the condition of a write of the key, or 0 if the key doesn't
+   * exist.
+   */
   public long modRevision(String key) {
     return replica.modRevision(key);
   }
 
-  /** Whether a group names the machine: then deleting its own entry wouldn't remove it. */
+  /**
+   * Returns whether a group contains the machine. If so, deleting the machine's own entry doesn't
+   * remove the machine.
+   */
   public boolean isInMachineGroup(String machine) {
     return replica.isInMachineGroup(machine);
   }
 
-  /** Keys of groups of which every machine has a newer entry, or none any more. */
+  /** Returns the keys of groups in which every machine has a newer entry or no entry any more. */
   public List<String> obsoleteGroups() {
     return replica.obsoleteGroups();
   }
 
-  /** Applies one change that did not come from the watch; it may be older than what is known. */
+  /**
+   * Applies one change that was not received by the watch. It may be older than the value in the
+   * replica.
+   */
   public void applyChange(KeyValue change) {
     replica.apply(change);
   }
 
-  /** Whether this process of a controller has a session, as far as the replica knows. */
+  /** Returns whether the replica holds a session of this incarnation of the controller. */
   public boolean isLive(String node, long incarnation) {
     StoredValue stored = replica.entry(StateKeys.session(node));
     return stored != null && ((SessionEntry) stored.value()).incarnation() == incarnation;
   }
 
-  /** The number of this process among all of all controllers; 0: none was obtained yet. */
+  /**
+   * Returns the incarnation number of this process, which is unique among all processes of all
+   * controllers, or 0 if none has been obtained yet.
+   */
   public long incarnation() {
     return session.incarnation();
   }
 
-  /** The lease of this process's session; 0: none. */
+  /** Returns the id of this process's session lease, or 0 if there is none. */
   public long leaseId() {
     return session.leaseId();
   }
 
-  /** Milliseconds for which this controller's session surely lasts; not positive: none. */
+  /**
+   * Returns the time in milliseconds for which this controller's session is certain to last. If it
+   * is 0 or negative, there is no valid session.
+   */
   public long sessionRemainingMs() {
     return session.remainingMs();
   }
 
-  /** Whether this controller's session surely lasts now. */
+  /** Returns whether this controller's session is certain to be valid now. */
   public boolean isSessionValid() {
     return sessionRemainingMs() > 0;
   }
 
-  /** Seconds after which a rejected user should try again, by the length of the queue. */
+  /**
+   * Returns the number of seconds after which a rejected user should retry. It grows with the
+   * number of waiting requests.
+   */
   public int retryAfterS() {
     return queue.retryAfterS();
   }
 
   /**
-   * Requests a transaction; a committed one is in the replica before {@code callback} is called.
+   * Requests a transaction. The replica holds the changes of a committed transaction before {@code
+   * callback} is called.
    *
-   * @return false: the queue is full, nothing was sent and {@code callback} won't be called
+   * @return false if the queue is full, in which case no request is sent and {@code callback} is
+   *     never called
    */
   public boolean transact(
       RequestPriority priority, Transaction transaction, Consumer<TransactionResult> callback) {
@@ -167,9 +196,11 @@
   }
 
   /**
-   * Reads a key at the state service; the replica has the value before {@code callback} is called.
+   * Reads a key from the state service. The replica holds the value before {@code callback} is
+   * called.
    *
-   * @return false: the queue is full, nothing was sent and {@code callback} won't be called
+   * @return false if the queue is full, in which case no request is sent and {@code callback} is
+   *     never called
    */
   public boolean read(RequestPriority priority, String key, Consumer<GetResult> callback) {
     return requests.read(priority, key, callback);
--- a/src/main/java/mallowstall/core/kv/StoredValue.java
+++ b/src/main/java/mallowstall/core/kv/StoredValue.java
@@ -3,7 +3,7 @@
 import mallowstall.core.model.StoredEntry;
 
 /**
- * A value of the replica.
+ * A value in the state replica.
  *
  * @param value the decoded value, never null
  * @param modRevision the revision of the change that wrote it
--- a/src/main/java/mallowstall/core/kv/ValueSize.java
+++ b/src/main/java/mallowstall/core/kv/ValueSize.java
@@ -3,13 +3,16 @@
 import java.util.List;
 import java.util.function.ToIntFunction;
 
-/** Lists cut so that the value which holds them stays within the state service's limit. */
+/** Shortens lists so that a value that holds them stays within the state service's value limit. */
 public final class ValueSize {
   private ValueSize() {}
 
   /**
-   * The first elements of the list, as many as fit: {@code size} measures the value with those it
-   * is given. At least one stays, since a value without any would tell nothing.
+   * Returns the first elements of the list, shortened until the value that holds them fits into
+   * {@code limitBytes}. At least one element remains, because a value without any holds no
+   * information.
+   *
+   * @param sizeBytes returns the size in bytes of the value with the elements passed to it
    */
   public static <T> List<T> longestFittingPrefix(
       List<T> elements, ToIntFunction<List<T>> sizeBytes, int limitBytes) {
