--- a/src/main/java/mallowstall/cli/CannedWorld.java
+++ b/src/main/java/mallowstall/cli/CannedWorld.java
@@ -7,11 +7,12 @@
 import mallowstall.net.HttpStatus;
 
 /**
- * Canned answers of the state service, the cloud and one worker, for {@link WarmUp}: an empty state
- * that takes every change, a cloud with one machine type, and a worker that rejects all commands.
+ * Canned responses of the state service, the cloud and one worker, which {@link WarmUp} uses. The
+ * state service is empty and accepts every change, the cloud has one machine type, and the worker
+ * rejects all commands.
  */
 final class CannedWorld implements Handler {
-  private static final String NO_KEYS = "{\"entries\":[],\"has_next\":false,\"tirada\":";
+  private static final String NO_ENTRIES = "{\"entries\":[],\"has_next\":false,\"tirada\":";
   private static final String MACHINE_TYPES =
       "{\"calibres\":[{\"label\":\"x\",\"vcpus\":8,\"gpus\":0,\"mem_gb\":32,\"local_gb\":9,"
           + "\"fetch_gb_per_s\":1.0,\"rate\":1.0,\"market_price\":0.3,\"ready_s\":9,\"patios\":[\"z\"]}]}";
@@ -32,7 +33,7 @@
     } else if (path.startsWith("/leases")) {
       answer(responder, HttpStatus.OK, "{\"permiso\":1}");
     } else if (path.startsWith("/keys?")) {
-      answer(responder, HttpStatus.OK, NO_KEYS + revision + "}");
+      answer(responder, HttpStatus.OK, NO_ENTRIES + revision + "}");
     } else if (path.startsWith("/keys/")) {
       answer(responder, HttpStatus.NOT_FOUND, "{\"tirada\":" + revision + "}");
     } else if (path.startsWith("/changes")) {
--- a/src/main/java/mallowstall/cli/CheckCommand.java
+++ b/src/main/java/mallowstall/cli/CheckCommand.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Checks a policy file; exits with 0 only if it can be used. */
+/** Checks a policy file. The exit code is 0 only if the policies can be used. */
 @Command(
     name = "check",
     description = "Check a policy file: every fault with file, line and column.",
@@ -34,7 +34,7 @@
     return 0;
   }
 
-  /** Prints all errors and warnings of a policy file to standard error, one a line. */
+  /** Prints each error and warning of a policy file as one line to standard error. */
   static void printDiagnostics(Policies policies, Path file) {
     for (PolicyDiagnostic diagnostic : policies.diagnostics()) {
       System.err.println(diagnostic.format(file.toString()));
--- a/src/main/java/mallowstall/cli/LibraryProperties.java
+++ b/src/main/java/mallowstall/cli/LibraryProperties.java
@@ -9,13 +9,14 @@
 
   private LibraryProperties() {}
 
-  /** Sets all of them; must come before the first logger is made. */
+  /** Sets the properties. This method must be called before the first logger is created. */
   static void set() {
     System.setProperty(LOG + "defaultLogLevel", "warn");
     System.setProperty(LOG + "log.mallowstall", logLevel(System.getenv("LOG_LEVEL")));
     System.setProperty(LOG + "showThreadName", "false");
     System.setProperty(LOG + "showShortLogName", "false");
-    // heap buffers without pools and leak tracking; no look-ups of hardware and processes at start
+    // Netty uses unpooled heap buffers without leak detection. Netty doesn't look up the hardware
+    // address and the process id at start, because both are given here.
     System.setProperty(NETTY + "noUnsafe", "true");
     System.setProperty(NETTY + "allocator.type", "unpooled");
     System.setProperty(NETTY + "leakDetection.level", "disabled");
@@ -23,7 +24,7 @@
     System.setProperty(NETTY + "processId", "1");
   }
 
-  /** The level of the service's own loggers: error, info or debug; anything else is info. */
+  /** Returns the level of the service's own loggers: error or debug if wanted, otherwise info. */
   static String logLevel(String wanted) {
     String level = wanted == null ? "info" : wanted.toLowerCase(Locale.ROOT);
     return level.equals("error") || level.equals("debug") ? level : "info";
--- a/src/main/java/mallowstall/cli/Main.java
+++ b/src/main/java/mallowstall/cli/Main.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The entry point and the root of the command line, which serves. */
+/** The entry point and the root command, which starts a controller. */
 @Command(
     name = "mallowstall",
     description = "A cluster scheduler with several controllers.",
@@ -23,8 +23,8 @@
   private static final String CONFIG = "--config";
 
   /**
-   * In place of an exit code: the controller serves, on a thread that keeps the process alive until
-   * it is killed.
+   * Returned in place of an exit code if the controller serves. A thread of the controller keeps
+   * the process alive until the process is killed.
    */
   private static final int SERVING = -1;
 
@@ -37,7 +37,7 @@
       description = "Use these policies instead of the bundled ones.")
   private Path policies;
 
-  /** Runs the command line; returns while the controller serves, exits otherwise. */
+  /** Runs the command line. Returns if the controller serves, and exits the process otherwise. */
   public static void main(String[] args) throws Exception {
     LibraryProperties.set();
     int code = isPlainServe(args) ? serve(Path.of(args[1]), null) : execute(args);
@@ -51,9 +51,9 @@
   }
 
   /**
-   * Whether the arguments are those of the deploy file and nothing else. They need no parser, and
-   * picocli, whose old class files no class archive takes, was a third of the processor time from
-   * exec to serving.
+   * Returns whether the arguments are exactly those of the deploy file. The controller starts
+   * without picocli in this case, because picocli used a third of the processor time from exec to
+   * serving: a class archive can't hold the old class files of picocli.
    */
   static boolean isPlainServe(String[] args) {
     return args.length == 2 && args[0].equals(CONFIG) && !args[1].startsWith("-");
@@ -73,8 +73,8 @@
    * Starts a controller.
    *
    * @param config the settings file
-   * @param policyFile the policies; null: the bundled ones
-   * @return {@link #SERVING}, or an exit code if it can't serve
+   * @param policyFile the policy file, or null for the bundled policies
+   * @return {@link #SERVING}, or an exit code if the controller can't serve
    */
   private static int serve(Path config, Path policyFile) throws InterruptedException {
     Settings settings;
--- a/src/main/java/mallowstall/cli/VersionProvider.java
+++ b/src/main/java/mallowstall/cli/VersionProvider.java
@@ -2,7 +2,7 @@
 
 import picocli.CommandLine.IVersionProvider;
 
-/** The version that the package was built with. */
+/** Provides the version in the manifest of the jar, or {@code (unpackaged)} if there is none. */
 final class VersionProvider implements IVersionProvider {
   @Override
   public String[] getVersion() {
--- a/src/main/java/mallowstall/cli/WarmUp.java
+++ b/src/main/java/mallowstall/cli/WarmUp.java
@@ -18,8 +18,9 @@
 import picocli.CommandLine.Command;
 
 /**
- * Serves for a moment on loopback against canned responses and ends. The build runs it so that the
- * class archive holds what serving loads: on a small share of a core loading classes is most of a
+ * Starts a controller on loopback against canned responses, sends it requests for a short time and
+ * stops it. The build runs this command so that the class archive holds the classes that a serving
+ * controller loads: on a small share of a core, loading classes takes most of the time of a
  * restart.
  */
 @Command(name = "warm-up", hidden = true, description = "Serve for a moment on loopback.")
@@ -33,49 +34,52 @@
   private static final int REQUESTS_PER_REPETITION = 4;
   private static final long REPETITION_MS = 150;
   private static final long REQUEST_TIMEOUT_MS = 2_000;
-  private static final long ANSWERS_S = 5;
-  private static final int WORLD_CONNECTIONS = 50;
+  private static final long ANSWER_TIMEOUT_S = 5;
+  private static final int BACKEND_CONNECTIONS = 50;
   private static final int USER_CONNECTIONS = 2;
 
   @Override
   public Integer call() throws Exception {
     NioEventLoopGroup group = new NioEventLoopGroup(1);
-    HttpServer world = new HttpServer(new CannedWorld(), WORLD_CONNECTIONS);
+    HttpServer backends = new HttpServer(new CannedWorld(), BACKEND_CONNECTIONS);
     try {
-      InetSocketAddress bound = world.listen(group, new InetSocketAddress("127.0.0.1", 0)).join();
+      InetSocketAddress bound =
+          backends.listen(group, new InetSocketAddress("127.0.0.1", 0)).join();
       return serve(group, "127.0.0.1:" + bound.getPort()) ? 0 : 1;
     } finally {
-      world.close();
+      backends.close();
       group.shutdownGracefully(0, 200, TimeUnit.MILLISECONDS);
     }
   }
 
-  /** Whether all requests to a controller in this world were answered. */
-  private static boolean serve(NioEventLoopGroup group, String worldAddress) throws Exception {
-    Controller controller = new Controller(loadSettings(worldAddress), Policies.bundled());
+  /** Returns whether a controller that uses the canned responses answered all requests. */
+  private static boolean serve(NioEventLoopGroup group, String backendAddress) throws Exception {
+    Controller controller = new Controller(loadSettings(backendAddress), Policies.bundled());
     controller.start();
     try {
       HttpClient user = new HttpClient(group.next(), controller.address().join(), USER_CONNECTIONS);
       CountDownLatch unanswered = new CountDownLatch(REPETITIONS * REQUESTS_PER_REPETITION);
       for (int repetition = 1; repetition <= REPETITIONS; repetition++) {
-        String heartbeat = heartbeat(worldAddress, repetition);
+        String heartbeat = heartbeat(backendAddress, repetition);
         send(group, user, HttpMethod.GET, "/ready", null, unanswered);
         send(group, user, HttpMethod.POST, "/hello", heartbeat, unanswered);
         send(group, user, HttpMethod.POST, "/submissions", JOB, unanswered);
         send(group, user, HttpMethod.GET, "/submissions/wk-000001", null, unanswered);
         Thread.sleep(REPETITION_MS);
       }
-      return unanswered.await(ANSWERS_S, TimeUnit.SECONDS);
+      return unanswered.await(ANSWER_TIMEOUT_S, TimeUnit.SECONDS);
     } finally {
       controller.stop();
     }
   }
 
-  /** Through a file, as when serving: reading one loads classes too. */
-  private static Settings loadSettings(String worldAddress) throws IOException, Settings.Invalid {
+  /**
+   * Loads the settings from a file as a serving controller does: reading files loads classes too.
+   */
+  private static Settings loadSettings(String backendAddress) throws IOException, Settings.Invalid {
     Path file = Files.createTempFile("mallowstall-warm-up", ".json");
     try {
-      Files.writeString(file, settings(worldAddress));
+      Files.writeString(file, settings(backendAddress));
       return Settings.load(file);
     } finally {
       Files.delete(file);
@@ -98,7 +102,7 @@
                     method, path, bytes, REQUEST_TIMEOUT_MS, reply -> unanswered.countDown()));
   }
 
-  private static String settings(String worldAddress) {
+  private static String settings(String backendAddress) {
     return """
         {"node":"n0","location":"z","listen":"127.0.0.1:0","peer_bind":"127.0.0.1:0",
          "known":[{"node":"n1","location":"z","addr":"127.0.0.1:1"}],
@@ -108,10 +112,10 @@
           "state":{"rps":150,"write_rps":60,"value_kb":8,"txn_ops":24},
           "cloud":{"rps":1.5,"list_lag_s":10},"skew_ms":25}}
         """
-        .formatted(worldAddress);
+        .formatted(backendAddress);
   }
 
-  /** A heartbeat of the one worker; the job's task has ended in the later repetitions. */
+  /** Returns a heartbeat of the only worker. The job's task has ended in the later repetitions. */
   private static String heartbeat(String address, int repetition) {
     int token = repetition > 2 ? 1 : 0;
     String tasks =
--- a/src/main/java/mallowstall/config/Settings.java
+++ b/src/main/java/mallowstall/config/Settings.java
@@ -9,9 +9,9 @@
 import mallowstall.json.WrongTypeException;
 
 /**
- * The platform's settings file (protocol, Settings), checked. Unknown fields are ignored; optional
- * ones that are absent are null. Suffixes name the units: seconds (S), milliseconds (Ms), KiB (Kb),
- * MiB (Mb).
+ * The checked content of the platform's settings file (protocol, Settings). Unknown fields are
+ * ignored. Optional fields that are absent are null. Suffixes name the units: seconds (S),
+ * milliseconds (Ms), KiB (Kb), MiB (Mb).
  */
 public record Settings(
     String node,
@@ -22,24 +22,24 @@
     Endpoints endpoints,
     Facts facts) {
 
-  /** Another controller and where it listens for its peers. */
+  /** Another controller and the address at which it listens for its peers. */
   public record Peer(String node, String zone, String addr) {}
 
-  /** Where the cloud and the state service are. */
+  /** The addresses of the cloud and the state service. */
   public record Endpoints(String cloud, String state) {}
 
-  /** A team's guaranteed share and quota; 0 is none. */
+  /** A team's guaranteed share and its quota (the maximum); 0 means none. */
   public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
 
-  /** A service level objective of the operators for a class of jobs. */
+  /** A service level objective that the operators set for a class of jobs. */
   public record Objective(String kind, String jobClass, Double times) {}
 
-  /** The interval of workers' heartbeats, and how long their leases and cancellations last. */
+  /** The interval of workers' heartbeats, and the duration of worker leases and cancellations. */
   public record Workers(Double reportS, Double leaseS, Double cancelS) {}
 
-  /** Limits of the state service. */
+  /** Current limits of the state service; {@code next} is null if no later limits are known. */
   public record State(Double rps, Double writeRps, Double valueKb, Integer txnOps, NextState next) {
-    /** These limits, field by field the smaller ones of now and of later. */
+    /** Returns for each field the smaller one of the current and the later limit. */
     public State lowest() {
       if (next == null) {
         return this;
@@ -58,18 +58,18 @@
   }
 
   /**
-   * Limits that the state service will have from some moment on, without notice; those absent stay
-   * as they are.
+   * Limits that apply to the state service at a later time. The state service changes to them
+   * without notice. A limit that is absent doesn't change.
    */
   public record NextState(Double rps, Double writeRps, Double valueKb, Integer txnOps) {}
 
   /** Limits of the cloud. */
   public record Cloud(Double rps, Double listLagS) {}
 
-  /** Limits of the machine that the controller runs on. */
+  /** Limits of the machine on which the controller runs. */
   public record Limits(Integer maxConnections, Double memoryMb) {}
 
-  /** What all controllers of the deployment share. */
+  /** Settings that all controllers of the deployment share. */
   public record Facts(
       List<Team> teams,
       List<Objective> objectives,
@@ -79,7 +79,7 @@
       Limits limits,
       Double skewMs) {}
 
-  /** Settings that can't be used; the message names the field and what was expected. */
+  /** Thrown if settings can't be used. The message names the field and what was expected. */
   public static final class Invalid extends Exception {
     private static final long serialVersionUID = 1;
 
@@ -92,7 +92,7 @@
     }
   }
 
-  /** Reads a settings file. */
+  /** Reads and checks a settings file. */
   public static Settings load(Path file) throws Invalid {
     byte[] json;
     try {
@@ -103,7 +103,7 @@
     return parse(json);
   }
 
-  /** Reads settings from JSON. */
+  /** Reads and checks settings in JSON. */
   public static Settings parse(byte[] json) throws Invalid {
     Settings settings;
     try {
--- a/src/main/java/mallowstall/config/SettingsReader.java
+++ b/src/main/java/mallowstall/config/SettingsReader.java
@@ -4,11 +4,13 @@
 import java.util.List;
 import mallowstall.json.JsonReader;
 
-/** Reads the parts of a settings file; each is null where the file has none. */
+/**
+ * Reads the parts of a settings file without checks. Parts that are absent from the file are null.
+ */
 final class SettingsReader {
   private SettingsReader() {}
 
-  /** Reads a settings file, unchecked; null: it is null. */
+  /** Reads a settings file without checks. Returns null if the file holds the JSON value null. */
   static Settings settings(JsonReader in) throws IOException {
     if (!in.enterObjectIfPresent()) {
       return null;
@@ -180,14 +182,14 @@
     return new Settings.NextState(limits.rps, limits.writeRps, limits.valueKb, limits.txnOps);
   }
 
-  /** The limits of the state service that hold now or later; null where the file has none. */
+  /** The current or the later limits of the state service. Limits that the file lacks are null. */
   private static final class StateLimits {
     private Double rps;
     private Double writeRps;
     private Double valueKb;
     private Integer txnOps;
 
-    /** Reads the field at which the reader stands, or skips it. */
+    /** Reads the current field of the reader, or skips it if it isn't a limit. */
     void read(JsonReader in) throws IOException {
       switch (in.field()) {
         case "rps" -> rps = in.doubleOrNull();
--- a/src/main/java/mallowstall/config/SettingsValidator.java
+++ b/src/main/java/mallowstall/config/SettingsValidator.java
@@ -5,11 +5,11 @@
 import mallowstall.config.Settings.Invalid;
 import mallowstall.net.SocketAddresses;
 
-/** Checks settings; each error names the field and what was expected. */
+/** Checks settings. Each error names the field and what was expected. */
 final class SettingsValidator {
   /**
-   * MB. Least memory of a controller's machine (docs/operations.md): a process that reaches its
-   * machine's limit is killed in the middle of whatever it does.
+   * Minimum memory of a controller's machine in MB (docs/operations.md). A process that reaches the
+   * limit of its machine is killed even in the middle of an operation.
    */
   private static final int MEMORY_MIN_MB = 100;
 
--- a/src/main/java/mallowstall/config/package-info.java
+++ b/src/main/java/mallowstall/config/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The settings file: its fields, reader and checks. Errors name the field and what was expected.
+ * The settings file: its fields, its reader and its checks. Each error names the field and what was
+ * expected.
  */
 package mallowstall.config;
--- a/src/main/java/mallowstall/policy/CompiledPolicy.java
+++ b/src/main/java/mallowstall/policy/CompiledPolicy.java
@@ -8,15 +8,15 @@
 import mallowstall.policy.Expression.BooleanExpression;
 import mallowstall.policy.Expression.NumberExpression;
 
-/** The policy of one class of jobs. Immutable. */
+/** The compiled policy of one class of jobs. Instances are immutable. */
 record CompiledPolicy(String name, List<Policy.Block> blocks) implements Policy {
   /**
-   * A block whose expressions are compiled.
+   * A block of a policy with its expressions compiled.
    *
-   * @param offered machines that the block offers
-   * @param excluded machines that it leaves out all the same
-   * @param strategy how the rest is ordered
-   * @param order what it is ordered by; not read by the strategy random
+   * @param offered condition that holds for the machines that the block offers
+   * @param excluded condition that holds for offered machines that the block leaves out
+   * @param strategy how the remaining machines are ordered
+   * @param order score by which the machines are ordered; the strategy random ignores it
    */
   record CompiledBlock(
       BooleanExpression offered,
@@ -34,7 +34,10 @@
       return excluded.value().test(facts);
     }
 
-    /** The score; that of a machine without one (0 divided by 0) is the largest number. */
+    /**
+     * Returns the score of the machine. A score that is not a number (0 divided by 0) is replaced
+     * by the largest number.
+     */
     @Override
     public double score(Facts facts) {
       double score = order.value().applyAsDouble(facts);
--- a/src/main/java/mallowstall/policy/Diagnostics.java
+++ b/src/main/java/mallowstall/policy/Diagnostics.java
@@ -3,7 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Collects what lexer and parser find in one policy file. Not thread-safe. */
+/**
+ * Collects the errors and warnings that the lexer and the parser find in one policy file. Not
+ * thread-safe.
+ */
 final class Diagnostics {
   private final List<PolicyDiagnostic> found = new ArrayList<>();
 
@@ -12,7 +15,10 @@
     found.add(diagnostic);
   }
 
-  /** All diagnostics by line and column; those of one place in the order in which they came. */
+  /**
+   * Returns all diagnostics ordered by line and column. Diagnostics at one position keep the order
+   * in which they were added.
+   */
   List<PolicyDiagnostic> inTextOrder() {
     found.sort((a, b) -> a.line() != b.line() ? a.line() - b.line() : a.column() - b.column());
     return List.copyOf(found);
--- a/src/main/java/mallowstall/policy/Expression.java
+++ b/src/main/java/mallowstall/policy/Expression.java
@@ -5,17 +5,18 @@
 import mallowstall.core.placement.Policy.Facts;
 
 /**
- * A typed expression, compiled to closures over {@link Facts}. It holds no loops and no recursion,
- * so it ends; it works on doubles and booleans, so evaluation neither throws nor allocates.
+ * A typed expression that is compiled to closures over {@link Facts}. An expression contains no
+ * loops and no recursion, so its evaluation always ends. It works on doubles and booleans, so its
+ * evaluation neither throws nor allocates.
  */
 sealed interface Expression {
-  /** Type and unit of the value. */
+  /** Returns the type of the value, which includes its unit. */
   ValueType type();
 
-  /** Whether no fact is read, so that the value is the same everywhere. */
+  /** Returns whether the expression reads no fact, so that its value never changes. */
   boolean constant();
 
-  /** An expression that is true or false. */
+  /** An expression whose value is true or false. */
   record BooleanExpression(Predicate<Facts> value, boolean constant) implements Expression {
     @Override
     public ValueType type() {
@@ -23,11 +24,11 @@
     }
   }
 
-  /** An expression that is a number of some unit. */
+  /** An expression whose value is a number, with or without a unit. */
   record NumberExpression(ValueType type, ToDoubleFunction<Facts> value, boolean constant)
       implements Expression {}
 
-  /** An expression that is a text. */
+  /** An expression whose value is a text. */
   record TextExpression(TextFunction value, boolean constant) implements Expression {
     @Override
     public ValueType type() {
@@ -37,36 +38,36 @@
 
   /** Reads a text from the facts. */
   interface TextFunction {
-    /** The text; null when the fact is unknown. */
+    /** Returns the text, or null if the fact is unknown. */
     String apply(Facts facts);
   }
 
-  /** A condition that reads facts. */
+  /** Returns a condition that reads facts. */
   static Expression fact(Predicate<Facts> value) {
     return new BooleanExpression(value, false);
   }
 
-  /** A number that reads facts. */
+  /** Returns a numeric expression that reads facts. */
   static Expression fact(ValueType type, ToDoubleFunction<Facts> value) {
     return new NumberExpression(type, value, false);
   }
 
-  /** A text that reads facts. */
+  /** Returns a text expression that reads facts. */
   static Expression textFact(TextFunction value) {
     return new TextExpression(value, false);
   }
 
-  /** A condition that is always true or always false. */
+  /** Returns a condition that is always true or always false. */
   static BooleanExpression literal(boolean value) {
     return new BooleanExpression(facts -> value, true);
   }
 
-  /** A number that is always the same. */
+  /** Returns a numeric expression with a constant value. */
   static NumberExpression literal(ValueType type, double value) {
     return new NumberExpression(type, facts -> value, true);
   }
 
-  /** A text that is always the same. */
+  /** Returns a text expression with a constant value. */
   static TextExpression literal(String value) {
     return new TextExpression(facts -> value, true);
   }
--- a/src/main/java/mallowstall/policy/ExpressionParser.java
+++ b/src/main/java/mallowstall/policy/ExpressionParser.java
@@ -14,27 +14,30 @@
 import mallowstall.policy.Token.Kind;
 
 /**
- * Parses and type-checks expressions by recursive descent, one method per rule of the grammar
- * (docs/policies.md). Not thread-safe.
+ * Parses and type-checks expressions by recursive descent, with one method for each rule of the
+ * grammar (docs/policies.md). Not thread-safe.
  */
 final class ExpressionParser {
-  /** Count. Deepest nesting of one expression: bounds the parser's own stack. */
+  /** Maximum nesting depth of one expression. The limit bounds the parser's own stack. */
   private static final int MAX_DEPTH = 60;
 
   private final TokenStream tokens;
   private final Diagnostics diagnostics;
   private int depth;
 
-  /** Reads from these tokens; warnings go to {@code diagnostics}, errors are thrown. */
+  /**
+   * Creates a parser that reads from {@code tokens}. The parser adds warnings to {@code
+   * diagnostics} and throws errors.
+   */
   ExpressionParser(TokenStream tokens, Diagnostics diagnostics) {
     this.tokens = tokens;
     this.diagnostics = diagnostics;
   }
 
   /**
-   * Takes one whole expression.
+   * Parses one whole expression.
    *
-   * @throws PolicySyntaxException at the first token that can't be accepted
+   * @throws PolicySyntaxException at the first token with a syntax error or a type error
    */
   Expression parse() throws PolicySyntaxException {
     depth = 0;
@@ -42,20 +45,20 @@
   }
 
   /**
-   * The expression as a condition.
+   * Returns the expression as a condition.
    *
-   * @param start its first token, at which an error is reported
-   * @param user what needs a condition, as the error names it
-   * @throws PolicySyntaxException if it is of another type
+   * @param start first token of the expression, at which an error is reported
+   * @param construct keyword or property that requires a condition, as the error names it
+   * @throws PolicySyntaxException if the expression isn't a condition
    */
-  static BooleanExpression requireBoolean(Token start, Expression expression, String user)
+  static BooleanExpression requireBoolean(Token start, Expression expression, String construct)
       throws PolicySyntaxException {
     if (expression instanceof BooleanExpression condition) {
       return condition;
     }
     throw new PolicySyntaxException(
         start,
-        user
+        construct
             + " needs "
             + ValueType.BOOLEAN.description()
             + " but this is "
@@ -68,7 +71,7 @@
     }
   }
 
-  /** {@code expr} at one level deeper. */
+  /** Parses an {@code expr} that is nested one level deeper. */
   private Expression nested() throws PolicySyntaxException {
     enter(tokens.peek());
     Expression expression = disjunction();
@@ -112,9 +115,10 @@
   }
 
   /**
-   * One comparison, or a value alone.
+   * Parses one comparison, or a value without a comparison operator.
    *
-   * @param requiredTexts what texts must equal within the conjunction, to find contradictions
+   * @param requiredTexts the text that each name must equal within the conjunction; it is used to
+   *     find contradictions
    */
   private Expression comparison(Map<String, String> requiredTexts) throws PolicySyntaxException {
     Token start = tokens.peek();
@@ -171,7 +175,10 @@
     return new BooleanExpression(facts -> !condition.test(facts), negated.constant());
   }
 
-  /** Equality of two conditions or two texts; both operands are of one type. */
+  /**
+   * Returns the comparison of two conditions or two texts of one type: for equality if {@code
+   * equal} is true, otherwise for inequality.
+   */
   private static Expression equality(Expression left, Expression right, boolean equal) {
     boolean constant = left.constant() && right.constant();
     if (left instanceof BooleanExpression first && right instanceof BooleanExpression second) {
@@ -212,13 +219,13 @@
           && a.type().isArithmetic()) {
         left = combine(a.type(), a, b, operator.is("+") ? (x, y) -> x + y : (x, y) -> x - y);
       } else {
-        throw cannotJoin(operator, left, right);
+        throw incompatibleOperands(operator, left, right);
       }
     }
     return left;
   }
 
-  private static PolicySyntaxException cannotJoin(
+  private static PolicySyntaxException incompatibleOperands(
       Token operator, Expression left, Expression right) {
     return new PolicySyntaxException(
         operator,
@@ -244,10 +251,10 @@
   }
 
   private Expression product() throws PolicySyntaxException {
-    Expression left = unit();
+    Expression left = factor();
     while (tokens.peek().is("*") || tokens.peek().is("/")) {
       Token operator = tokens.next();
-      Expression right = unit();
+      Expression right = factor();
       if (left instanceof NumberExpression a
           && right instanceof NumberExpression b
           && a.type().isArithmetic()
@@ -255,13 +262,16 @@
         ValueType type = productType(operator, a, b);
         left = combine(type, a, b, operator.is("*") ? (x, y) -> x * y : (x, y) -> x / y);
       } else {
-        throw cannotJoin(operator, left, right);
+        throw incompatibleOperands(operator, left, right);
       }
     }
     return left;
   }
 
-  /** A unit stays when scaled by a plain number; like divided by like is a plain number. */
+  /**
+   * Returns the type of a product or a quotient. A value keeps its unit when it is multiplied or
+   * divided by a plain number. The quotient of two values of one unit is a plain number.
+   */
   private static ValueType productType(
       Token operator, NumberExpression left, NumberExpression right) throws PolicySyntaxException {
     if (right.type() == ValueType.NUMBER) {
@@ -273,10 +283,10 @@
     if (operator.is("/") && left.type() == right.type()) {
       return ValueType.NUMBER;
     }
-    throw cannotJoin(operator, left, right);
+    throw incompatibleOperands(operator, left, right);
   }
 
-  private Expression unit() throws PolicySyntaxException {
+  private Expression factor() throws PolicySyntaxException {
     Token token = tokens.next();
     if (token.is("(")) {
       Expression inner = nested();
@@ -297,7 +307,7 @@
 
   private Expression minus(Token sign) throws PolicySyntaxException {
     enter(sign);
-    Expression operand = unit();
+    Expression operand = factor();
     depth--;
     if (operand instanceof NumberExpression number && number.type().isArithmetic()) {
       ToDoubleFunction<Facts> value = number.value();
@@ -357,7 +367,7 @@
     return combine(operands.first.type(), operands.first, operands.second, operator);
   }
 
-  /** The last two arguments of a function, which are numbers of one type. */
+  /** The last two arguments of a function. Both are numbers of one type. */
   private record NumberPair(NumberExpression first, NumberExpression second) {}
 
   private NumberPair numberPair(Token function) throws PolicySyntaxException {
--- a/src/main/java/mallowstall/policy/Lexer.java
+++ b/src/main/java/mallowstall/policy/Lexer.java
@@ -7,7 +7,7 @@
 import mallowstall.policy.PolicyDiagnostic.Severity;
 import mallowstall.policy.Token.Kind;
 
-/** Splits the text of a policy file into tokens. Comments and white space are left out. */
+/** Splits the text of a policy file into tokens. The lexer skips comments and white space. */
 final class Lexer {
   private static final String SIGNS = "{}():,<>=!+-*/";
   private static final Set<String> TWO_CHARACTER_SIGNS = Set.of("<=", ">=", "==", "!=");
@@ -24,7 +24,10 @@
     this.diagnostics = diagnostics;
   }
 
-  /** The tokens of the text, the last one for its end; characters that form none are errors. */
+  /**
+   * Returns the tokens of the text, followed by one token for its end. Characters that form no
+   * token are added to {@code diagnostics} as errors.
+   */
   static List<Token> split(String text, Diagnostics diagnostics) {
     Lexer lexer = new Lexer(text, diagnostics);
     while (lexer.position < text.length()) {
@@ -68,7 +71,7 @@
     }
   }
 
-  /** Takes the characters for which the condition holds, up to the first other one. */
+  /** Consumes and returns the characters up to the first one that doesn't match the condition. */
   private String takeWhile(IntPredicate condition) {
     int start = position;
     while (position < text.length() && condition.test(text.charAt(position))) {
--- a/src/main/java/mallowstall/policy/Policies.java
+++ b/src/main/java/mallowstall/policy/Policies.java
@@ -11,11 +11,11 @@
 import mallowstall.core.placement.Policy;
 
 /**
- * The operators' policies by class of jobs; classes without one of their own use {@code default}.
- * Immutable, so safe for any thread.
+ * The operators' policies by class of jobs. A class without a policy of its own uses the policy of
+ * the class {@code default}. Instances are immutable and can be used by any thread.
  */
 public final class Policies implements Policy.PolicyRegistry {
-  /** Class whose policy applies to all classes without one of their own. */
+  /** The class whose policy applies to all classes without a policy of their own. */
   static final String DEFAULT_CLASS = "default";
 
   private static final String BUNDLED = "/mallowstall/default.policy";
@@ -29,8 +29,8 @@
   }
 
   /**
-   * Compiles the text of a policy file. Errors in it aren't thrown but listed by {@link
-   * #diagnostics()}; policies with errors mustn't be used.
+   * Compiles the text of a policy file. Errors in the text aren't thrown but listed by {@link
+   * #diagnostics()}. Policies with errors must not be used.
    */
   public static Policies of(String text) {
     Diagnostics diagnostics = new Diagnostics();
@@ -39,15 +39,15 @@
   }
 
   /**
-   * Compiles a policy file in UTF-8, as {@link #of} does.
+   * Compiles a policy file in UTF-8. Errors in its text are listed as described at {@link #of}.
    *
-   * @throws IOException if it can't be read
+   * @throws IOException if the file can't be read
    */
   public static Policies load(Path file) throws IOException {
     return of(Files.readString(file));
   }
 
-  /** The policies that come with the service. */
+  /** Returns the policies that are bundled with the service. */
   public static Policies bundled() {
     try (InputStream in = Policies.class.getResourceAsStream(BUNDLED)) {
       if (in == null) {
@@ -59,12 +59,12 @@
     }
   }
 
-  /** All errors and warnings, in the order of the text. */
+  /** Returns all errors and warnings, ordered by their position in the text. */
   public List<PolicyDiagnostic> diagnostics() {
     return diagnostics;
   }
 
-  /** Whether there is no error, so that the policies can be used. */
+  /** Returns whether the text has no error, so that the policies can be used. */
   public boolean isUsable() {
     for (PolicyDiagnostic diagnostic : diagnostics) {
       if (diagnostic.isError()) {
@@ -74,7 +74,7 @@
     return true;
   }
 
-  /** The policy of a class of jobs; never null if the policies are usable. */
+  /** Returns the policy of a class of jobs. It is never null if the policies are usable. */
   @Override
   public Policy forJobClass(String jobClass) {
     return policies.getOrDefault(jobClass, policies.get(DEFAULT_CLASS));
--- a/src/main/java/mallowstall/policy/PolicyParser.java
+++ b/src/main/java/mallowstall/policy/PolicyParser.java
@@ -14,8 +14,9 @@
 import mallowstall.policy.Token.Kind;
 
 /**
- * Parses the classes and blocks of a policy file; reports every error it can tell apart, not only
- * the first. Used for one file and not thread-safe.
+ * Parses the classes and blocks of a policy file. After an error, the parser continues behind the
+ * faulty block or at the next class, so that one run reports all errors that can be distinguished.
+ * Each instance parses one file. Not thread-safe.
  */
 final class PolicyParser {
   private final TokenStream tokens;
@@ -30,8 +31,8 @@
   }
 
   /**
-   * Policies by class of jobs, in the order of the text; only usable if no error is added to {@code
-   * diagnostics}.
+   * Returns the policies by class of jobs, in the order of the text. The policies can only be used
+   * if no error was added to {@code diagnostics}.
    */
   static Map<String, Policy> parse(String text, Diagnostics diagnostics) {
     TokenStream tokens = new TokenStream(Lexer.split(text, diagnostics));
@@ -129,7 +130,7 @@
     return new CompiledBlock(workers, invalidate, strategy, score);
   }
 
-  /** Takes the name of a block's property. */
+  /** Consumes and returns the name of a property of a block. */
   private Token parseProperty() throws PolicySyntaxException {
     Token token = tokens.next();
     if (token.isEnd()) {
@@ -142,15 +143,19 @@
     return token;
   }
 
-  /** A condition of a block; a block whose condition always has the value {@code never} is idle. */
-  private BooleanExpression parseCondition(String property, boolean never)
+  /**
+   * Parses a condition of a block. Adds a warning if the condition always has the value {@code
+   * neverMatchingValue}, because a block with this condition matches no machine.
+   */
+  private BooleanExpression parseCondition(String property, boolean neverMatchingValue)
       throws PolicySyntaxException {
     Token start = tokens.peek();
     BooleanExpression condition =
         ExpressionParser.requireBoolean(start, expressions.parse(), property);
-    if (condition.constant() && condition.value().test(new Facts()) == never) {
+    if (condition.constant() && condition.value().test(new Facts()) == neverMatchingValue) {
       diagnostics.add(
-          start.warning("this block can never match: " + property + " is always " + never));
+          start.warning(
+              "this block can never match: " + property + " is always " + neverMatchingValue));
     }
     return condition;
   }
--- a/src/main/java/mallowstall/policy/PolicySyntaxException.java
+++ b/src/main/java/mallowstall/policy/PolicySyntaxException.java
@@ -1,22 +1,24 @@
 package mallowstall.policy;
 
 /**
- * Ends the reading of a class, a block or an expression at the token that can't be accepted. The
- * parser records the diagnostic and goes on at the next place where reading makes sense.
+ * Thrown at a token with a syntax error or a type error. The exception ends the parsing of the
+ * current class, block or expression. The parser records the diagnostic and continues behind the
+ * faulty block or at the next class.
  */
 final class PolicySyntaxException extends Exception {
   private static final long serialVersionUID = 1;
 
   private final transient PolicyDiagnostic diagnostic;
 
-  /** An error at this token; the message says what was expected. */
+  /** Creates an error at the given token. The message states what is wrong or was expected. */
   PolicySyntaxException(Token token, String message) {
-    // control flow within the parser: neither cause, suppressed exceptions nor stack trace are used
+    // The parser uses this exception for control flow only, so that it needs neither a cause, nor
+    // suppressed exceptions, nor a stack trace.
     super(message, null, false, false);
     this.diagnostic = token.error(message);
   }
 
-  /** The error with its line and column. */
+  /** Returns the error with its line and column. */
   PolicyDiagnostic diagnostic() {
     return diagnostic;
   }
--- a/src/main/java/mallowstall/policy/Token.java
+++ b/src/main/java/mallowstall/policy/Token.java
@@ -3,17 +3,17 @@
 import mallowstall.policy.PolicyDiagnostic.Severity;
 
 /**
- * A token of a policy file and where it stands.
+ * A token of a policy file and its position.
  *
- * @param kind what sort of token it is
- * @param text its characters, without the quotes of a text
- * @param value its number, of a number
- * @param unit the letters behind the number, or empty
- * @param line line of its first character, counted from 1
- * @param column column of its first character, counted from 1
+ * @param kind kind of the token
+ * @param text characters of the token, without the quotes of a text
+ * @param value numeric value of a number, or 0 for other kinds
+ * @param unit letters that follow a number, or empty
+ * @param line line of the first character, counted from 1
+ * @param column column of the first character, counted from 1
  */
 record Token(Kind kind, String text, double value, String unit, int line, int column) {
-  /** Kinds of tokens. */
+  /** Kinds of tokens. Operators and punctuation are of kind {@link #SIGN}. */
   enum Kind {
     NAME,
     NUMBER,
@@ -22,32 +22,32 @@
     END
   }
 
-  /** Whether this is the given keyword or sign. */
+  /** Returns whether this token is the given keyword, operator or punctuation. */
   boolean is(String word) {
     return (kind == Kind.NAME || kind == Kind.SIGN) && text.equals(word);
   }
 
-  /** Whether this is one of the comparison operators. */
+  /** Returns whether this token is a comparison operator. */
   boolean isComparison() {
     return is("<") || is("<=") || is(">") || is(">=") || is("==") || is("!=");
   }
 
-  /** Whether this ends the file. */
+  /** Returns whether this token marks the end of the file. */
   boolean isEnd() {
     return kind == Kind.END;
   }
 
-  /** An error at this token. */
+  /** Returns an error at the position of this token. */
   PolicyDiagnostic error(String message) {
     return new PolicyDiagnostic(line, column, Severity.ERROR, message);
   }
 
-  /** A warning at this token. */
+  /** Returns a warning at the position of this token. */
   PolicyDiagnostic warning(String message) {
     return new PolicyDiagnostic(line, column, Severity.WARNING, message);
   }
 
-  /** The token as messages name it. */
+  /** Returns the token in the form in which diagnostics name it. */
   @Override
   public String toString() {
     return kind == Kind.END ? "the end of the file" : "'" + text + "'";
--- a/src/main/java/mallowstall/policy/TokenStream.java
+++ b/src/main/java/mallowstall/policy/TokenStream.java
@@ -3,27 +3,27 @@
 import java.util.List;
 import mallowstall.policy.Token.Kind;
 
-/** The tokens of a file with the position of the reader. Not thread-safe. */
+/** The tokens of a file and the current position of the parser in them. Not thread-safe. */
 final class TokenStream {
   private final List<Token> tokens;
   private int position;
 
-  /** Begins at the first token; the last one must be {@link Kind#END}. */
+  /** Creates a stream at the first token. The last token must be of kind {@link Kind#END}. */
   TokenStream(List<Token> tokens) {
     this.tokens = tokens;
   }
 
-  /** Index of the token that comes next. */
+  /** Returns the index of the next token. */
   int position() {
     return position;
   }
 
-  /** The token that comes next, without taking it. */
+  /** Returns the next token without consuming it. */
   Token peek() {
     return tokens.get(position);
   }
 
-  /** Takes the next token; the end of the file is never passed. */
+  /** Consumes and returns the next token. The end of the file is returned but never consumed. */
   Token next() {
     Token token = tokens.get(position);
     if (!token.isEnd()) {
@@ -33,9 +33,9 @@
   }
 
   /**
-   * Takes the given sign.
+   * Consumes the given operator or punctuation.
    *
-   * @throws PolicySyntaxException if another token comes next
+   * @throws PolicySyntaxException if the next token is a different one
    */
   void expect(String sign) throws PolicySyntaxException {
     Token token = peek();
@@ -45,7 +45,7 @@
     next();
   }
 
-  /** Goes on to the next class, or to the end of the file. */
+  /** Skips to the next class, or to the end of the file. */
   void skipToClass() {
     while (!peek().isEnd() && !peek().is("class")) {
       next();
@@ -53,8 +53,8 @@
   }
 
   /**
-   * Goes on behind the block whose first token is at {@code start}. If it isn't closed before the
-   * next block or class begins, reading goes on there.
+   * Skips to the token behind the block whose first token has the index {@code start}. If the block
+   * isn't closed before the next block or class begins, the stream skips to that block or class.
    */
   void skipBlock(int start) {
     int open = 0;
--- a/src/main/java/mallowstall/policy/ValueType.java
+++ b/src/main/java/mallowstall/policy/ValueType.java
@@ -1,6 +1,8 @@
 package mallowstall.policy;
 
-/** Types of expressions with their units: only like is compared with or added to like. */
+/**
+ * Types of expressions, which include the units. Only values of one type can be compared or added.
+ */
 enum ValueType {
   BOOLEAN("true or false"),
   TEXT("text"),
@@ -16,17 +18,20 @@
     this.description = description;
   }
 
-  /** The type as messages name it. */
+  /** Returns the type in the form in which diagnostics name it. */
   String description() {
     return description;
   }
 
-  /** Whether values are numbers; priorities are, but only for comparisons and scores. */
+  /**
+   * Returns whether values of this type are numbers. Priorities are numbers, but only for
+   * comparisons and scores.
+   */
   boolean isNumeric() {
     return this != BOOLEAN && this != TEXT;
   }
 
-  /** Whether values can be added and multiplied. */
+  /** Returns whether values of this type can be added and multiplied. */
   boolean isArithmetic() {
     return isNumeric() && this != PRIORITY;
   }
--- a/src/main/java/mallowstall/policy/Variables.java
+++ b/src/main/java/mallowstall/policy/Variables.java
@@ -6,11 +6,11 @@
 
 import java.util.Optional;
 
-/** The names that expressions may use: facts and named constants (docs/policies.md). */
+/** The names that expressions can use: facts and named constants (docs/policies.md). */
 final class Variables {
   private Variables() {}
 
-  /** The expression that the name stands for; empty if the language has no such name. */
+  /** Returns the expression of a name, or empty if the language doesn't define the name. */
   static Optional<Expression> lookup(String name) {
     return Optional.ofNullable(
         switch (name) {
