--- a/src/main/java/mallowstall/cloud/CloudClient.java
+++ b/src/main/java/mallowstall/cloud/CloudClient.java
@@ -19,12 +19,12 @@
 
 /**
  * Client of the cloud's HTTP interface (protocol, Cloud): machine types, scale-out, scale-in and
- * the inventory. Runs on the event loop; each response comes back as one event of the core.
+ * the inventory. Runs on the event loop. Each callback runs as one event of the core.
  */
 public final class CloudClient {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.cloud");
 
-  /** ms. A request to the cloud without a response by then has failed. */
+  /** Time in milliseconds after which a request to the cloud without a response fails. */
   private static final long CLOUD_TIMEOUT_MS = 5_000;
 
   private static final int PAGE_SIZE = 500;
@@ -32,7 +32,10 @@
   private final HttpClient http;
   private final Consumer<Runnable> events;
 
-  /** Uses this connection pool; {@code events} runs each response as one event of the core. */
+  /**
+   * Creates a client that sends its requests through {@code http}. {@code events} runs each task
+   * that it receives as one event of the core.
+   */
   public CloudClient(HttpClient http, Consumer<Runnable> events) {
     this.http = http;
     this.events = events;
@@ -96,7 +99,7 @@
         CloudProtocol.SCALE_IN_PATH,
         JsonWriter.object(out -> JsonWriter.strings(out, CloudProtocol.MACHINES, machines)),
         null,
-        (status, nothing) -> callback.accept(status == HttpStatus.OK));
+        (status, ignored) -> callback.accept(status == HttpStatus.OK));
   }
 
   /** See {@link Effects#listMachines}. */
--- a/src/main/java/mallowstall/cloud/CloudCodec.java
+++ b/src/main/java/mallowstall/cloud/CloudCodec.java
@@ -8,14 +8,20 @@
 import mallowstall.core.model.ScaleOutRequest;
 import mallowstall.json.JsonReader;
 
-/** Bodies of the cloud's HTTP interface as the core's types; see {@link CloudProtocol}. */
+/**
+ * Encodes and decodes the JSON bodies of the cloud's HTTP interface. {@link CloudProtocol} holds
+ * the field names.
+ */
 final class CloudCodec {
   private CloudCodec() {}
 
-  /** A page of the inventory; {@code machines} null: the response has none. */
+  /**
+   * A page of the inventory. {@code machines} is null if the response has no list of machines, and
+   * {@code more} is true if another page follows.
+   */
   record Page(List<ListedMachine> machines, boolean more) {}
 
-  /** The machine types of a response; null if it has none. */
+  /** Returns the machine types in a response, or null if the response has none. */
   static List<MachineType> readTypes(JsonReader in) throws IOException {
     return in.fieldOrNull(CloudProtocol.TYPES, types -> types.list(CloudCodec::readType));
   }
@@ -60,7 +66,7 @@
         zones == null ? List.of() : zones);
   }
 
-  /** Writes the fields of a request for machines. */
+  /** Writes the fields of a scale-out request into an open JSON object. */
   static void writeScaleOut(JsonGenerator out, ScaleOutRequest request) throws IOException {
     out.writeStringField(CloudProtocol.REQUEST_NAME, request.name());
     out.writeStringField(CloudProtocol.MACHINE_TYPE, request.type());
@@ -69,13 +75,13 @@
     out.writeNumberField(CloudProtocol.COUNT, request.count());
   }
 
-  /** The names of machines in a response; empty if it has none. */
+  /** Returns the ids of the machines in a response, or an empty list if the response has none. */
   static List<String> readMachineNames(JsonReader in) throws IOException {
     List<String> names = in.fieldOrNull(CloudProtocol.MACHINES, JsonReader::strings);
     return names == null ? List.of() : names;
   }
 
-  /** Reads a page of the inventory; null: the response is null. */
+  /** Reads a page of the inventory. Returns null if the response is JSON null. */
   static Page readPage(JsonReader in) throws IOException {
     List<ListedMachine> machines = null;
     boolean more = false;
--- a/src/main/java/mallowstall/cloud/CloudProtocol.java
+++ b/src/main/java/mallowstall/cloud/CloudProtocol.java
@@ -1,8 +1,8 @@
 package mallowstall.cloud;
 
 /**
- * Words of the cloud's HTTP interface, by their standard meaning. They stand on the wire, so none
- * ever changes.
+ * Paths and field names of the cloud's HTTP interface. Each constant is named after its usual
+ * meaning. Its value is sent or received, so it never changes.
  */
 final class CloudProtocol {
   private CloudProtocol() {}
@@ -39,7 +39,10 @@
   static final String STATE = "estado";
   static final String AGE_S = "held_s";
 
-  /** The path of a page of the inventory after this machine; null: from the first. */
+  /**
+   * Returns the path of the inventory page that follows the machine {@code afterId}, or of the
+   * first page if {@code afterId} is null.
+   */
   static String inventoryPath(String afterId, int pageSize) {
     return MACHINES_PATH
         + "?"
--- a/src/main/java/mallowstall/cloud/package-info.java
+++ b/src/main/java/mallowstall/cloud/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Client of the cloud: machine types, scale-out, scale-in and the inventory. Field names stand in
- * {@link mallowstall.cloud.CloudProtocol} alone.
+ * Client of the cloud: machine types, scale-out, scale-in and the inventory. Only {@link
+ * mallowstall.cloud.CloudProtocol} holds the field names that are sent or received.
  */
 package mallowstall.cloud;
--- a/src/main/java/mallowstall/json/JsonReader.java
+++ b/src/main/java/mallowstall/json/JsonReader.java
@@ -12,30 +12,30 @@
 import java.util.List;
 
 /**
- * Reads one JSON document field by field with Jackson's streaming parser. Strictly typed: nothing
- * is converted silently, null stands for an absent value, and whoever reads an object skips the
- * fields that it doesn't know.
+ * Reads one JSON document with Jackson's streaming parser. The reader is always at one value, the
+ * current value. Types are strict: no value is converted silently, and null stands for an absent
+ * value. A caller that reads an object skips unknown fields with {@link #skip}.
  *
- * <p>Values are read by hand instead of bound by reflection, which costs a third of the start-up
- * time. Every method may throw {@link WrongTypeException}, or Jackson's own exception for what is
- * not JSON. Not thread-safe.
+ * <p>Callers read each field in code, because data binding by reflection takes a third of the
+ * start-up time. Every method may throw {@link WrongTypeException}, or Jackson's own exception if
+ * the document is not JSON. Not thread-safe.
  */
 public final class JsonReader {
-  /** Reads one value, at which the reader stands. */
+  /** Reads the current value of a reader. */
   public interface ValueReader<T> {
-    /** Reads the value and leaves the reader at its end. */
+    /** Reads the current value and leaves the reader at the end of the value. */
     T read(JsonReader in) throws IOException;
   }
 
-  /** Receives why a document couldn't be read. */
+  /** Handles the error of an unreadable document. */
   public interface DocumentErrorHandler {
-    /** The document is not JSON, or has a {@link WrongTypeException}. */
+    /** Called with a {@link WrongTypeException}, or with Jackson's exception for invalid JSON. */
     void handle(IOException failure);
   }
 
-  /** Receives why a value couldn't be read. */
+  /** Handles the error of an unreadable value. */
   public interface ValueErrorHandler {
-    /** The value was skipped. */
+    /** Called after the value has been skipped. */
     void handle(WrongTypeException failure);
   }
 
@@ -55,12 +55,15 @@
     this.parser = FACTORY.createParser(document, offset, length);
   }
 
-  /** Reads a document that consists of this value alone. */
+  /** Reads a document that consists of one value. */
   public static <T> T read(byte[] document, ValueReader<T> value) throws IOException {
     return new JsonReader(document, 0, document.length).readDocument(value);
   }
 
-  /** Reads a document that consists of this value alone; null if it can't be read. */
+  /**
+   * Reads a document that consists of one value. If the document is unreadable, passes the error to
+   * {@code unreadable} and returns null.
+   */
   public static <T> T readOrNull(
       byte[] document, ValueReader<T> value, DocumentErrorHandler unreadable) {
     try {
@@ -82,19 +85,22 @@
     return result;
   }
 
-  /** Enters an object, whose fields follow; false: the value is null. */
+  /** Enters the object at the current value. Returns false if the current value is null. */
   public boolean enterObjectIfPresent() throws IOException {
     return expect(JsonToken.START_OBJECT, OBJECT);
   }
 
-  /** Enters an object that must be there. */
+  /** Enters the object at the current value. Null is an error. */
   public void enterObject() throws IOException {
     if (!enterObjectIfPresent()) {
       throw wrongType(OBJECT);
     }
   }
 
-  /** Whether the value begins with this token; false: it is null. Anything else is an error. */
+  /**
+   * Returns true if the current value begins with this token, and false if it is null. Any other
+   * value is an error.
+   */
   private boolean expect(JsonToken token, String expected) throws IOException {
     if (isNull()) {
       return false;
@@ -105,7 +111,7 @@
     return true;
   }
 
-  /** Goes to the next field of the object and stands at its value; false: the object has ended. */
+  /** Moves to the value of the object's next field. Returns false at the end of the object. */
   public boolean nextField() throws IOException {
     if (parser.nextToken() == JsonToken.END_OBJECT) {
       return false;
@@ -114,26 +120,29 @@
     return true;
   }
 
-  /** The name of the field at whose value the reader stands. */
+  /** Returns the name of the field that holds the current value. */
   public String field() throws IOException {
     return parser.currentName();
   }
 
-  /** The one field that matters of an object that must be there; null if the object has none. */
+  /**
+   * Reads an object and returns the value of this one field, or null if the object lacks the field.
+   * All other fields are skipped. A null instead of the object is an error.
+   */
   public <T> T fieldOrNull(String name, ValueReader<T> value) throws IOException {
-    T found = null;
+    T result = null;
     enterObject();
     while (nextField()) {
       if (field().equals(name)) {
-        found = value.read(this);
+        result = value.read(this);
       } else {
         skip();
       }
     }
-    return found;
+    return result;
   }
 
-  /** Skips the value. */
+  /** Skips the current value. */
   public void skip() throws IOException {
     parser.skipChildren();
   }
@@ -142,7 +151,7 @@
     return parser.currentToken() == JsonToken.VALUE_NULL;
   }
 
-  /** The elements of a list; null if there is none. */
+  /** Reads a list. Returns null if the current value is null. */
   public <T> List<T> list(ValueReader<T> element) throws IOException {
     if (!expect(JsonToken.START_ARRAY, "a list")) {
       return null;
@@ -154,19 +163,20 @@
     return elements;
   }
 
-  /** The strings of a list; null if there is none. */
+  /** Reads a list of strings. Returns null if the current value is null. */
   public List<String> strings() throws IOException {
     return list(JsonReader::string);
   }
 
-  /** A string, or null. */
+  /** Reads a string or null. */
   public String string() throws IOException {
     return expect(JsonToken.VALUE_STRING, "a string") ? parser.getText() : null;
   }
 
-  /** Bytes in base 64, or null. */
+  /** Reads bytes in base 64, or null. */
   public byte[] bytes() throws IOException {
-    // as a text first: the reader then stands behind it even if it isn't base 64
+    // The value is read as text first, so that the reader is at the end of the value
+    // even if the value is not base 64.
     if (string() == null) {
       return null;
     }
@@ -177,7 +187,7 @@
     }
   }
 
-  /** A constant by its name, or null. */
+  /** Reads the name of an enum constant, or null. */
   public <E extends Enum<E>> E enumConstant(Class<E> type) throws IOException {
     String name = string();
     try {
@@ -187,7 +197,7 @@
     }
   }
 
-  /** True or false, or null. */
+  /** Reads a boolean or null. */
   public Boolean booleanOrNull() throws IOException {
     return switch (parser.currentToken()) {
       case VALUE_NULL -> null;
@@ -197,12 +207,12 @@
     };
   }
 
-  /** True or false; null counts as false. */
+  /** Reads a boolean. Returns false if the current value is null. */
   public boolean booleanOrFalse() throws IOException {
     return Boolean.TRUE.equals(booleanOrNull());
   }
 
-  /** A number, or null. */
+  /** Reads a number or null. */
   public Double doubleOrNull() throws IOException {
     if (isNull()) {
       return null;
@@ -213,13 +223,13 @@
     return parser.getDoubleValue();
   }
 
-  /** A number; null counts as 0. */
+  /** Reads a number. Returns 0 if the current value is null. */
   public double doubleOrZero() throws IOException {
     Double value = doubleOrNull();
     return value == null ? 0 : value;
   }
 
-  /** A whole number of 64 bits; null counts as 0. */
+  /** Reads a 64-bit integer. Returns 0 if the current value is null. */
   public long longOrZero() throws IOException {
     if (!expect(JsonToken.VALUE_NUMBER_INT, LONG)) {
       return 0;
@@ -231,7 +241,7 @@
     }
   }
 
-  /** A whole number of 32 bits, or null. */
+  /** Reads a 32-bit integer or null. */
   public Integer intOrNull() throws IOException {
     if (!expect(JsonToken.VALUE_NUMBER_INT, INT)) {
       return null;
@@ -243,19 +253,22 @@
     }
   }
 
-  /** A whole number of 32 bits; null counts as 0. */
+  /** Reads a 32-bit integer. Returns 0 if the current value is null. */
   public int intOrZero() throws IOException {
     Integer value = intOrNull();
     return value == null ? 0 : value;
   }
 
-  /** Reads the value, or skips it if it can't be read, which {@code unreadable} receives. */
+  /**
+   * Reads the current value. If the value has the wrong type, skips it, passes the error to {@code
+   * unreadable} and returns null.
+   */
   public <T> T readOrSkip(ValueReader<T> value, ValueErrorHandler unreadable) throws IOException {
-    JsonStreamContext outside = outside();
+    JsonStreamContext enclosing = enclosingContext();
     try {
       return value.read(this);
     } catch (WrongTypeException wrong) {
-      while (parser.getParsingContext() != outside) {
+      while (parser.getParsingContext() != enclosing) {
         parser.nextToken();
       }
       unreadable.handle(wrong);
@@ -263,7 +276,9 @@
     }
   }
 
-  /** Skips the value, which may be read later as a document of its own. */
+  /**
+   * Skips the current value and returns it, so that it can be read later as a separate document.
+   */
   public Deferred defer() throws IOException {
     int start = (int) parser.currentTokenLocation().getByteOffset();
     parser.skipChildren();
@@ -271,7 +286,7 @@
     return new Deferred(document, offset + start, end - start);
   }
 
-  /** A value that was skipped: a part of its document. */
+  /** A skipped value, which refers to its part of the document. */
   public static final class Deferred {
     private final byte[] document;
     private final int offset;
@@ -283,27 +298,27 @@
       this.length = length;
     }
 
-    /** Reads the value. */
+    /** Reads the skipped value as a document of its own. */
     public <T> T read(ValueReader<T> value) throws IOException {
       return new JsonReader(document, offset, length).readDocument(value);
     }
   }
 
-  /** What surrounds the value at which the reader stands. */
-  private JsonStreamContext outside() {
+  /** Returns the context of the object, list or root that contains the current value. */
+  private JsonStreamContext enclosingContext() {
     JsonStreamContext context = parser.getParsingContext();
     return parser.currentToken().isStructStart() ? context.getParent() : context;
   }
 
-  /** The value at which the reader stands isn't what is expected there. */
+  /** Returns the exception for a current value that is not of the expected type. */
   private WrongTypeException wrongType(String expected) throws IOException {
     StringBuilder path = new StringBuilder();
-    appendPath(path, outside());
-    return new WrongTypeException(path.toString(), expected, found());
+    appendPath(path, enclosingContext());
+    return new WrongTypeException(path.toString(), expected, describeValue());
   }
 
-  /** The value at which the reader stands, as an error shows it. */
-  private String found() throws IOException {
+  /** Returns the current value as it appears in an error message. */
+  private String describeValue() throws IOException {
     JsonToken token = parser.currentToken();
     if (token == JsonToken.START_OBJECT) {
       return OBJECT;
--- a/src/main/java/mallowstall/json/JsonWriter.java
+++ b/src/main/java/mallowstall/json/JsonWriter.java
@@ -7,21 +7,21 @@
 
 /** Writes JSON documents with Jackson's streaming generator. */
 public final class JsonWriter {
-  /** Writes the content of a document. */
+  /** Writes the content of a document or of an object. */
   public interface Content {
-    /** Writes it. */
+    /** Writes the content to the generator. */
     void write(JsonGenerator out) throws IOException;
   }
 
   /** Writes one element of a list. */
   public interface Element<T> {
-    /** Writes it. */
+    /** Writes the value to the generator. */
     void write(JsonGenerator out, T value) throws IOException;
   }
 
   private JsonWriter() {}
 
-  /** The document as it is sent. */
+  /** Returns the document in UTF-8. */
   public static byte[] document(Content content) {
     try (ByteArrayBuilder bytes = new ByteArrayBuilder();
         JsonGenerator out = JsonReader.FACTORY.createGenerator(bytes)) {
@@ -33,7 +33,7 @@
     }
   }
 
-  /** A document of one object, whose fields the content writes. */
+  /** Returns a document that is one object with the fields that {@code fields} writes. */
   public static byte[] object(Content fields) {
     return document(
         out -> {
@@ -43,7 +43,7 @@
         });
   }
 
-  /** A field with a list of these; null if there is none. */
+  /** Writes a field with a list of the values, or with null if {@code values} is null. */
   public static <T> void list(JsonGenerator out, String field, List<T> values, Element<T> element)
       throws IOException {
     out.writeFieldName(field);
@@ -58,13 +58,13 @@
     out.writeEndArray();
   }
 
-  /** A field with a list of texts; null if there is none. */
+  /** Writes a field with a list of strings, or with null if {@code values} is null. */
   public static void strings(JsonGenerator out, String field, List<String> values)
       throws IOException {
     list(out, field, values, JsonGenerator::writeString);
   }
 
-  /** A field with a number, or null. */
+  /** Writes a field with a number or null. */
   public static void doubleOrNull(JsonGenerator out, String field, Double value)
       throws IOException {
     if (value == null) {
--- a/src/main/java/mallowstall/json/WrongTypeException.java
+++ b/src/main/java/mallowstall/json/WrongTypeException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A JSON value of another type than expected, or out of its range. */
+/** Thrown if a JSON value has the wrong type or is out of range. */
 public final class WrongTypeException extends IOException {
   private static final long serialVersionUID = 1;
 
@@ -18,12 +18,15 @@
     this.path = path;
   }
 
-  /** Where the value stands, like {@code known[0].addr}; empty: the document itself. */
+  /** Returns the path of the value, like {@code known[0].addr}; empty for the document itself. */
   public String path() {
     return path;
   }
 
-  /** The field of the outermost object in which the value stands; empty: the document itself. */
+  /**
+   * Returns the field of the outermost object that contains the value, or an empty string if the
+   * path begins with no field name.
+   */
   public String outermostField() {
     int end = 0;
     while (end < path.length() && path.charAt(end) != '.' && path.charAt(end) != '[') {
--- a/src/main/java/mallowstall/json/package-info.java
+++ b/src/main/java/mallowstall/json/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Streaming readers and writers of JSON with strict types. Errors name the path of the value, what
- * was expected and what was found.
+ * Streaming reader and writer of JSON with strict types. Error messages name the path of the value,
+ * the expected type and the value that was found.
  */
 package mallowstall.json;
--- a/src/main/java/mallowstall/peers/AvroArrays.java
+++ b/src/main/java/mallowstall/peers/AvroArrays.java
@@ -20,7 +20,7 @@
 
   private AvroArrays() {}
 
-  /** Writes the values as one block. */
+  /** Writes the values as an Avro array of one block. */
   static <T> void writeList(BinaryEncoder encoder, List<T> values, ElementWriter<T> element)
       throws IOException {
     encoder.writeArrayStart();
@@ -32,7 +32,7 @@
     encoder.writeArrayEnd();
   }
 
-  /** Reads all blocks of the array. */
+  /** Reads an Avro array with any number of blocks. */
   static <T> List<T> readList(BinaryDecoder decoder, ElementReader<T> element) throws IOException {
     List<T> out = new ArrayList<>();
     for (long n = decoder.readArrayStart(); n != 0; n = decoder.arrayNext()) {
--- a/src/main/java/mallowstall/peers/PeerCodec.java
+++ b/src/main/java/mallowstall/peers/PeerCodec.java
@@ -25,15 +25,16 @@
 import org.apache.avro.io.EncoderFactory;
 
 /**
- * Messages between controllers in Avro's binary encoding, after the schema {@code peers.avsc} (one
- * record around a union). Written field by field: Avro's generic records take several times the
- * start-up time and garbage.
+ * Encodes and decodes the messages between controllers in Avro's binary encoding. The schema {@code
+ * peers.avsc} is a record with one field, which is a union of the messages. The codec handles each
+ * field in code, because Avro's generic records take several times the start-up time and produce
+ * several times the garbage.
  */
 public final class PeerCodec {
-  /** Bytes. Longest text in a message between controllers: names are far shorter. */
+  /** Maximum length in bytes of a string in a peer's message. Names are far shorter. */
   private static final int PEER_TEXT_MAX_BYTES = 64 << 10;
 
-  // the union's branches, in the order of the schema
+  // Indexes of the union's branches, in the order of the schema.
   private static final int STATUS_UPDATE = 0;
   private static final int START_BATCH = 1;
   private static final int STOP_BATCH = 2;
@@ -43,18 +44,21 @@
   private static final int ACCEPTANCE_REPLY = 6;
   private static final int ACCEPTANCE_QUERY_END = 7;
 
-  // the outcomes that can be announced, in the order of the schema
+  // The outcomes that are announced, in the order of the schema.
   private static final List<JobOutcome> OUTCOMES = List.of(JobOutcome.DONE, JobOutcome.CANCELLED);
 
   static {
-    // without this limit a few bytes can make the decoder allocate two gigabytes
+    // Without this limit, a message of a few bytes can make the decoder allocate two gigabytes.
     System.setProperty(
         "org.apache.avro.limits.string.maxLength", String.valueOf(PEER_TEXT_MAX_BYTES));
   }
 
   private PeerCodec() {}
 
-  /** The message in Avro's binary encoding, with its kind before it. */
+  /**
+   * Returns the message in Avro's binary encoding: the index of the union's branch, then the
+   * fields.
+   */
   public static byte[] encode(PeerMessage message) {
     ByteArrayOutputStream out = new ByteArrayOutputStream(1024);
     BinaryEncoder encoder = EncoderFactory.get().binaryEncoder(out, null);
@@ -96,7 +100,7 @@
     return out.toByteArray();
   }
 
-  /** Decodes a message; any other bytes give an {@link IOException}, whatever they are. */
+  /** Decodes a message. Throws an {@link IOException} for any bytes that can't be decoded. */
   public static PeerMessage decode(byte[] bytes) throws IOException {
     try {
       return readMessage(bytes);
@@ -136,7 +140,7 @@
     };
   }
 
-  /** Who asks or answers, and the query of which process it is about. */
+  /** Writes the sending controller, then the incarnation and serial that identify the query. */
   private static void writeQueryHeader(
       BinaryEncoder encoder, String node, long incarnation, long serial) throws IOException {
     encoder.writeString(node);
--- a/src/main/java/mallowstall/peers/PeerConnections.java
+++ b/src/main/java/mallowstall/peers/PeerConnections.java
@@ -28,26 +28,28 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * TCP connections between controllers: one to each peer for the messages of this controller, which
- * is opened again whenever it ends, and one from each for the messages of the peer. Each message is
- * four bytes of length and a body after {@link PeerCodec}. Runs on the event loop; messages may be
- * lost.
+ * TCP connections between controllers. This controller opens one connection to each peer, sends its
+ * messages on it, and reconnects whenever it closes. Each peer opens one connection to this
+ * controller for its own messages. A message is sent as a length of four bytes and a body that
+ * {@link PeerCodec} encodes. Runs on the event loop, except {@link #listen}, which waits until the
+ * address is bound. Messages may be lost.
  */
 public final class PeerConnections {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.peers");
 
-  /** Bytes. Largest message between controllers. */
+  /** Maximum size in bytes of a message between controllers. */
   static final int PEER_FRAME_MAX_BYTES = 4 << 20;
 
-  /** ms. Between attempts to connect to a peer. */
+  /** Delay in milliseconds before this controller connects to a peer again. */
   private static final long PEER_RECONNECT_INTERVAL_MS = 700;
 
   /**
-   * Bytes. Unsent data to a peer above which status updates are skipped: the next one covers them.
+   * Maximum unsent data to a peer in bytes. Above it, status updates are dropped, because the next
+   * one covers them.
    */
   private static final int PEER_BACKLOG_MAX_BYTES = 512 << 10;
 
-  /** Bytes of the length before each message. */
+  /** Size in bytes of the length that precedes each message. */
   private static final int LENGTH_BYTES = 4;
 
   private static final int CONNECT_TIMEOUT_MS = 1_500;
@@ -59,12 +61,15 @@
   private final Consumer<Runnable> events;
   private final Map<String, OutboundConnection> outbound = new HashMap<>();
   private final int maxInbound;
-  private int inbound;
-  private long connections;
-  private Channel listening;
+  private int inboundCount;
+  private long lastConnectionNumber;
+  private Channel serverChannel;
   private boolean closed;
 
-  /** Connects to peers and accepts so many connections of theirs at most. */
+  /**
+   * {@code events} runs each task that it receives as one event of the core. While peers hold
+   * {@code maxInbound} open connections to this controller, further ones are closed at once.
+   */
   public PeerConnections(
       EventLoop loop, PeerEvents core, Consumer<Runnable> events, int maxInbound) {
     this.loop = loop;
@@ -73,18 +78,18 @@
     this.maxInbound = maxInbound;
   }
 
-  /** Begins to accept connections of peers. */
-  public void listen(EventLoopGroup group, InetSocketAddress at) throws InterruptedException {
-    listening = TcpBootstraps.server(group, this::accept).bind(at).sync().channel();
+  /** Starts to accept connections from peers at this address. */
+  public void listen(EventLoopGroup group, InetSocketAddress address) throws InterruptedException {
+    serverChannel = TcpBootstraps.server(group, this::accept).bind(address).sync().channel();
   }
 
   private void accept(SocketChannel channel) {
-    if (inbound >= maxInbound) {
+    if (inboundCount >= maxInbound) {
       channel.close();
       return;
     }
-    inbound++;
-    channel.closeFuture().addListener(future -> inbound--);
+    inboundCount++;
+    channel.closeFuture().addListener(future -> inboundCount--);
     channel
         .pipeline()
         .addLast(
@@ -93,31 +98,34 @@
             new InboundHandler());
   }
 
-  /** Keeps a connection to this peer from now on. */
-  public void connect(String node, InetSocketAddress at) {
-    OutboundConnection connection = new OutboundConnection(node, at);
+  /** Connects to this peer, and reconnects whenever the connection fails or closes. */
+  public void connect(String node, InetSocketAddress address) {
+    OutboundConnection connection = new OutboundConnection(node, address);
     outbound.put(node, connection);
     connection.connect();
   }
 
-  /** Sends the message if the peer is connected and its backlog has room. */
+  /**
+   * Sends the message if the peer is connected, and drops it otherwise. A status update is also
+   * dropped if the connection's backlog of unsent data is full.
+   */
   public void send(String node, PeerMessage message) {
     OutboundConnection connection = outbound.get(node);
     if (connection == null || connection.channel == null || !connection.channel.isActive()) {
       return;
     }
-    // the next status update covers this one, which is dropped if it can't be sent now
+    // A status update that can't be sent now is dropped, because the next one covers it.
     if (message instanceof StatusUpdate && connection.channel.bytesBeforeUnwritable() <= 0) {
       return;
     }
     connection.channel.writeAndFlush(Unpooled.wrappedBuffer(PeerCodec.encode(message)));
   }
 
-  /** Closes all connections. */
+  /** Stops accepting connections, closes those to peers and ends reconnection. */
   public void close() {
     closed = true;
-    if (listening != null) {
-      listening.close();
+    if (serverChannel != null) {
+      serverChannel.close();
     }
     for (OutboundConnection connection : outbound.values()) {
       if (connection.channel != null) {
@@ -126,7 +134,7 @@
     }
   }
 
-  /** Turns the messages of a connection that a peer has opened into events of the core. */
+  /** Passes the messages on a connection that a peer has opened to the core, each as one event. */
   private final class InboundHandler extends SimpleChannelInboundHandler<ByteBuf> {
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) throws IOException {
@@ -146,7 +154,7 @@
     }
   }
 
-  /** Handles errors of a connection to a peer, on which nothing is received. */
+  /** Closes a connection to a peer after an error. Peers send no messages on these connections. */
   private static final class OutboundHandler extends ChannelInboundHandlerAdapter {
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable failure) {
@@ -155,15 +163,15 @@
     }
   }
 
-  /** The connection for messages to one peer. */
+  /** The connection on which this controller sends its messages to one peer. */
   private final class OutboundConnection {
     private final String node;
-    private final InetSocketAddress at;
+    private final InetSocketAddress address;
     private Channel channel;
 
-    OutboundConnection(String node, InetSocketAddress at) {
+    OutboundConnection(String node, InetSocketAddress address) {
       this.node = node;
-      this.at = at;
+      this.address = address;
     }
 
     void connect() {
@@ -178,7 +186,7 @@
                       .pipeline()
                       .addLast(new LengthFieldPrepender(LENGTH_BYTES), new OutboundHandler()))
           .option(ChannelOption.WRITE_BUFFER_WATER_MARK, BACKLOG)
-          .connect(at)
+          .connect(address)
           .addListener(
               (ChannelFuture future) -> {
                 if (future.isSuccess()) {
@@ -191,7 +199,7 @@
 
     private void connected(Channel connection) {
       channel = connection;
-      long connectionNumber = ++connections;
+      long connectionNumber = ++lastConnectionNumber;
       LOG.info("peer connected peer={}", node);
       connection.closeFuture().addListener(closeFuture -> reconnect());
       events.accept(() -> core.peerConnected(node, connectionNumber));
--- a/src/main/java/mallowstall/peers/StatusUpdateCodec.java
+++ b/src/main/java/mallowstall/peers/StatusUpdateCodec.java
@@ -13,9 +13,9 @@
 import org.apache.avro.io.BinaryDecoder;
 import org.apache.avro.io.BinaryEncoder;
 
-/** Status updates, and what they say of machines and tasks, in Avro's binary encoding. */
+/** Encodes and decodes status updates, with their machines and tasks, in Avro's binary encoding. */
 final class StatusUpdateCodec {
-  // bits of a machine's flags
+  // Bits of a machine's flags.
   private static final int TOKEN_ACKNOWLEDGED = 1;
   private static final int USABLE = 2;
   private static final int DRAINING = 4;
@@ -23,7 +23,8 @@
   private static final int UNRESPONSIVE = 16;
   private static final int SPOT = 32;
   private static final int LEASE_EXPIRED = 64;
-  // the schema lists both enums in the order of their constants, after one for null
+  // In the schema, the first symbol of each enum stands for null. The others follow in the order
+  // of these constants.
   private static final TaskState[] STATES = TaskState.values();
   private static final ExitReason[] EXIT_REASONS = ExitReason.values();
 
@@ -48,7 +49,7 @@
     writeList(encoder, update.rejections(), StatusUpdateCodec::writeRejection);
   }
 
-  /** Reads what {@link #write} has written; anything else fails. */
+  /** Reads the fields in the order of the schema. Throws an exception if they are malformed. */
   static StatusUpdate read(BinaryDecoder decoder) throws IOException {
     return new StatusUpdate(
         decoder.readString(),
@@ -68,38 +69,38 @@
         readList(decoder, StatusUpdateCodec::readRejection));
   }
 
-  private static void writeMachineStatus(BinaryEncoder encoder, MachineStatus state)
+  private static void writeMachineStatus(BinaryEncoder encoder, MachineStatus status)
       throws IOException {
-    encoder.writeString(state.machine());
-    encoder.writeString(state.address() == null ? "" : state.address());
-    encoder.writeLong(state.fencingToken());
-    encoder.writeLong(state.entryRevision());
-    encoder.writeLong(state.session());
-    encoder.writeLong(state.heartbeatSequence());
+    encoder.writeString(status.machine());
+    encoder.writeString(status.address() == null ? "" : status.address());
+    encoder.writeLong(status.fencingToken());
+    encoder.writeLong(status.entryRevision());
+    encoder.writeLong(status.session());
+    encoder.writeLong(status.heartbeatSequence());
     encoder.writeInt(
-        (state.tokenAcknowledged() ? TOKEN_ACKNOWLEDGED : 0)
-            | (state.usable() ? USABLE : 0)
-            | (state.draining() ? DRAINING : 0)
-            | (state.needsReplacement() ? NEEDS_REPLACEMENT : 0)
-            | (state.unresponsive() ? UNRESPONSIVE : 0)
-            | (state.spot() ? SPOT : 0)
-            | (state.leaseExpired() ? LEASE_EXPIRED : 0));
-    encoder.writeString(state.type());
-    encoder.writeString(state.zone());
-    encoder.writeDouble(state.interruptionNoticeS());
-    encoder.writeDouble(state.freeCpus());
-    encoder.writeDouble(state.freeGpus());
-    encoder.writeDouble(state.freeMemoryGb());
-    encoder.writeLong(state.idleMs());
-    writeList(encoder, state.images(), BinaryEncoder::writeString);
-    writeList(encoder, state.tasks(), StatusUpdateCodec::writeTaskStatus);
+        (status.tokenAcknowledged() ? TOKEN_ACKNOWLEDGED : 0)
+            | (status.usable() ? USABLE : 0)
+            | (status.draining() ? DRAINING : 0)
+            | (status.needsReplacement() ? NEEDS_REPLACEMENT : 0)
+            | (status.unresponsive() ? UNRESPONSIVE : 0)
+            | (status.spot() ? SPOT : 0)
+            | (status.leaseExpired() ? LEASE_EXPIRED : 0));
+    encoder.writeString(status.type());
+    encoder.writeString(status.zone());
+    encoder.writeDouble(status.interruptionNoticeS());
+    encoder.writeDouble(status.freeCpus());
+    encoder.writeDouble(status.freeGpus());
+    encoder.writeDouble(status.freeMemoryGb());
+    encoder.writeLong(status.idleMs());
+    writeList(encoder, status.images(), BinaryEncoder::writeString);
+    writeList(encoder, status.tasks(), StatusUpdateCodec::writeTaskStatus);
   }
 
   private static MachineStatus readMachineStatus(BinaryDecoder decoder) throws IOException {
     String id = decoder.readString();
     String address = decoder.readString();
     long token = decoder.readLong();
-    long version = decoder.readLong();
+    long entryRevision = decoder.readLong();
     long session = decoder.readLong();
     long sequence = decoder.readLong();
     int flags = decoder.readInt();
@@ -109,7 +110,7 @@
         id,
         address.isEmpty() ? null : address,
         token,
-        version,
+        entryRevision,
         session,
         sequence,
         (flags & TOKEN_ACKNOWLEDGED) != 0,
--- a/src/main/java/mallowstall/peers/package-info.java
+++ b/src/main/java/mallowstall/peers/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Connections between controllers and the binary codec of their messages, whose schema is {@code
- * peers.avsc}.
+ * Connections between controllers and the binary codec of their messages. The schema of the
+ * messages is {@code peers.avsc}.
  */
 package mallowstall.peers;
--- a/src/main/java/mallowstall/state/StateCodec.java
+++ b/src/main/java/mallowstall/state/StateCodec.java
@@ -14,21 +14,27 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Bodies of the state service's HTTP interface; see {@link StateProtocol}. */
+/**
+ * Encodes and decodes the JSON bodies of the state service's HTTP interface. {@link StateProtocol}
+ * holds the field names.
+ */
 final class StateCodec {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.state");
 
   private StateCodec() {}
 
-  /** A page of keys, or the changes since a revision. */
+  /**
+   * A page of entries, or the changes after a revision. {@code more} is true if another page
+   * follows.
+   */
   record Page(List<KeyValue> items, boolean more, long revision) {}
 
-  /** The revision in a response; 0 if it has none. */
+  /** Returns the revision in a response, or 0 if the response has none. */
   static Long readRevision(JsonReader in) throws IOException {
     return readNumber(in, StateProtocol.REVISION);
   }
 
-  /** The id of the lease in a response; 0 if it has none. */
+  /** Returns the id of the lease in a response, or 0 if the response has none. */
   static Long readLease(JsonReader in) throws IOException {
     return readNumber(in, StateProtocol.LEASE);
   }
@@ -38,7 +44,7 @@
     return number == null ? 0L : number;
   }
 
-  /** Writes the fields of a transaction. */
+  /** Writes the conditions and operations of a transaction into an open JSON object. */
   static void write(JsonGenerator out, Transaction transaction) throws IOException {
     JsonWriter.list(out, StateProtocol.CONDITIONS, transaction.conditions(), StateCodec::write);
     out.writeFieldName(StateProtocol.OPERATIONS);
@@ -72,7 +78,7 @@
     out.writeEndObject();
   }
 
-  /** Reads a page of keys, or of changes. */
+  /** Reads a page of entries or of changes, without the items that are unreadable. */
   static Page readPage(JsonReader in) throws IOException {
     List<KeyValue> items = null;
     boolean more = false;
@@ -93,12 +99,15 @@
     return new Page(items, more, revision);
   }
 
-  /** A key with its value, or a change of it; null: the key is unknown or its value unreadable. */
+  /**
+   * Reads a key with its value, or a change of a key. Returns null if the item has no key, or if it
+   * is no deletion and its value is absent, unreadable or of an unknown kind of key.
+   */
   static KeyValue readItem(JsonReader in) throws IOException {
     String key = null;
     boolean deleted = false;
     StoredEntry value = null;
-    JsonReader.Deferred unread = null;
+    JsonReader.Deferred deferredValue = null;
     long version = 0;
     if (!in.enterObjectIfPresent()) {
       return null;
@@ -112,7 +121,7 @@
         }
         case StateProtocol.VALUE -> {
           if (key == null) {
-            unread = in.defer();
+            deferredValue = in.defer();
           } else {
             value = readEntry(key, in);
           }
@@ -121,14 +130,14 @@
         default -> in.skip();
       }
     }
-    if (unread != null && key != null) {
-      String name = key;
-      value = unread.read(later -> readEntry(name, later));
+    if (deferredValue != null && key != null) {
+      String entryKey = key;
+      value = deferredValue.read(document -> readEntry(entryKey, document));
     }
     return key != null && (deleted || value != null) ? new KeyValue(key, value, version) : null;
   }
 
-  /** The value of the key; null if there is none, or if it can't be read. */
+  /** Reads the value of the key. Returns null if the value is absent or unreadable. */
   private static StoredEntry readEntry(String key, JsonReader in) throws IOException {
     return in.readOrSkip(
         value -> StoredEntries.read(key, value),
--- a/src/main/java/mallowstall/state/StateProtocol.java
+++ b/src/main/java/mallowstall/state/StateProtocol.java
@@ -1,8 +1,8 @@
 package mallowstall.state;
 
 /**
- * Words of the state service's HTTP interface, by their standard meaning. They stand on the wire,
- * so none ever changes.
+ * Paths, field names and texts of the state service's HTTP interface. Each constant is named after
+ * its usual meaning. Its value is sent or received, so it never changes.
  */
 final class StateProtocol {
   private StateProtocol() {}
@@ -36,12 +36,14 @@
   static final String LEASE_DURATION_MS = "life_ms";
   static final String NO_SUCH_LEASE = "no such lease";
 
-  /** The path of one key. */
+  /** Returns the path that reads one key. */
   static String keyPath(String key) {
     return KEYS_PATH + "/" + key;
   }
 
-  /** The path of a page of keys after this one; null: from the first. */
+  /**
+   * Returns the path of the page of keys that follow {@code after}, or of the first page if null.
+   */
   static String listPath(String after, int pageSize) {
     return KEYS_PATH
         + "?under="
@@ -51,12 +53,15 @@
         + pageSize;
   }
 
-  /** The path of the changes after a revision, which the service holds back for so long at most. */
+  /**
+   * Returns the path of the changes after a revision. If there are none yet, the service delays its
+   * response until a change occurs, for at most {@code holdMs} milliseconds.
+   */
   static String changesPath(long afterRevision, long holdMs) {
     return CHANGES_PATH + "?under=" + KEY_PREFIX + "&after=" + afterRevision + "&hold_ms=" + holdMs;
   }
 
-  /** The path that renews a lease. */
+  /** Returns the path that renews a lease. */
   static String renewPath(long lease) {
     return LEASES_PATH + "/" + lease + "/renew";
   }
--- a/src/main/java/mallowstall/state/StateServiceClient.java
+++ b/src/main/java/mallowstall/state/StateServiceClient.java
@@ -24,27 +24,31 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Client of the state service's HTTP interface (protocol, State service). Runs on the event loop;
- * each response comes back as one event of the core.
+ * Client of the state service's HTTP interface (protocol, State service). Runs on the event loop.
+ * Each callback runs as one event of the core.
  */
 public final class StateServiceClient {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.state");
 
-  /** Count. Items asked for in one listing (the maximum of the protocol is 1,000). */
+  /** Number of entries requested per page of a listing. The protocol allows at most 1,000. */
   private static final int LIST_PAGE_SIZE = 500;
 
-  private final HttpClient calls;
-  private final HttpClient watches;
+  private final HttpClient requestClient;
+  private final HttpClient watchClient;
   private final Consumer<Runnable> events;
 
-  /** {@code events} runs what it is given as one event of the core. */
-  public StateServiceClient(HttpClient calls, HttpClient watches, Consumer<Runnable> events) {
-    this.calls = calls;
-    this.watches = watches;
+  /**
+   * Creates a client that sends watches through {@code watchClient} and all other requests through
+   * {@code requestClient}. {@code events} runs each task that it receives as one event of the core.
+   */
+  public StateServiceClient(
+      HttpClient requestClient, HttpClient watchClient, Consumer<Runnable> events) {
+    this.requestClient = requestClient;
+    this.watchClient = watchClient;
     this.events = events;
   }
 
-  private static ResultCode code(int status) {
+  private static ResultCode resultCode(int status) {
     return switch (status) {
       case HttpStatus.OK -> ResultCode.OK;
       case HttpStatus.CONFLICT -> ResultCode.CONFLICT;
@@ -57,7 +61,7 @@
 
   private void call(
       HttpMethod method, String path, byte[] body, Consumer<HttpClient.Reply> callback) {
-    calls.call(
+    requestClient.call(
         method,
         path,
         body,
@@ -65,7 +69,10 @@
         reply -> events.accept(() -> callback.accept(reply)));
   }
 
-  /** The body of a successful response; null for any other or unreadable one. */
+  /**
+   * Returns the body of a successful response, or null if the call failed or the body is
+   * unreadable.
+   */
   private static <T> T content(HttpClient.Reply reply, JsonReader.ValueReader<T> content) {
     return reply.status() == HttpStatus.OK ? read(reply.body(), content) : null;
   }
@@ -78,7 +85,7 @@
     LOG.error("unreadable response of the state service reason={}", failure.getMessage());
   }
 
-  /** Bytes of the value as it is sent. */
+  /** Returns the size in bytes of the value as it is sent. */
   public int encodedSize(StoredEntry value) {
     return StoredEntries.encode(value).length;
   }
@@ -90,7 +97,7 @@
         StateProtocol.TRANSACTION_PATH,
         JsonWriter.object(out -> StateCodec.write(out, transaction)),
         reply -> {
-          ResultCode code = code(reply.status());
+          ResultCode code = resultCode(reply.status());
           if (reply.status() == HttpStatus.BAD_REQUEST) {
             String text = new String(reply.body(), StandardCharsets.UTF_8);
             if (text.contains(StateProtocol.NO_SUCH_LEASE)) {
@@ -121,9 +128,10 @@
             callback.accept(new GetResult(ResultCode.OK, new KeyValue(key, null, 0)));
             return;
           }
-          // before the reader is made: that costs processor time which a starting process lacks
+          // The status is checked before a reader is created, because creating one takes processor
+          // time, which a starting process lacks.
           if (reply.status() != HttpStatus.OK) {
-            callback.accept(new GetResult(code(reply.status()), null));
+            callback.accept(new GetResult(resultCode(reply.status()), null));
             return;
           }
           KeyValue item = read(reply.body(), StateCodec::readItem);
@@ -155,7 +163,7 @@
 
   /** See {@link Effects#watch}. */
   public void watch(long afterRevision, long waitMs, Consumer<WatchResult> callback) {
-    watches.call(
+    watchClient.call(
         HttpMethod.GET,
         StateProtocol.changesPath(afterRevision, waitMs),
         null,
--- a/src/main/java/mallowstall/state/StoredEntries.java
+++ b/src/main/java/mallowstall/state/StoredEntries.java
@@ -20,18 +20,18 @@
 import mallowstall.json.JsonWriter;
 
 /**
- * The entries of the state service as JSON. Field names and their order are stored: other versions
- * read what this one writes, so they never change.
+ * Encodes and decodes the entries of the state service as JSON. Other versions of this program read
+ * the stored entries, so field names and their order never change.
  */
 public final class StoredEntries {
   private StoredEntries() {}
 
-  /** The entry as it is stored, in UTF-8. */
+  /** Returns the stored form of the entry: JSON in UTF-8. */
   public static byte[] encode(StoredEntry entry) {
     return JsonWriter.document(out -> write(out, entry));
   }
 
-  /** Reads the entry of this key; null: the value is null, or the key unknown. */
+  /** Reads the entry of this key. Returns null if the value is null or the key is unknown. */
   public static StoredEntry read(String key, JsonReader in) throws IOException {
     JsonReader.ValueReader<? extends StoredEntry> fields = reader(key);
     if (fields == null) {
@@ -41,7 +41,7 @@
     return in.enterObjectIfPresent() ? fields.read(in) : null;
   }
 
-  /** The reader of the entries under such a key; null: the key is unknown. */
+  /** Returns the reader for entries of this kind of key, or null if the kind is unknown. */
   private static JsonReader.ValueReader<? extends StoredEntry> reader(String key) {
     return switch (key.length() < 4 ? "" : key.substring(0, 4)) {
       case "c/j/" -> StoredJobs::read;
--- a/src/main/java/mallowstall/state/StoredFields.java
+++ b/src/main/java/mallowstall/state/StoredFields.java
@@ -1,8 +1,8 @@
 package mallowstall.state;
 
 /**
- * Field names of the entries of the state service. They are stored and other versions read them, so
- * none ever changes, whatever the fields of the entry types are called.
+ * Field names of the entries of the state service. They are stored and other versions of this
+ * program read them, so they never change, even if a field of an entry type is renamed.
  */
 final class StoredFields {
   private StoredFields() {}
--- a/src/main/java/mallowstall/state/StoredJobs.java
+++ b/src/main/java/mallowstall/state/StoredJobs.java
@@ -11,11 +11,11 @@
 import mallowstall.json.JsonReader;
 import mallowstall.json.JsonWriter;
 
-/** The entries of jobs as JSON; see {@link StoredEntries}. */
+/** Encodes and decodes the entries of jobs as JSON; see {@link StoredEntries}. */
 final class StoredJobs {
   private StoredJobs() {}
 
-  /** Writes the fields of the entry. */
+  /** Writes the fields of the entry into an open JSON object. */
   static void write(JsonGenerator out, JobEntry job) throws IOException {
     out.writeFieldName(StoredFields.SPEC);
     out.writeStartObject();
@@ -51,14 +51,14 @@
     out.writeNumberField(StoredFields.CHECKPOINT_S, spec.checkpointIntervalS());
     out.writeNumberField(StoredFields.SAVE_S, spec.checkpointSaveS());
     JsonWriter.doubleOrNull(out, StoredFields.DEADLINE_S, spec.deadlineS());
-    // only where it isn't the usual one: entries of batch jobs equal those of versions without
-    // services, byte for byte
+    // The kind of a batch job is omitted, so that its entry equals, byte for byte, the entry that
+    // a version without services writes.
     if (spec.kind() != JobKind.BATCH) {
       out.writeStringField(StoredFields.KIND, spec.kind().name());
     }
   }
 
-  /** Reads the fields of an entry. */
+  /** Reads the fields of an entry up to the end of its JSON object. */
   static JobEntry read(JsonReader in) throws IOException {
     JobSpec spec = null;
     long submittedMs = 0;
@@ -96,7 +96,7 @@
         outcome);
   }
 
-  /** The fields of a specification that were read so far. Mutable. */
+  /** Collects the fields of a job specification while they are read. Mutable. */
   private static final class SpecFields {
     private String id;
     private String jobClass;
@@ -121,7 +121,7 @@
 
     JobSpec read(JsonReader in) throws IOException {
       while (in.nextField()) {
-        take(in);
+        readField(in);
       }
       return new JobSpec(
           id,
@@ -146,7 +146,7 @@
           kind);
     }
 
-    private void take(JsonReader in) throws IOException {
+    private void readField(JsonReader in) throws IOException {
       switch (in.field()) {
         case StoredFields.ID -> id = in.string();
         case StoredFields.JOB_CLASS -> jobClass = in.string();
