--- a/src/main/java/mallowstall/net/HttpClient.java
+++ b/src/main/java/mallowstall/net/HttpClient.java
@@ -20,36 +20,39 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * HTTP client of one server over a bounded number of persistent connections, without pipelining.
- * All methods run on its event loop, as do the callbacks.
+ * HTTP client for one server. The client keeps a bounded number of persistent connections and does
+ * not pipeline requests. All methods must be called on the event loop, which also runs callbacks.
  */
 public final class HttpClient {
   /**
-   * How a call has ended: the status of a response with its body, or one of the two outcomes
-   * without a response.
+   * The result of a call: the HTTP status and body of the response, or {@link #NO_RESPONSE} or
+   * {@link #NOT_SENT} with an empty body.
    */
   public record Reply(int status, byte[] body) {
-    /** The status of a call without a response: perhaps executed, perhaps later. */
+    /**
+     * The status of a call without a response. The server may have executed the request, or may
+     * still execute it later.
+     */
     public static final int NO_RESPONSE = 0;
 
-    /** The status of a call that was never sent. */
+    /** The status of a call whose request was never sent. */
     public static final int NOT_SENT = -1;
 
     static final Reply WITHOUT_RESPONSE = new Reply(NO_RESPONSE, new byte[0]);
     static final Reply UNSENT = new Reply(NOT_SENT, new byte[0]);
   }
 
-  /** Receives the reply on the event loop. */
+  /** Receives the result of a call on the event loop. */
   public interface Callback {
-    /** The call has ended, with an answer or without. */
+    /** Invoked once when the call has ended, with or without a response. */
     void done(Reply reply);
   }
 
-  /** Bytes of a response body. */
-  private static final int MAX_RESPONSE = 8 << 20;
+  /** Maximum size of a response body in bytes. */
+  private static final int MAX_RESPONSE_BYTES = 8 << 20;
 
-  /** Calls that wait for a connection; further ones are not sent. */
-  private static final int MAX_QUEUE = 400;
+  /** Maximum number of calls that wait for a connection. Further calls end as not sent. */
+  private static final int MAX_QUEUED_CALLS = 400;
 
   private static final long MAX_CONNECT_MS = 1_000;
 
@@ -59,36 +62,36 @@
   private final String host;
   private final ArrayDeque<Connection> idle = new ArrayDeque<>();
   private final ArrayDeque<Call> queue = new ArrayDeque<>();
-  private int open;
+  private int openConnections;
   private boolean retired;
 
-  /** A request and who waits for its answer. Mutable. */
+  /** A request with its deadline and the callback for its result. Mutable. */
   private static final class Call {
     final HttpMethod method;
     final String path;
     final byte[] body;
-    final Callback then;
+    final Callback callback;
     final long deadline;
-    boolean over;
+    boolean finished;
 
-    Call(HttpMethod method, String path, byte[] body, long deadline, Callback then) {
+    Call(HttpMethod method, String path, byte[] body, long deadline, Callback callback) {
       this.method = method;
       this.path = path;
       this.body = body;
       this.deadline = deadline;
-      this.then = then;
+      this.callback = callback;
     }
 
     void finish(Reply reply) {
-      if (over) {
+      if (finished) {
         return;
       }
-      over = true;
-      then.done(reply);
+      finished = true;
+      callback.done(reply);
     }
   }
 
-  /** A client of one server that opens so many connections at most. */
+  /** Creates a client that has at most {@code maxConnections} connections open at a time. */
   public HttpClient(EventLoop loop, InetSocketAddress address, int maxConnections) {
     this.loop = loop;
     this.address = address;
@@ -96,19 +99,22 @@
     this.host = address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 
-  /** Sends a request; the callback hears of its end once, at the latest after the timeout. */
-  public void call(HttpMethod method, String path, byte[] body, long timeoutMs, Callback then) {
-    Call call = new Call(method, path, body, System.nanoTime() + timeoutMs * 1_000_000, then);
+  /**
+   * Sends a request. The callback is called exactly once, at the latest when {@code timeoutMs}
+   * milliseconds have passed.
+   */
+  public void call(HttpMethod method, String path, byte[] body, long timeoutMs, Callback callback) {
+    Call call = new Call(method, path, body, System.nanoTime() + timeoutMs * 1_000_000, callback);
     Connection connection = idle.poll();
     if (connection != null) {
       connection.send(call);
-    } else if (open < maxConnections) {
+    } else if (openConnections < maxConnections) {
       connect(call);
-    } else if (queue.size() >= MAX_QUEUE) {
+    } else if (queue.size() >= MAX_QUEUED_CALLS) {
       loop.execute(() -> call.finish(Reply.UNSENT));
     } else {
       queue.add(call);
-      // a call that waits too long for a connection was surely never sent
+      // A call that still waits for a connection at its timeout was never sent.
       loop.schedule(
           () -> {
             if (queue.remove(call)) {
@@ -120,7 +126,10 @@
     }
   }
 
-  /** No further call will be made: connections close at once, or when their call is over. */
+  /**
+   * Closes idle connections at once and the others when their call ends. The caller makes no
+   * further calls.
+   */
   public void retire() {
     retired = true;
     for (Connection connection : new ArrayDeque<>(idle)) {
@@ -129,36 +138,38 @@
   }
 
   private void connect(Call call) {
-    open++;
-    long left = Math.max(1, (call.deadline - System.nanoTime()) / 1_000_000);
+    openConnections++;
+    long remainingMs = Math.max(1, (call.deadline - System.nanoTime()) / 1_000_000);
     Connection connection = new Connection();
     TcpBootstraps.client(
             loop,
-            (int) Math.min(left, MAX_CONNECT_MS),
+            (int) Math.min(remainingMs, MAX_CONNECT_MS),
             channel ->
                 channel
                     .pipeline()
                     .addLast(
-                        new HttpClientCodec(), new HttpObjectAggregator(MAX_RESPONSE), connection))
+                        new HttpClientCodec(),
+                        new HttpObjectAggregator(MAX_RESPONSE_BYTES),
+                        connection))
         .connect(address)
         .addListener(
             future -> {
               if (future.isSuccess()) {
                 connection.send(call);
               } else {
-                open--;
+                openConnections--;
                 call.finish(Reply.UNSENT);
-                next();
+                sendQueuedCalls();
               }
             });
   }
 
-  private void next() {
+  private void sendQueuedCalls() {
     while (!queue.isEmpty()) {
       Connection connection = idle.poll();
       if (connection != null) {
         connection.send(queue.poll());
-      } else if (open < maxConnections) {
+      } else if (openConnections < maxConnections) {
         connect(queue.poll());
       } else {
         return;
@@ -166,7 +177,7 @@
     }
   }
 
-  /** One connection: one call at a time. */
+  /** A connection, which carries one call at a time. */
   private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
     private Channel channel;
     private Call current;
@@ -183,12 +194,15 @@
         request.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
       }
       request.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
-      long left = Math.max(1, (call.deadline - System.nanoTime()) / 1_000_000);
-      timer = loop.schedule(() -> channel.close(), left, TimeUnit.MILLISECONDS);
+      long remainingMs = Math.max(1, (call.deadline - System.nanoTime()) / 1_000_000);
+      timer = loop.schedule(() -> channel.close(), remainingMs, TimeUnit.MILLISECONDS);
       channel.writeAndFlush(request);
     }
 
-    /** Not channelActive: the connect listener, which sends the first call, may run before it. */
+    /**
+     * Sets the channel. {@code channelActive} would be too late: the connect listener, which sends
+     * the first call, may run before it.
+     */
     @Override
     public void handlerAdded(ChannelHandlerContext ctx) {
       channel = ctx.channel();
@@ -205,13 +219,13 @@
       timer.cancel(false);
       byte[] responseBody = new byte[response.content().readableBytes()];
       response.content().readBytes(responseBody);
-      boolean keep = HttpUtil.isKeepAlive(response);
-      if (keep && !retired) {
+      boolean keepAlive = HttpUtil.isKeepAlive(response);
+      if (keepAlive && !retired) {
         idle.push(this);
       } else {
         ctx.close();
       }
-      next();
+      sendQueuedCalls();
       call.finish(new Reply(response.status().code(), responseBody));
     }
 
@@ -221,7 +235,7 @@
         return;
       }
       closed = true;
-      open--;
+      openConnections--;
       idle.remove(this);
       if (timer != null) {
         timer.cancel(false);
@@ -231,7 +245,7 @@
         current = null;
         call.finish(Reply.WITHOUT_RESPONSE);
       }
-      next();
+      sendQueuedCalls();
     }
 
     @Override
--- a/src/main/java/mallowstall/net/HttpServer.java
+++ b/src/main/java/mallowstall/net/HttpServer.java
@@ -34,25 +34,26 @@
 import mallowstall.Constants;
 
 /**
- * HTTP server for users, workers and health checks. Connections are bounded in number, their
- * requests are answered one after the other, and those that are idle or too slow are closed. Runs
- * on one event loop, on which the handler is called and must respond.
+ * HTTP server for users, workers and health checks. The server bounds the number of connections,
+ * answers the requests of a connection in order, and closes idle and slow connections. It runs on
+ * one event loop, on which the handler is called and must respond.
  */
 public final class HttpServer {
-  /** One request; {@code body} is complete. */
+  /** A request with its complete body. */
   public record Request(String method, String path, byte[] body) {}
 
-  /** A response; {@code retryAfterS} 0: without a Retry-After header. */
+  /** A response. It has no Retry-After header if {@code retryAfterS} is 0. */
   public record Response(int status, byte[] json, int retryAfterS) {}
 
-  /** Takes the response to one request, once; later calls are ignored. */
+  /** Sends the response to one request. Calls after the first one are ignored. */
   public interface Responder {
-    /** Sends the response; {@code retryAfterS} 0: without a Retry-After header. */
+    /** Sends a response, without a Retry-After header if {@code retryAfterS} is 0. */
     void answer(int status, byte[] json, int retryAfterS);
 
     /**
-     * Sends the response that may leave in the moment of the write, in steady ms by {@link
-     * SteadyClock}. A responder that writes to no connection has no such moment, and is in time.
+     * Sends the response that the function returns for the time of the write, in milliseconds of
+     * {@link SteadyClock}. A responder without a connection has no time of the write and passes
+     * {@link Long#MIN_VALUE}, for which no response is too late.
      */
     default void answerAtDeparture(LongFunction<Response> responseAt) {
       Response response = responseAt.apply(Long.MIN_VALUE);
@@ -60,16 +61,16 @@
     }
   }
 
-  /** What a server does with its requests. */
+  /** Handles the requests that a server receives. */
   public interface Handler {
-    /** Takes a request, which is answered now or later. */
+    /** Handles a request. The responder may be used before this method returns or later. */
     void handle(Request request, Responder responder);
   }
 
-  /** Limits for slow requests and idle connections, and the interval at which they are checked. */
+  /** Timeouts of slow requests and idle connections, and the interval at which they are checked. */
   record Timeouts(long slowRequestMs, long idleMs, long sweepMs) {}
 
-  /** Count. Requests of a connection that wait for the answer to an earlier one. */
+  /** Maximum number of requests of a connection that wait for the response to an earlier one. */
   private static final int WAITING_REQUESTS_MAX = 8;
 
   private static final byte[] BODY_TOO_LARGE =
@@ -80,11 +81,11 @@
   private final Handler handler;
   private final int maxConnections;
   private final Timeouts timeouts;
-  private final Set<IdleTracker> open = new HashSet<>();
-  private Channel listening;
+  private final Set<IdleTracker> openConnections = new HashSet<>();
+  private Channel serverChannel;
   private PeriodicTask sweep;
 
-  /** A server that keeps so many connections open at most. */
+  /** Creates a server that has at most {@code maxConnections} connections open at a time. */
   public HttpServer(Handler handler, int maxConnections) {
     this(
         handler,
@@ -101,20 +102,23 @@
     this.maxConnections = maxConnections;
   }
 
-  /** Binds the address; the result is the bound address, or the failure. */
-  public CompletableFuture<InetSocketAddress> listen(EventLoopGroup group, InetSocketAddress at) {
+  /** Binds the address. The future completes with the bound address or with the failure. */
+  public CompletableFuture<InetSocketAddress> listen(
+      EventLoopGroup group, InetSocketAddress address) {
     CompletableFuture<InetSocketAddress> result = new CompletableFuture<>();
     ChannelFuture bound =
-        TcpBootstraps.server(group, this::accept).option(ChannelOption.SO_BACKLOG, 256).bind(at);
-    listening = bound.channel();
-    // one sweep for all connections: a timer for each wakes the process too often
+        TcpBootstraps.server(group, this::accept)
+            .option(ChannelOption.SO_BACKLOG, 256)
+            .bind(address);
+    serverChannel = bound.channel();
+    // One sweep checks all connections: a timer per connection would wake the process too often.
     sweep =
         new PeriodicTask(
             "idle connections", group.next(), timeouts.sweepMs, () -> closeIdle(System.nanoTime()));
     bound.addListener(
         future -> {
           if (future.isSuccess()) {
-            result.complete((InetSocketAddress) listening.localAddress());
+            result.complete((InetSocketAddress) serverChannel.localAddress());
           } else {
             result.completeExceptionally(future.cause());
           }
@@ -123,7 +127,7 @@
   }
 
   private void accept(SocketChannel channel) {
-    if (open.size() >= maxConnections) {
+    if (openConnections.size() >= maxConnections) {
       channel.close();
       return;
     }
@@ -137,25 +141,28 @@
             connection);
   }
 
-  /** Stops listening; open connections close with the event loop. */
+  /** Stops listening. Open connections are closed when the event loop shuts down. */
   public void close() {
-    if (listening == null) {
+    if (serverChannel == null) {
       return;
     }
     sweep.cancel();
-    listening.close();
+    serverChannel.close();
   }
 
-  /** Closes connections whose request arrives too slowly or never. */
+  /** Closes connections whose next request arrives too slowly or not at all. */
   private void closeIdle(long now) {
-    for (IdleTracker tracker : List.copyOf(open)) {
-      if (tracker.idle(now)) {
+    for (IdleTracker tracker : List.copyOf(openConnections)) {
+      if (tracker.timedOut(now)) {
         tracker.channel.close();
       }
     }
   }
 
-  /** Collects a request's body; one over the limit is answered with 400, as the protocol says. */
+  /**
+   * Collects the body of a request. A request whose body is larger than {@link
+   * Constants#BODY_MAX_BYTES} is answered with 400, as the protocol requires.
+   */
   private static final class BodyAggregator extends HttpObjectAggregator {
     private final Connection connection;
 
@@ -170,18 +177,19 @@
         return;
       }
       write(ctx, HttpStatus.BAD_REQUEST, BODY_TOO_LARGE, 0, false, false);
-      // closing with unread bytes resets the connection, and the sender may never see the answer
+      // Closing a connection with unread bytes resets it, and the client may then never receive
+      // the response. The rest of the body is therefore read and dropped before the close.
       ctx.executor()
           .schedule((Runnable) ctx::close, Constants.BODY_DISCARD_MS, TimeUnit.MILLISECONDS);
     }
   }
 
-  /** Tracks since when a connection's next request is awaited. */
+  /** Tracks how long a connection has been waiting for its next request or for the rest of it. */
   private final class IdleTracker extends ChannelInboundHandlerAdapter {
     private final Connection connection;
     private Channel channel;
-    private long since;
-    private long lastRead;
+    private long requestStartNanos;
+    private long lastReadNanos;
 
     IdleTracker(Connection connection) {
       this.connection = connection;
@@ -190,25 +198,25 @@
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
       channel = ctx.channel();
-      open.add(this);
-      since = System.nanoTime();
-      lastRead = since;
+      openConnections.add(this);
+      requestStartNanos = System.nanoTime();
+      lastReadNanos = requestStartNanos;
       ctx.fireChannelActive();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      open.remove(this);
+      openConnections.remove(this);
       ctx.fireChannelInactive();
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-      lastRead = System.nanoTime();
-      if (connection.complete) {
-        connection.complete = false;
-        since = lastRead;
-      } else if (idle(lastRead)) {
+      lastReadNanos = System.nanoTime();
+      if (connection.requestComplete) {
+        connection.requestComplete = false;
+        requestStartNanos = lastReadNanos;
+      } else if (timedOut(lastReadNanos)) {
         if (message instanceof ByteBuf bytes) {
           bytes.release();
         }
@@ -218,33 +226,37 @@
       ctx.fireChannelRead(message);
     }
 
-    /** Whether a request that has begun isn't complete in time, or none begins for long. */
-    private boolean idle(long now) {
+    /**
+     * Returns whether a request is incomplete {@code slowRequestMs} after it began, or no request
+     * has begun for {@code idleMs}. The first request of a connection begins with the connect. A
+     * connection with an unanswered request never times out.
+     */
+    private boolean timedOut(long now) {
       if (connection.busy) {
         return false;
       }
-      return connection.complete
-          ? now - lastRead > TimeUnit.MILLISECONDS.toNanos(timeouts.idleMs)
-          : now - since > TimeUnit.MILLISECONDS.toNanos(timeouts.slowRequestMs);
+      return connection.requestComplete
+          ? now - lastReadNanos > TimeUnit.MILLISECONDS.toNanos(timeouts.idleMs)
+          : now - requestStartNanos > TimeUnit.MILLISECONDS.toNanos(timeouts.slowRequestMs);
     }
   }
 
-  /** A request as it was received; null {@code request}: it isn't valid HTTP. */
+  /** A received request, null if it is not valid HTTP, and whether the connection stays open. */
   private record Received(Request request, boolean keep) {}
 
-  /** One connection: its requests are handled and answered one after the other. */
+  /** A connection, whose requests are handled and answered one after the other. */
   private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
-    /** Requests that came before the one ahead of them was answered, in their order. */
+    /** Requests that wait for the response to an earlier request, in order of receipt. */
     private final Deque<Received> waiting = new ArrayDeque<>();
 
-    /** The last request has arrived whole and no further one has begun. */
-    private boolean complete;
+    /** Whether the last request has been received completely and no further request has begun. */
+    private boolean requestComplete;
 
     private boolean busy;
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-      complete = true;
+      requestComplete = true;
       Received received = received(request);
       if (!busy) {
         handle(ctx, received);
@@ -277,7 +289,7 @@
       }
     }
 
-    /** The next request is an event of its own, after the one that responds to this request. */
+    /** Schedules the next request as a separate event, after the event that sends this response. */
     private void handleNext(ChannelHandlerContext ctx) {
       Received next = waiting.poll();
       if (next == null) {
@@ -287,7 +299,10 @@
       }
     }
 
-    /** A response now would be taken for that to an earlier request. */
+    /**
+     * Closes the connection if an earlier request is unanswered, because the client would take an
+     * error response for the response to that request. Returns whether one is unanswered.
+     */
     private boolean closeIfBusy(ChannelHandlerContext ctx) {
       if (busy) {
         ctx.close();
@@ -304,27 +319,30 @@
       }
     }
 
-    /** Responds to one request of the connection, once. */
+    /** Sends the response to one request of the connection. */
     private final class ConnectionResponder implements Responder {
       private final ChannelHandlerContext ctx;
-      private final boolean keep;
+      private final boolean keepAlive;
       private boolean answered;
 
-      ConnectionResponder(ChannelHandlerContext ctx, boolean keep) {
+      ConnectionResponder(ChannelHandlerContext ctx, boolean keepAlive) {
         this.ctx = ctx;
-        this.keep = keep;
+        this.keepAlive = keepAlive;
       }
 
       @Override
       public void answer(int status, byte[] json, int retryAfterS) {
         if (!answered) {
           answered = true;
-          write(ctx, status, json, retryAfterS, keep);
+          write(ctx, status, json, retryAfterS, keepAlive);
           handleNext(ctx);
         }
       }
 
-      /** What the socket doesn't take at once would leave too late: the connection is closed. */
+      /**
+       * Closes the connection if the socket doesn't accept the whole response at once, because the
+       * rest would be sent too late.
+       */
       @Override
       public void answerAtDeparture(LongFunction<Response> responseAt) {
         if (answered) {
@@ -333,7 +351,7 @@
         answered = true;
         Response response = responseAt.apply(SteadyClock.nowMs());
         ChannelFuture written =
-            write(ctx, response.status(), response.json(), response.retryAfterS(), keep);
+            write(ctx, response.status(), response.json(), response.retryAfterS(), keepAlive);
         if (!written.isDone()) {
           ctx.close();
         }
@@ -343,8 +361,8 @@
   }
 
   private static ChannelFuture write(
-      ChannelHandlerContext ctx, int status, byte[] json, int retryAfterS, boolean keep) {
-    return write(ctx, status, json, retryAfterS, keep, !keep);
+      ChannelHandlerContext ctx, int status, byte[] json, int retryAfterS, boolean keepAlive) {
+    return write(ctx, status, json, retryAfterS, keepAlive, !keepAlive);
   }
 
   private static ChannelFuture write(
@@ -352,7 +370,7 @@
       int status,
       byte[] json,
       int retryAfterS,
-      boolean keep,
+      boolean keepAlive,
       boolean close) {
     DefaultFullHttpResponse response =
         new DefaultFullHttpResponse(
@@ -366,7 +384,7 @@
     if (retryAfterS > 0) {
       response.headers().setInt(HttpHeaderNames.RETRY_AFTER, retryAfterS);
     }
-    if (!keep) {
+    if (!keepAlive) {
       response.headers().set(HttpHeaderNames.CONNECTION, "close");
     }
     ChannelFuture written = ctx.writeAndFlush(response);
--- a/src/main/java/mallowstall/net/HttpStatus.java
+++ b/src/main/java/mallowstall/net/HttpStatus.java
@@ -1,6 +1,6 @@
 package mallowstall.net;
 
-/** The HTTP status codes that the protocols of the controller use. */
+/** HTTP status codes that are used in the protocols of the controller. */
 public final class HttpStatus {
   public static final int OK = 200;
   public static final int BAD_REQUEST = 400;
--- a/src/main/java/mallowstall/net/PeriodicTask.java
+++ b/src/main/java/mallowstall/net/PeriodicTask.java
@@ -12,7 +12,10 @@
   private final String name;
   private final ScheduledFuture<?> future;
 
-  /** Runs the body at once, then with this delay after each run, also after one that has failed. */
+  /**
+   * Schedules the task: the body runs at once, and again {@code delayMs} after each run has ended
+   * or failed.
+   */
   public PeriodicTask(String name, EventLoop loop, long delayMs, Runnable body) {
     this.name = name;
     this.future =
@@ -29,7 +32,7 @@
             TimeUnit.MILLISECONDS);
   }
 
-  /** Ends the task; a run that has begun is completed. */
+  /** Cancels further runs. A run that has begun is completed. */
   public void cancel() {
     LOG.debug("periodic task cancelled name={}", name);
     future.cancel(false);
--- a/src/main/java/mallowstall/net/SocketAddresses.java
+++ b/src/main/java/mallowstall/net/SocketAddresses.java
@@ -3,16 +3,16 @@
 import java.net.InetSocketAddress;
 import java.util.regex.Pattern;
 
-/** Addresses as the protocols and the settings write them. */
+/** Parses socket addresses in the notation of the protocols and the settings. */
 public final class SocketAddresses {
   private static final Pattern IP_V4 = Pattern.compile("[0-9]{1,3}(\\.[0-9]{1,3}){3}");
 
   private SocketAddresses() {}
 
   /**
-   * An IPv4 address with a port, like {@code 10.0.0.1:8080}; names are never looked up.
+   * Parses an IPv4 address with a port, like {@code 10.0.0.1:8080}. Host names are never resolved.
    *
-   * @throws IllegalArgumentException for anything else
+   * @throws IllegalArgumentException if the string is not an IPv4 address with a port
    */
   public static InetSocketAddress parse(String address) {
     int colon = address.lastIndexOf(':');
--- a/src/main/java/mallowstall/net/SteadyClock.java
+++ b/src/main/java/mallowstall/net/SteadyClock.java
@@ -2,11 +2,11 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** The clock of all durations and deadlines: it never goes back, from an unspecified start. */
+/** The monotonic clock for all durations and deadlines. Its time starts at an arbitrary origin. */
 public final class SteadyClock {
   private SteadyClock() {}
 
-  /** Steady time in ms. */
+  /** Returns the time of the monotonic clock in milliseconds. */
   public static long nowMs() {
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
   }
--- a/src/main/java/mallowstall/net/TcpBootstraps.java
+++ b/src/main/java/mallowstall/net/TcpBootstraps.java
@@ -12,11 +12,11 @@
 import io.netty.channel.socket.nio.NioSocketChannel;
 import java.util.function.Consumer;
 
-/** TCP servers and clients with the socket options that all connections share. */
+/** Creates bootstraps of TCP servers and clients with the socket options of all connections. */
 public final class TcpBootstraps {
   private TcpBootstraps() {}
 
-  /** A server that is not bound yet; {@code initializer} prepares each accepted connection. */
+  /** Returns an unbound server whose accepted connections are set up by {@code initializer}. */
   public static ServerBootstrap server(EventLoopGroup group, Consumer<SocketChannel> initializer) {
     return new ServerBootstrap()
         .group(group)
@@ -27,7 +27,7 @@
         .childHandler(channelInitializer(initializer));
   }
 
-  /** A client that is not connected yet; {@code initializer} prepares its connection. */
+  /** Returns an unconnected client whose connection is set up by {@code initializer}. */
   public static Bootstrap client(
       EventLoop loop, int connectTimeoutMs, Consumer<SocketChannel> initializer) {
     return new Bootstrap()
--- a/src/main/java/mallowstall/net/package-info.java
+++ b/src/main/java/mallowstall/net/package-info.java
@@ -1,5 +1,5 @@
 /**
- * HTTP server and client, TCP bootstraps and periodic tasks on one event loop. Nothing here is safe
- * for use by other threads.
+ * HTTP server and client, TCP bootstraps and periodic tasks on one event loop. The classes are not
+ * safe for use by other threads.
  */
 package mallowstall.net;
--- a/src/main/java/mallowstall/users/MalformedSubmissionException.java
+++ b/src/main/java/mallowstall/users/MalformedSubmissionException.java
@@ -1,6 +1,9 @@
 package mallowstall.users;
 
-/** A submission that can't be accepted; the message names the field and is sent to the user. */
+/**
+ * Thrown when a submission is malformed. The message names the wrong field, where there is one, and
+ * is sent to the user.
+ */
 final class MalformedSubmissionException extends Exception {
   private static final long serialVersionUID = 1;
 
@@ -15,12 +18,12 @@
     this.job = job;
   }
 
-  /** The same, for a submission whose job could be read. */
-  MalformedSubmissionException about(String job) {
+  /** Returns an exception with the message of this one and the id of the submitted job. */
+  MalformedSubmissionException withJob(String job) {
     return new MalformedSubmissionException(getMessage(), job);
   }
 
-  /** The job of the submission; null if it couldn't be read. */
+  /** Returns the id of the submitted job, or null if the body holds no valid job id. */
   String job() {
     return job;
   }
--- a/src/main/java/mallowstall/users/Submission.java
+++ b/src/main/java/mallowstall/users/Submission.java
@@ -12,15 +12,15 @@
 import mallowstall.json.WrongTypeException;
 
 /**
- * A submission as its fields are read; those that are missing are null. The messages of its errors
- * are sent to users. Mutable.
+ * The fields of a submission, which are set while the body is parsed and then checked. A field that
+ * the body doesn't hold is null. Messages of exceptions are sent to users. Mutable.
  */
 final class Submission {
-  /** Count. Most tasks of one job (protocol). */
+  /** Maximum number of tasks of one job, as set by the protocol. */
   private static final int TASKS_MAX = 100_000;
 
   private static final Pattern JOB_ID = Pattern.compile("wk-[0-9]{1,18}");
-  private static final int MAX_TEXT = 200;
+  private static final int MAX_TEXT_LENGTH = 200;
   private static final double MAX_AMOUNT = 1e9;
   private static final Map<String, Priority> PRIORITIES =
       Map.of(
@@ -57,7 +57,7 @@
   private Double saveS;
   private Double deadlineS;
 
-  /** Reads a submission; null: the body is null. */
+  /** Reads a submission without checking its fields. Returns null if the body is JSON null. */
   private static Submission read(JsonReader in) throws IOException {
     if (!in.enterObjectIfPresent()) {
       return null;
@@ -95,7 +95,10 @@
     }
   }
 
-  /** The job of a submission that can't be read otherwise; null: it names none. */
+  /**
+   * Returns the job id of a submission in which another field can't be read, or null if the body
+   * holds no valid job id.
+   */
   private static String readJobId(byte[] body) {
     try {
       String id = JsonReader.read(body, Submission::readId);
@@ -120,15 +123,16 @@
     return id;
   }
 
-  /** Whether this is the id of a job. */
+  /** Returns whether the string has the form of a job id, like {@code wk-000412}. */
   static boolean isJobId(String id) {
     return JOB_ID.matcher(id).matches();
   }
 
   /**
-   * Reads and checks a submission.
+   * Parses a submission and checks its fields.
    *
-   * @throws MalformedSubmissionException with a message for the user
+   * @throws MalformedSubmissionException if the body or a field is invalid, with a message for the
+   *     user
    */
   static JobSpec parse(byte[] body) throws MalformedSubmissionException {
     Submission submission;
@@ -137,7 +141,7 @@
     } catch (WrongTypeException wrong) {
       String field = wrong.path().isEmpty() ? "the body" : wrong.outermostField();
       throw new MalformedSubmissionException(field + " has the wrong type or is out of range")
-          .about(readJobId(body));
+          .withJob(readJobId(body));
     } catch (JsonProcessingException failure) {
       throw new MalformedSubmissionException("the body is not JSON");
     } catch (IOException error) {
@@ -146,31 +150,35 @@
     if (submission == null) {
       throw new MalformedSubmissionException("the body is not an object");
     }
-    text(UserProtocol.JOB, submission.id);
+    requireText(UserProtocol.JOB, submission.id);
     if (!isJobId(submission.id)) {
       throw new MalformedSubmissionException(UserProtocol.JOB + " must look like wk-000412");
     }
     try {
       return submission.toSpec();
     } catch (MalformedSubmissionException malformed) {
-      throw malformed.about(submission.id);
+      throw malformed.withJob(submission.id);
     }
   }
 
-  /** The job that is described; checks the fields in the order of their messages. */
+  /**
+   * Checks the fields and returns the job that they describe. The order of the checks decides which
+   * message the user gets if several fields are invalid.
+   */
   private JobSpec toSpec() throws MalformedSubmissionException {
-    text(UserProtocol.JOB_CLASS, jobClass);
-    text(UserProtocol.TEAM, team);
-    JobKind jobKind = oneOf(UserProtocol.KIND, kind, KINDS, "batch or daemon");
+    requireText(UserProtocol.JOB_CLASS, jobClass);
+    requireText(UserProtocol.TEAM, team);
+    JobKind jobKind = requireOneOf(UserProtocol.KIND, kind, KINDS, "batch or daemon");
     Priority jobPriority =
-        oneOf(UserProtocol.PRIORITY, priority, PRIORITIES, "prod, high, standard or best_effort");
+        requireOneOf(
+            UserProtocol.PRIORITY, priority, PRIORITIES, "prod, high, standard or best_effort");
     checkTasks();
-    checkPlaces();
-    amount(UserProtocol.ESTIMATE_S, estimateS);
-    amount(UserProtocol.CHECKPOINT_S, checkpointS);
-    amount(UserProtocol.SAVE_S, saveS);
+    checkPlacement();
+    requireAmount(UserProtocol.ESTIMATE_S, estimateS);
+    requireAmount(UserProtocol.CHECKPOINT_S, checkpointS);
+    requireAmount(UserProtocol.SAVE_S, saveS);
     if (deadlineS != null) {
-      amount(UserProtocol.DEADLINE_S, deadlineS);
+      requireAmount(UserProtocol.DEADLINE_S, deadlineS);
     }
     return new JobSpec(
         id,
@@ -195,17 +203,18 @@
         jobKind);
   }
 
-  private static <T> T oneOf(String name, String value, Map<String, T> known, String words)
+  private static <T> T requireOneOf(
+      String name, String value, Map<String, T> known, String allowedValues)
       throws MalformedSubmissionException {
-    text(name, value);
+    requireText(name, value);
     T found = known.get(value);
     if (found == null) {
-      throw new MalformedSubmissionException(name + " must be " + words);
+      throw new MalformedSubmissionException(name + " must be " + allowedValues);
     }
     return found;
   }
 
-  /** How many tasks there are, and what each takes. */
+  /** Checks the number of tasks and the resources and image of each task. */
   private void checkTasks() throws MalformedSubmissionException {
     if (tasks == null) {
       throw new MalformedSubmissionException(UserProtocol.TASKS + " is missing");
@@ -213,21 +222,21 @@
     if (tasks < 1 || tasks > TASKS_MAX) {
       throw new MalformedSubmissionException(UserProtocol.TASKS + " must be 1 to " + TASKS_MAX);
     }
-    amount(UserProtocol.CPUS, cpus);
-    amount(UserProtocol.GPUS, gpus);
-    amount(UserProtocol.MEMORY_GB, memoryGb);
+    requireAmount(UserProtocol.CPUS, cpus);
+    requireAmount(UserProtocol.GPUS, gpus);
+    requireAmount(UserProtocol.MEMORY_GB, memoryGb);
     if (cpus <= 0) {
       throw new MalformedSubmissionException(UserProtocol.CPUS + " must be above 0");
     }
-    text(UserProtocol.IMAGE, image);
-    amount(UserProtocol.IMAGE_GB, imageGb);
+    requireText(UserProtocol.IMAGE, image);
+    requireAmount(UserProtocol.IMAGE_GB, imageGb);
   }
 
-  /** On which machines they may run. */
-  private void checkPlaces() throws MalformedSubmissionException {
+  /** Checks the fields that restrict on which machines the tasks may run. */
+  private void checkPlacement() throws MalformedSubmissionException {
     if (types != null) {
       for (String type : types) {
-        text(UserProtocol.MACHINE_TYPES, type);
+        requireText(UserProtocol.MACHINE_TYPES, type);
       }
       if (types.isEmpty()) {
         throw new MalformedSubmissionException(
@@ -235,23 +244,23 @@
       }
     }
     if (zone != null) {
-      text(UserProtocol.ZONE, zone);
+      requireText(UserProtocol.ZONE, zone);
     }
-    flag(UserProtocol.ONE_ZONE, oneZone);
-    flag(UserProtocol.SPREAD, spread);
-    flag(UserProtocol.SPOT, spot);
+    requireFlag(UserProtocol.ONE_ZONE, oneZone);
+    requireFlag(UserProtocol.SPREAD, spread);
+    requireFlag(UserProtocol.SPOT, spot);
   }
 
-  private static void text(String name, String value) throws MalformedSubmissionException {
+  private static void requireText(String name, String value) throws MalformedSubmissionException {
     if (value == null) {
       throw new MalformedSubmissionException(name + " is missing");
     }
-    if (value.isEmpty() || value.length() > MAX_TEXT) {
+    if (value.isEmpty() || value.length() > MAX_TEXT_LENGTH) {
       throw new MalformedSubmissionException(name + " must have 1 to 200 characters");
     }
   }
 
-  private static void amount(String name, Double value) throws MalformedSubmissionException {
+  private static void requireAmount(String name, Double value) throws MalformedSubmissionException {
     if (value == null) {
       throw new MalformedSubmissionException(name + " is missing");
     }
@@ -260,7 +269,7 @@
     }
   }
 
-  private static void flag(String name, Boolean value) throws MalformedSubmissionException {
+  private static void requireFlag(String name, Boolean value) throws MalformedSubmissionException {
     if (value == null) {
       throw new MalformedSubmissionException(name + " is missing");
     }
--- a/src/main/java/mallowstall/users/UserApiHandler.java
+++ b/src/main/java/mallowstall/users/UserApiHandler.java
@@ -11,19 +11,25 @@
 import mallowstall.net.HttpServer.Response;
 import mallowstall.net.HttpStatus;
 
-/** Submissions, queries and cancellations of users (protocol, Users). Runs on the event loop. */
+/**
+ * Handles submissions, queries and cancellations of users (see the protocol, section Users). All
+ * methods run on the event loop.
+ */
 public final class UserApiHandler {
-  /** Instead of a response that can't leave in time. */
+  /** The response that is sent if the actual one is no longer valid when it is written. */
   private static final Response EXPIRED = encode(ApiResponse.expired(), true);
 
   private final UserRequests core;
 
-  /** Turns users' requests into events of the core. */
+  /** Creates a handler that passes users' requests to the core. */
   public UserApiHandler(UserRequests core) {
     this.core = core;
   }
 
-  /** POST /submissions. */
+  /**
+   * Handles POST /submissions. The core also decides on a malformed submission with a valid job id,
+   * because a controller of another version may have accepted that job.
+   */
   public void submit(Request request, Responder responder) {
     JobSpec spec;
     try {
@@ -42,22 +48,22 @@
     core.submit(spec, response -> respond(response, responder, true));
   }
 
-  /** GET /submissions/{id}. */
+  /** Handles GET /submissions/{id}. */
   public void query(String id, Responder responder) {
-    if (isJob(id, responder)) {
+    if (checkJobId(id, responder)) {
       core.query(id, response -> respond(response, responder, false));
     }
   }
 
-  /** POST /submissions/{id}/cancel. */
+  /** Handles POST /submissions/{id}/cancel. */
   public void cancel(String id, Responder responder) {
-    if (isJob(id, responder)) {
+    if (checkJobId(id, responder)) {
       core.cancel(id, response -> respond(response, responder, true));
     }
   }
 
-  /** Whether the path names a job; if it doesn't, that is the response. */
-  private static boolean isJob(String id, Responder responder) {
+  /** Returns whether the id in the path has the form of a job id. If not, responds with 404. */
+  private static boolean checkJobId(String id, Responder responder) {
     if (Submission.isJobId(id)) {
       return true;
     }
@@ -69,7 +75,7 @@
     responder.answer(status, error(message), 0);
   }
 
-  /** The body that says why a request is rejected. */
+  /** Returns the body of an error response with the reason why the request is rejected. */
   private static byte[] error(String message) {
     return JsonWriter.object(out -> out.writeStringField(UserProtocol.ERROR, message));
   }
@@ -91,7 +97,7 @@
     return new Response(response.status(), json, response.retryAfterS());
   }
 
-  /** Writes the state of a job; {@code brief}: without the numbers of its tasks. */
+  /** Writes the state of a job, without the counts of its tasks if {@code brief} is set. */
   private static void writeState(JsonGenerator out, ApiResponse response, boolean brief)
       throws IOException {
     out.writeStringField(UserProtocol.JOB, response.id());
--- a/src/main/java/mallowstall/users/UserProtocol.java
+++ b/src/main/java/mallowstall/users/UserProtocol.java
@@ -1,13 +1,13 @@
 package mallowstall.users;
 
 /**
- * Words of the users' HTTP interface, by their standard meaning. They stand on the wire, so none
- * ever changes.
+ * Field names and values of the HTTP interface for users. Each constant is named by the standard
+ * term for its value. The values are sent over the network and never change.
  */
 final class UserProtocol {
   private UserProtocol() {}
 
-  // submission
+  // fields of a submission
   static final String JOB = "ref";
   static final String JOB_CLASS = "lote";
   static final String TEAM = "cuadrilla";
@@ -35,11 +35,11 @@
   static final String PRIORITY_NORMAL = "standard";
   static final String PRIORITY_LOW = "best_effort";
 
-  // kinds of jobs
+  // job kinds
   static final String KIND_BATCH = "batch";
   static final String KIND_SERVICE = "daemon";
 
-  // responses
+  // fields of responses
   static final String STATE = "estado";
   static final String DONE = "done";
   static final String RUNNING = "running";
--- a/src/main/java/mallowstall/users/package-info.java
+++ b/src/main/java/mallowstall/users/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The HTTP interface for users: submissions, queries and cancellations. Field names stand in {@link
- * mallowstall.users.UserProtocol} alone; error messages are part of the protocol.
+ * The HTTP interface for users: submissions, queries and cancellations. Only {@link
+ * mallowstall.users.UserProtocol} defines field names. Error messages are part of the protocol.
  */
 package mallowstall.users;
--- a/src/main/java/mallowstall/workers/HeartbeatCodec.java
+++ b/src/main/java/mallowstall/workers/HeartbeatCodec.java
@@ -12,11 +12,18 @@
 import mallowstall.json.JsonReader;
 import mallowstall.json.JsonWriter;
 
-/** Heartbeats and commands as JSON; see {@link WorkerProtocol}. */
+/**
+ * Decodes heartbeats from JSON and encodes commands as JSON, with the field names of {@link
+ * WorkerProtocol}.
+ */
 final class HeartbeatCodec {
   private HeartbeatCodec() {}
 
-  /** Reads a heartbeat; an {@link IOException} says which field is wrong. */
+  /**
+   * Reads a heartbeat.
+   *
+   * @throws IOException if the body is not a valid heartbeat; the message names the wrong field
+   */
   static Heartbeat read(byte[] body) throws IOException {
     Heartbeat heartbeat = JsonReader.read(body, HeartbeatCodec::readFields);
     if (heartbeat == null) {
@@ -119,8 +126,8 @@
     }
   }
 
-  private static TaskState state(String word) {
-    return switch (word == null ? "" : word) {
+  private static TaskState state(String value) {
+    return switch (value == null ? "" : value) {
       case WorkerProtocol.STATE_RUNNING -> TaskState.RUNNING;
       case WorkerProtocol.STATE_CHECKPOINTING -> TaskState.CHECKPOINTING;
       case WorkerProtocol.STATE_EXITED -> TaskState.EXITED;
@@ -128,8 +135,8 @@
     };
   }
 
-  private static ExitReason exitReason(String word) {
-    return switch (word == null ? "" : word) {
+  private static ExitReason exitReason(String value) {
+    return switch (value == null ? "" : value) {
       case WorkerProtocol.EXIT_DONE -> ExitReason.DONE;
       case WorkerProtocol.EXIT_STOPPED -> ExitReason.STOPPED;
       case WorkerProtocol.EXIT_INSUFFICIENT_CAPACITY -> ExitReason.INSUFFICIENT_CAPACITY;
@@ -139,7 +146,7 @@
     };
   }
 
-  /** Writes the fields of commands sent to the worker's own address. */
+  /** Writes the fields of a direct command request, which is sent to the worker's own address. */
   static void writeCommands(
       JsonGenerator out, long fencingToken, long session, List<WorkerCommand> commands)
       throws IOException {
@@ -148,7 +155,7 @@
     JsonWriter.list(out, WorkerProtocol.COMMANDS, commands, HeartbeatCodec::writeCommand);
   }
 
-  /** Writes the fields of the response to a heartbeat. */
+  /** Writes the fields of a response with status 200 to a heartbeat. */
   static void writeResponse(JsonGenerator out, long fencingToken, List<WorkerCommand> commands)
       throws IOException {
     out.writeNumberField(WorkerProtocol.FENCING_TOKEN, fencingToken);
--- a/src/main/java/mallowstall/workers/WorkerHttpAdapter.java
+++ b/src/main/java/mallowstall/workers/WorkerHttpAdapter.java
@@ -22,14 +22,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Heartbeats of workers with their responses, and commands sent to workers' own addresses
- * (protocol, Workers). Runs on the event loop.
+ * Passes heartbeats of workers to the core, responds to them, and sends direct commands to workers'
+ * own addresses (see the protocol, section Workers). All methods run on the event loop.
  */
 public final class WorkerHttpAdapter {
-  private static final byte[] EMPTY = {'{', '}'};
+  private static final byte[] EMPTY_OBJECT = {'{', '}'};
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.workers");
 
-  /** Connections kept to workers' own addresses; beyond it they are opened anew. */
+  /**
+   * Maximum number of clients that are kept, one per worker address. When a further client is
+   * needed, the least recently used one is retired; a command to its address opens a new
+   * connection.
+   */
   private final int maxClients;
 
   private final HeartbeatReceiver core;
@@ -38,7 +42,12 @@
   private final Object2ObjectLinkedOpenHashMap<String, HttpClient> clients =
       new Object2ObjectLinkedOpenHashMap<>();
 
-  /** Turns heartbeats into events of the core, and its commands into requests. */
+  /**
+   * Creates an adapter.
+   *
+   * @param events runs callbacks of commands as events of the core
+   * @param maxClients maximum number of worker addresses to which a client is kept
+   */
   public WorkerHttpAdapter(
       HeartbeatReceiver core, EventLoop loop, Consumer<Runnable> events, int maxClients) {
     this.maxClients = maxClients;
@@ -47,13 +56,20 @@
     this.events = events;
   }
 
-  /** POST /hello. */
+  /**
+   * Handles POST /hello: passes the heartbeat to the core and sends the core's response.
+   *
+   * @throws IOException if the body is not a valid heartbeat
+   */
   public void handleHeartbeat(Request request, Responder responder) throws IOException {
     core.handleHeartbeat(
         HeartbeatCodec.read(request.body()), response -> respond(response, responder));
   }
 
-  /** Commands to the worker's own address. */
+  /**
+   * Sends direct commands to the worker's own address. The callback receives {@link
+   * ResultCode#REJECTED} if the address is invalid.
+   */
   public void sendCommands(
       String address,
       long fencingToken,
@@ -68,7 +84,7 @@
         callback.accept(new CommandResult(ResultCode.REJECTED, null));
         return;
       }
-      // only the least recently used one is retired: the others may have calls under way
+      // Only the least recently used client is retired: the others may have calls in progress.
       if (clients.size() >= maxClients) {
         clients.removeFirst().retire();
       }
@@ -116,14 +132,17 @@
               0);
       case HttpStatus.MISDIRECTED_REQUEST ->
           responder.answer(HttpStatus.MISDIRECTED_REQUEST, redirect(response.redirectTo()), 0);
-      default -> responder.answer(response.status(), EMPTY, 1);
+      default -> responder.answer(response.status(), EMPTY_OBJECT, 1);
     }
   }
 
-  /** The body that names the controller to report to, if one is known. */
+  /**
+   * Returns the body of a redirect, which names the controller that the worker sends heartbeats to.
+   * The body is an empty object if {@code node} is null.
+   */
   private static byte[] redirect(String node) {
     return node == null
-        ? EMPTY
+        ? EMPTY_OBJECT
         : JsonWriter.object(out -> out.writeStringField(WorkerProtocol.REDIRECT_TO, node));
   }
 }
--- a/src/main/java/mallowstall/workers/WorkerProtocol.java
+++ b/src/main/java/mallowstall/workers/WorkerProtocol.java
@@ -1,16 +1,16 @@
 package mallowstall.workers;
 
 /**
- * Words of the protocol between workers and controllers, by their standard meaning. They stand on
- * the wire, so none ever changes.
+ * Paths, field names and values of the protocol between workers and controllers. Each constant is
+ * named by the standard term for its value. The values are sent over the network and never change.
  */
 final class WorkerProtocol {
   private WorkerProtocol() {}
 
-  // requests
+  // request paths
   static final String COMMANDS_PATH = "/orders";
 
-  // heartbeat
+  // fields of a heartbeat
   static final String MACHINE = "sierra";
   static final String ADDRESS = "addr";
   static final String MACHINE_TYPE = "calibre";
@@ -22,26 +22,26 @@
   static final String INTERRUPTION_NOTICE_S = "aviso_s";
   static final String TASKS = "piezas";
 
-  // task in a heartbeat or a command
+  // fields of a task in a heartbeat or a command
   static final String TASK = "pieza";
   static final String ATTEMPT = "intento";
   static final String STATE = "estado";
   static final String EXIT_REASON = "motivo";
   static final String CHECKPOINTED = "saved";
 
-  // task states; any other word means that the image is being fetched
+  // task states; any other value means that the worker is fetching the task's image
   static final String STATE_RUNNING = "running";
   static final String STATE_CHECKPOINTING = "flushing";
   static final String STATE_EXITED = "ended";
 
-  // exit reasons; any other word is an error
+  // exit reasons; any other value means an error
   static final String EXIT_DONE = "done";
   static final String EXIT_STOPPED = "stopped";
   static final String EXIT_INSUFFICIENT_CAPACITY = "full";
   static final String EXIT_BUSY = "busy";
   static final String EXIT_TASK_NOT_FOUND = "no_such";
 
-  // response and commands
+  // fields and values of heartbeat responses and commands
   static final String COMMANDS = "ordenes";
   static final String COMMAND = "orden";
   static final String GRACE_PERIOD_S = "respiro_s";
--- a/src/main/java/mallowstall/workers/package-info.java
+++ b/src/main/java/mallowstall/workers/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The protocol with workers: heartbeats and commands. Its field names stand in {@link
- * mallowstall.workers.WorkerProtocol} alone.
+ * The protocol between workers and controllers: heartbeats and commands. Only {@link
+ * mallowstall.workers.WorkerProtocol} defines its field names.
  */
 package mallowstall.workers;
