--- a/src/main/java/mallowstall/AdapterEffects.java
+++ b/src/main/java/mallowstall/AdapterEffects.java
@@ -22,7 +22,10 @@
 import mallowstall.state.StateServiceClient;
 import mallowstall.workers.WorkerHttpAdapter;
 
-/** The core's effects, each through its adapter. Used on the event loop only. */
+/**
+ * Carries out each of the core's effects through the adapter concerned. Used on the event loop
+ * only.
+ */
 final class AdapterEffects implements Effects {
   private final StateServiceClient state;
   private final CloudClient cloud;
@@ -37,8 +40,8 @@
   }
 
   /**
-   * Adds the adapters that call the core themselves and so are made after it. The core mustn't run
-   * an event before.
+   * Sets the adapters that call the core and are therefore created after the core. The core must
+   * not run an event before this call.
    */
   void connect(PeerConnections peers, WorkerHttpAdapter workers) {
     this.peers = peers;
@@ -51,7 +54,7 @@
     state.transact(
         transaction,
         reply -> {
-          metrics.timeNanos(ControllerMetrics.STATE_WRITE, System.nanoTime() - sentNanos);
+          metrics.recordNanos(ControllerMetrics.STATE_WRITE, System.nanoTime() - sentNanos);
           callback.accept(reply);
         });
   }
@@ -112,7 +115,7 @@
     cloud.scaleOut(
         request,
         reply -> {
-          metrics.timeNanos(ControllerMetrics.CLOUD_SCALE_OUT, System.nanoTime() - sentNanos);
+          metrics.recordNanos(ControllerMetrics.CLOUD_SCALE_OUT, System.nanoTime() - sentNanos);
           callback.accept(reply);
         });
   }
--- a/src/main/java/mallowstall/Constants.java
+++ b/src/main/java/mallowstall/Constants.java
@@ -1,164 +1,193 @@
 package mallowstall;
 
 /**
- * Constants that several classes share, or a class and tests of other packages, and those of
- * serving users. Each has its unit and the reason for its value or its source; what one class alone
- * uses stands there. Ordered by concern: clocks and numbers, state service, quota, jobs, peers,
- * machines, placement, autoscaling and users.
+ * Constants that are used by several classes, or by one class and by tests of other packages, and
+ * the constants for serving users. A constant that only one class uses is declared in that class.
+ * Each comment gives the unit and, where needed, the reason for the value or its source. The order
+ * is by concern: clocks and numbers, state service, quota, jobs, peers, machines, placement,
+ * autoscaling and users.
  */
 public final class Constants {
   private Constants() {}
 
-  /** Fraction. Steady clocks of two machines drift apart by at most this much (protocol). */
+  /** Maximum drift between two machines' steady clocks, as a fraction (protocol). */
   public static final double CLOCK_DRIFT_FRACTION = 0.0005;
 
   /**
-   * ms. Period of the core's regular work: short against the half second between a worker's
-   * heartbeats.
+   * Period of the core's regular work in milliseconds. It is short compared with the half second
+   * between two heartbeats of a worker.
    */
   public static final long TICK_MS = 100;
 
   /**
-   * Processors, GPUs, GB or tasks. Amounts that differ by less after one or two operations are
-   * equal.
+   * Tolerance in processors, GPUs, gigabytes or tasks. Amounts that differ by less count as equal,
+   * to allow for the rounding of one or two arithmetic operations.
    */
   public static final double ROUNDING_EPSILON = 1e-9;
 
   /**
-   * Bits of an attempt number below the leader epoch: a new leader's attempts exceed all earlier
-   * ones.
+   * Number of bits of an attempt number below the leader epoch. Because the epoch takes the higher
+   * bits, the attempt numbers of a new leader exceed all earlier ones.
    */
   public static final int ATTEMPT_BITS = 24;
 
   /**
-   * ms. Lease of a controller's session: survives a few lost renewals, and its end is noticed soon.
+   * Duration in milliseconds of the lease of a controller's session. It is long enough to survive a
+   * few lost renewals, and short enough that its end is noticed soon.
    */
   public static final long SESSION_LEASE_MS = 5_000;
 
-  /** ms. A watch without changes returns after this: bounds the age of the state replica. */
+  /**
+   * Time in milliseconds after which a watch without changes returns. It bounds the age of the
+   * state replica.
+   */
   public static final long WATCH_TIMEOUT_MS = 2_000;
 
-  /** ms. A request to the state service without a response by then has an unknown outcome. */
+  /**
+   * Time in milliseconds after which a request to the state service without a response has an
+   * unknown outcome.
+   */
   public static final long STATE_TIMEOUT_MS = 1_500;
 
-  /** ms. Wait after a failure of the state service before regular work tries again. */
+  /** Delay in milliseconds after a failure of the state service before regular work is retried. */
   public static final long STATE_RETRY_MS = 400;
 
-  /** Fraction of the shared rate limits that all controllers together plan to spend. */
+  /**
+   * Fraction of the shared rate limits of the state service and the cloud that all controllers
+   * together plan to use.
+   */
   public static final double STATE_RATE_FRACTION = 0.9;
 
   /**
-   * ms. Without a response of the state service for so long, while a peer has some, this controller
-   * is isolated.
+   * Time in milliseconds without a response of the state service after which this controller is
+   * isolated, if a peer does receive responses.
    */
   public static final long STATE_CUT_OFF_MS = 2_600;
 
-  /** Count. Tasks whose completion bits stand in one value of the first layout: 2 KiB raw. */
+  /** Number of tasks whose completion bits are in one value of the first layout, 2 KiB raw. */
   public static final int BITS_PER_CHUNK = 16_384;
 
   /**
-   * Count. Tasks whose completion bits stand in one value of the compact layout: 1 KiB raw and
-   * below 1.5 KiB encoded, so that they fit the lowest announced value limit, 2 KiB.
+   * Number of tasks whose completion bits are stored in one value of the compact layout. The value
+   * takes 1 KiB raw and less than 1.5 KiB encoded, so it fits the lowest announced value limit of 2
+   * KiB.
    */
   public static final int BITS_PER_PIECE = 8_192;
 
-  /** Fraction of a team's quota up to which its jobs get reservations at once and keep them. */
+  /** Fraction of a team's quota up to which its jobs receive reservations at once and keep them. */
   public static final double QUOTA_UNCONTENDED_FRACTION = 0.5;
 
-  /** ms. Between scans for jobs whose leader has ended. */
+  /** Interval in milliseconds between scans for jobs whose leader has ended. */
   public static final long JOB_FAILOVER_SCAN_INTERVAL_MS = 300;
 
-  /** Count. Machines on which a job may fail before the fault is taken for the job's own. */
+  /**
+   * Number of machines on which a job must fail before its failures are attributed to the job and
+   * no longer to the machines.
+   */
   public static final int JOB_FAULT_MACHINES = 4;
 
-  /** ms. First wait of a policy that failed (docs/design.md). */
+  /**
+   * Initial delay in milliseconds of a backoff, such as that of a policy that found no capacity
+   * (docs/design.md).
+   */
   public static final long BACKOFF_INITIAL_MS = 1_000;
 
-  /** ms. Longest wait of a policy that failed (docs/design.md). */
+  /** Maximum delay in milliseconds of a backoff (docs/design.md). */
   public static final long BACKOFF_MAX_MS = 10_000;
 
-  /** ms. A peer's status update older than this isn't used for placement; its digest is. */
+  /**
+   * Age in milliseconds above which a peer's status update is stale. Placement then uses the peer's
+   * digest instead.
+   */
   public static final long STATUS_UPDATE_STALE_MS = 4_000;
 
   /**
-   * ms. The status of an unchanged machine is published again after this: keeps idle times and
-   * heartbeat ages at the peers about right.
+   * Time in milliseconds after which the status of an unchanged machine is published again. This
+   * keeps the idle times and heartbeat ages at the peers approximately correct.
    */
   public static final long MACHINE_STATUS_REFRESH_MS = 4_000;
 
   /**
-   * ms. A command request without a response by then has an unknown outcome: the worker may still
-   * execute the commands.
+   * Time in milliseconds after which a command request without a response has an unknown outcome:
+   * the worker may still execute the commands.
    */
   public static final long COMMAND_REQUEST_TIMEOUT_MS = 2_000;
 
   /**
-   * ms. Machines of an ended controller that have reported to nobody since are asked by the others
-   * after this: by then most workers have found another leader themselves.
+   * Delay in milliseconds before the other controllers probe the machines of an ended controller
+   * that have reported to no controller since. By then most workers have found another leader by
+   * themselves.
    */
   public static final long MACHINE_FAILOVER_DELAY_MS = 3_000;
 
   /**
-   * Count. Most recoveries of a restarted controller's machines under way: other changes need the
-   * state service's rate as well.
+   * Maximum number of a restarted controller's machines that are being recovered at a time. Other
+   * changes need a part of the state service's rate limit as well.
    */
   public static final int RECOVERY_CONCURRENCY = 4;
 
   /**
-   * ms. Least time between two scheduling passes: a pass looks at all machines and queued jobs, and
-   * status updates come many times a second.
+   * Minimum time in milliseconds between two scheduling passes. A pass examines all machines and
+   * queued jobs, and status updates arrive many times a second.
    */
   public static final long PLACEMENT_PASS_INTERVAL_MIN_MS = 90;
 
   /**
-   * ms. A start that its machine leader hasn't sent to the worker by then is dropped, however long
-   * the job leader's lease lasts.
+   * Time in milliseconds after which a start is dropped if its machine leader has not sent it to
+   * the worker, even if the job leader's lease lasts longer.
    */
   public static final long START_EXPIRY_MS = 8_000;
 
   /**
-   * ms. The target of a moving replica is reserved, and a faulty machine isn't returned, for so
-   * long: time to save, to exit, and for the report of it.
+   * Time in milliseconds for which the target of a replica's relocation stays reserved and a faulty
+   * machine isn't returned. This leaves time to save, to exit and to report the exit.
    */
   public static final long RELOCATION_RESERVATION_MS = 6_000;
 
-  /** ms. A queued job of higher priority may preempt lower work after this time. */
+  /**
+   * Time in milliseconds after which a queued job of higher priority may preempt work of lower
+   * priority.
+   */
   public static final long PREEMPTION_DELAY_MS = 2_500;
 
   /**
-   * ms. A job that has no tasks on machines and of which none ran for so long comes before all
-   * others: the largest must begin within 4 minutes however long an overload lasts, and capacity
-   * must still be freed and an image fetched.
+   * Time in milliseconds after which a job that has no tasks on machines, and none of whose tasks
+   * ran meanwhile, is placed before all other jobs. The largest job must begin within 4 minutes
+   * however long an overload lasts, and part of that time is needed to free capacity and to fetch
+   * an image.
    */
   public static final long STARVATION_MS = 90_000;
 
-  /** ms. Between two plans of the controller that leads the autoscaler. */
+  /** Interval in milliseconds between two plans of the controller that leads the autoscaler. */
   public static final long AUTOSCALER_INTERVAL_MS = 1_500;
 
-  /** Count. Most machines per scale-in request (protocol). */
+  /** Maximum number of machines per scale-in request (protocol). */
   public static final int SCALE_IN_MACHINES_MAX = 100;
 
   /**
-   * ms. A starting controller listens to users and workers after this even if it can't serve them
-   * yet: without the state service they get a Retry-After.
+   * Time in milliseconds after which a starting controller listens to users and workers even if it
+   * can't serve them yet. Without the state service they receive a Retry-After.
    */
   public static final long LISTEN_DELAY_MAX_MS = 5_000;
 
-  /** Bytes. Largest request body (protocol). */
+  /** Maximum size of a request body in bytes (protocol). */
   public static final int BODY_MAX_BYTES = 64 << 10;
 
-  /** Count. Ended jobs kept in memory to answer queries without a read. */
+  /** Maximum number of ended jobs that are kept in memory to answer queries without a read. */
   public static final int TERMINAL_JOBS_CACHE_MAX = 4_000;
 
-  /** ms. How long the rest of a body that is too large is read and dropped before closing. */
+  /**
+   * Time in milliseconds for which the rest of an oversized body is read and discarded before the
+   * connection is closed.
+   */
   public static final long BODY_DISCARD_MS = 1_000;
 
-  /** s. A connection without a request for so long is closed. */
+  /** Time in seconds after which a connection without a request is closed. */
   public static final int IDLE_CONNECTION_TIMEOUT_S = 60;
 
-  /** ms. Between two scans for such connections, and for requests that come too slowly. */
+  /** Interval in milliseconds between scans for idle connections and for too slow requests. */
   public static final long CONNECTION_SWEEP_INTERVAL_MS = 1_000;
 
-  /** s. A request that has begun to arrive must be complete within this. */
+  /** Time in seconds within which a request that has begun to arrive must be complete. */
   public static final int REQUEST_READ_TIMEOUT_S = 10;
 }
--- a/src/main/java/mallowstall/Controller.java
+++ b/src/main/java/mallowstall/Controller.java
@@ -22,40 +22,49 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One controller: the core with its adapters, on one event loop. {@link #start}, {@link #stop} and
- * {@link #address} may be called by any thread; everything else runs on the event loop.
+ * One controller: the core and its adapters on one event loop. The methods {@link #start}, {@link
+ * #stop} and {@link #address} may be called by any thread; all other code runs on the event loop.
  */
 public final class Controller {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.service");
 
-  /** Count. Connections to the state service besides the watch; requests are not pipelined. */
+  /**
+   * Maximum number of connections to the state service besides those of the watch. Requests are not
+   * pipelined.
+   */
   private static final int STATE_CONNECTIONS = 6;
 
-  /** Count. Connections of the watch, its own so that it never waits for another request's. */
+  /**
+   * Maximum number of connections for the watch. They are separate so that the watch never waits
+   * for the connection of another request.
+   */
   private static final int WATCH_CONNECTIONS = 2;
 
-  /** Count. Most connections accepted from peers at a time. */
+  /** Maximum number of connections accepted from peers at a time. */
   private static final int PEER_CONNECTIONS = 16;
 
-  /** Count. Connections to the cloud. */
+  /** Maximum number of connections to the cloud. */
   private static final int CLOUD_CONNECTIONS = 2;
 
-  /** Count. Sockets that this process may open, if the settings don't limit them. */
+  /** Maximum number of sockets that this process opens if the settings set no limit. */
   private static final int MAX_CONNECTIONS_DEFAULT = 500;
 
-  /** Fraction of the sockets that users and workers may use. */
+  /** Fraction of the sockets that are available to users and workers. */
   private static final double SERVER_SOCKET_FRACTION = 0.7;
 
-  /** Fraction of the sockets kept open to workers' own addresses. */
+  /** Fraction of the sockets that are available for connections to workers' own addresses. */
   private static final double WORKER_CLIENT_SOCKET_FRACTION = 0.2;
 
-  /** ms. A stopping event loop ends once nothing has come for so long. */
+  /** Time in milliseconds without new work after which a stopping event loop ends. */
   private static final long STOP_QUIET_MS = 50;
 
-  /** ms. A stopping event loop ends after this in any case. */
+  /** Time in milliseconds after which a stopping event loop ends in any case. */
   private static final long STOP_TIMEOUT_MS = 500;
 
-  /** ms. Workers needn't wait any longer for what only users' requests still need. */
+  /**
+   * Maximum delay in milliseconds before an initialized controller listens. Workers need not wait
+   * longer for what only users' requests require.
+   */
   private static final long INITIALIZED_LISTEN_DELAY_MAX_MS = 1_000;
 
   private final NioEventLoopGroup group = new NioEventLoopGroup(1);
@@ -70,10 +79,10 @@
   private boolean listening;
   private PeriodicTask tick;
 
-  /** Wires the core to its adapters; nothing runs before {@link #start}. */
+  /** Connects the core with its adapters. Nothing runs before {@link #start}. */
   public Controller(Settings settings, Policy.PolicyRegistry policies) {
     this.settings = settings;
-    // adapters report events to the core, which is made after those that it calls
+    // The adapters report events to the core, which is created after the adapters that it calls.
     Consumer<Runnable> runEvent = this::runEvent;
     InetSocketAddress stateAddress = SocketAddresses.parse(settings.endpoints().state());
     HttpClient stateClient = new HttpClient(loop, stateAddress, STATE_CONNECTIONS);
@@ -108,7 +117,7 @@
             (int) (sockets * SERVER_SOCKET_FRACTION));
   }
 
-  /** Differs by controller, and stays the same after a restart. */
+  /** Returns a seed that differs between controllers and stays unchanged after a restart. */
   private static long randomSeed(String node) {
     return node.hashCode() * 31L + 7;
   }
@@ -124,10 +133,11 @@
   }
 
   /**
-   * Connects to peers and begins to tick. The port for users and workers opens once requests can be
-   * taken, or at the latest after {@link Constants#LISTEN_DELAY_MAX_MS}: turning away hundreds of
-   * workers one by one takes all the processor time that getting ready needs, and a closed port
-   * sends them on as well. Call it once.
+   * Connects to the peers and starts the periodic tick. The port for users and workers opens once
+   * requests can be served, or at the latest after {@link Constants#LISTEN_DELAY_MAX_MS}. Until
+   * then the port stays closed, because rejecting hundreds of workers one by one would take all the
+   * processor time that the controller needs to become ready, and a closed port makes workers try
+   * another controller as well. This method must be called only once.
    *
    * @throws InterruptedException if interrupted before peers can connect
    */
@@ -175,14 +185,17 @@
   }
 
   /**
-   * Where users and workers reach this controller, once it listens; completed exceptionally if it
-   * can't.
+   * Returns the address at which users and workers reach this controller. The future completes once
+   * the controller listens, or exceptionally if it can't listen.
    */
   public CompletableFuture<InetSocketAddress> address() {
     return address;
   }
 
-  /** Ends the tick, then connections, then the event loop; returns before that is done. */
+  /**
+   * Stops the tick, then the connections, then the event loop. Returns before all of them have
+   * ended.
+   */
   public void stop() {
     loop.execute(
         () -> {
--- a/src/main/java/mallowstall/ControllerMetrics.java
+++ b/src/main/java/mallowstall/ControllerMetrics.java
@@ -9,11 +9,11 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Counters through Micrometer, latencies in HdrHistograms; the set of names is fixed, so bounded in
- * size. Used on the event loop only.
+ * Counts events with Micrometer and records latencies in HdrHistograms. The set of names is fixed,
+ * so the size is bounded. Used on the event loop only.
  */
 final class ControllerMetrics implements Metrics {
-  /** Latency of submissions, from the whole request to the response. */
+  /** Latency of submissions, from the receipt of the complete request to the response. */
   static final String SUBMIT = "submit";
 
   /** Latency of the state service's transactions. */
@@ -22,13 +22,16 @@
   /** Latency of scale-out requests to the cloud. */
   static final String CLOUD_SCALE_OUT = "cloud_rent";
 
-  /** Microseconds. Longer durations are counted as this. */
+  /** Maximum duration in microseconds. Longer durations are recorded as this value. */
   private static final long MAX_MICROS = 60_000_000;
 
   private static final int SIGNIFICANT_DIGITS = 2;
   private static final double[] QUANTILES = {0.5, 0.95, 0.99};
 
-  /** Made with the first counter: it takes a tenth of the processor time from exec to serving. */
+  /**
+   * Null before the first counter. It is created late because its creation takes a tenth of the
+   * processor time from exec to serving.
+   */
   private SimpleMeterRegistry registry;
 
   private final Map<String, Counter> counters = new TreeMap<>();
@@ -48,17 +51,17 @@
 
   @Override
   public void recordDuration(String name, long ms) {
-    timeNanos(name, TimeUnit.MILLISECONDS.toNanos(ms));
+    recordNanos(name, TimeUnit.MILLISECONDS.toNanos(ms));
   }
 
-  /** Records a duration in ns. */
-  void timeNanos(String name, long nanos) {
+  /** Records a duration in nanoseconds. */
+  void recordNanos(String name, long nanos) {
     latencies
         .computeIfAbsent(name, key -> new Histogram(MAX_MICROS, SIGNIFICANT_DIGITS))
         .recordValue(Math.min(MAX_MICROS, Math.max(0, nanos / 1_000)));
   }
 
-  /** All metrics in the text format of Prometheus; latencies in seconds. */
+  /** Returns all metrics in the text format of Prometheus, with latencies in seconds. */
   String text() {
     StringBuilder text = new StringBuilder();
     for (Map.Entry<String, Counter> entry : counters.entrySet()) {
--- a/src/main/java/mallowstall/CoreEvents.java
+++ b/src/main/java/mallowstall/CoreEvents.java
@@ -9,22 +9,25 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Runs the events of the core one by one with the clock set, and wakes the core when its next timer
- * is due. Used on the event loop only.
+ * Runs the core's events one at a time, sets the core's time before each event, and wakes the core
+ * when its next timer is due. Used on the event loop only.
  */
 final class CoreEvents {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.service");
 
-  /** Later than every timer. */
+  /** A time that is later than any timer. */
   private static final long NEVER = Long.MAX_VALUE;
 
   private final ControllerCore core;
   private final EventLoop loop;
 
-  /** The scheduled wake-up; null before the first one. */
+  /** The scheduled wake-up, or null before the first one. */
   private ScheduledFuture<?> wakeUp;
 
-  /** Steady ms. When it is due; {@link #NEVER} if none is. */
+  /**
+   * Steady time in milliseconds at which the wake-up is due, or {@link #NEVER} if none is
+   * scheduled.
+   */
   private long wakeUpAt = NEVER;
 
   CoreEvents(ControllerCore core, EventLoop loop) {
@@ -33,8 +36,8 @@
   }
 
   /**
-   * Runs one event, then what it has made due, and schedules the next wake-up. A failure of the
-   * event is logged: the next timer must be scheduled all the same.
+   * Runs one event and the work that is then due, and schedules the next wake-up. A failure of the
+   * event is logged and not thrown, because the next timer must be scheduled in any case.
    */
   void run(Runnable event) {
     core.setTime(SteadyClock.nowMs(), System.currentTimeMillis());
@@ -47,14 +50,17 @@
     scheduleWakeUp();
   }
 
-  /** No wake-up comes any more, unless another event runs. */
+  /** Cancels the scheduled wake-up. No other wake-up follows unless another event runs. */
   void cancelTimer() {
     if (wakeUp != null) {
       wakeUp.cancel(false);
     }
   }
 
-  /** A wake-up that is later than the next timer is replaced; an earlier one does no harm. */
+  /**
+   * Replaces a wake-up that is later than the next timer. An earlier wake-up does no harm and
+   * stays.
+   */
   private void scheduleWakeUp() {
     long next = core.nextTimerMs();
     if (next >= wakeUpAt) {
--- a/src/main/java/mallowstall/CoreSettingsFactory.java
+++ b/src/main/java/mallowstall/CoreSettingsFactory.java
@@ -10,15 +10,16 @@
 import mallowstall.core.model.Team;
 
 /**
- * Translates the platform's settings into those of the core: names, and seconds and KiB as well.
+ * Translates the platform's settings into those of the core: their names, and seconds to
+ * milliseconds and KiB to bytes.
  */
 final class CoreSettingsFactory {
   private CoreSettingsFactory() {}
 
-  /** The core's settings; {@code settings} must have been checked. */
+  /** Returns the core's settings. The given {@code settings} must have been validated. */
   static CoreSettings create(Settings settings) {
     Settings.Facts facts = settings.facts();
-    // when the limits fall isn't known: the lower ones are kept from the start
+    // The time at which the limits fall is unknown, so the lower ones are kept from the start.
     Settings.State state = facts.state().lowest();
     return new CoreSettings(
         settings.node(),
@@ -53,7 +54,10 @@
     return peers;
   }
 
-  /** Zones by controller, this one included; empty where the settings name none. */
+  /**
+   * Returns the zone of each controller, including this one. The zone is empty if the settings name
+   * none.
+   */
   private static Map<String, String> zones(Settings settings) {
     Map<String, String> zones = new HashMap<>();
     zones.put(settings.node(), settings.zone() == null ? "" : settings.zone());
@@ -75,7 +79,10 @@
     return teams;
   }
 
-  /** By class of jobs, the largest multiple of the deadline that an objective still counts. */
+  /**
+   * Returns, for each job class, the largest multiple of the deadline that an objective still
+   * counts.
+   */
   private static Map<String, Double> deadlineMultiples(List<Settings.Objective> objectives) {
     Map<String, Double> multiples = new HashMap<>();
     if (objectives != null) {
--- a/src/main/java/mallowstall/RequestRouter.java
+++ b/src/main/java/mallowstall/RequestRouter.java
@@ -13,7 +13,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Hands each HTTP request to what answers its path and method. Used on the event loop only. */
+/** Passes each HTTP request to the handler of its path and method. Used on the event loop only. */
 final class RequestRouter {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.service");
   private static final String SUBMISSIONS = "/submissions";
@@ -37,7 +37,10 @@
     this.metrics = metrics;
   }
 
-  /** Answers the request now or later, also when that fails. */
+  /**
+   * Passes the request to its handler, which responds now or later. If the handler throws an
+   * exception, the request is answered with status 500.
+   */
   void route(Request request, Responder responder) {
     String path = path(request);
     try {
@@ -60,7 +63,7 @@
     }
   }
 
-  /** The path without the query. */
+  /** Returns the path without the query string. */
   private static String path(Request request) {
     String path = request.path();
     int query = path.indexOf('?');
@@ -101,7 +104,7 @@
     users.submit(request, new TimedResponder(responder));
   }
 
-  /** Records how long a submission took, from its receipt to its response. */
+  /** Records the time that a submission takes from its receipt to its response. */
   private final class TimedResponder implements Responder {
     private final Responder responder;
     private final long receivedNanos = System.nanoTime();
@@ -123,11 +126,13 @@
     }
 
     private void recordDuration() {
-      metrics.timeNanos(ControllerMetrics.SUBMIT, System.nanoTime() - receivedNanos);
+      metrics.recordNanos(ControllerMetrics.SUBMIT, System.nanoTime() - receivedNanos);
     }
   }
 
-  /** Query or cancellation of one job; {@code rest} is the path behind {@code /submissions/}. */
+  /**
+   * Queries or cancels one job. {@code rest} is the part of the path after {@code /submissions/}.
+   */
   private void submission(String rest, Request request, Responder responder) {
     boolean cancel = rest.endsWith(CANCEL);
     String job = cancel ? rest.substring(0, rest.length() - CANCEL.length()) : rest;
@@ -142,7 +147,7 @@
     }
   }
 
-  /** Whether the request has this method; if not, it is answered. */
+  /** Returns whether the request has the given method. If it hasn't, responds with status 405. */
   private static boolean requireMethod(String method, Request request, Responder responder) {
     if (request.method().equals(method)) {
       return true;
--- a/src/main/java/mallowstall/core/AutoscalingModules.java
+++ b/src/main/java/mallowstall/core/AutoscalingModules.java
@@ -17,14 +17,16 @@
 import mallowstall.core.autoscaling.UnregisteredMachines;
 import mallowstall.core.kernel.TokenBucket;
 
-/** The modules that request and return machines by demand. Thread: the event loop's. */
+/**
+ * The modules that request and return machines according to demand. Used on the event loop only.
+ */
 final class AutoscalingModules {
   final MachineDemand machineDemand;
   final Autoscaler autoscaler;
 
   private final ClusterModules cluster;
 
-  /** Builds the modules and has the demand follow the machine types. */
+  /** Builds the modules and subscribes the machine demand to changes of the machine types. */
   AutoscalingModules(ClusterModules cluster) {
     this.cluster = cluster;
     machineDemand =
--- a/src/main/java/mallowstall/core/ClusterModules.java
+++ b/src/main/java/mallowstall/core/ClusterModules.java
@@ -23,9 +23,9 @@
 import mallowstall.core.model.StopBatch;
 
 /**
- * The modules that every other concern uses: clock, replica of the state service, view of the
- * cluster and the messages between controllers. Built once, before the others; thread: the event
- * loop's.
+ * The modules that every other concern uses: the clock, the replica of the state service, the view
+ * of the cluster and the messages between controllers. They are built once, before all other
+ * modules. Used on the event loop only.
  */
 final class ClusterModules {
   final CoreSettings settings;
@@ -48,11 +48,11 @@
   final PlacementTrigger placementTrigger;
 
   /**
-   * Builds the modules; none of them does anything before its first event.
+   * Builds the modules. No module acts before its first event.
    *
    * @param cancelled called with the id of a job when its cancellation becomes known
-   * @param ownStarts takes the start batches that this controller addresses to itself
-   * @param ownStops takes the stop batches that this controller addresses to itself
+   * @param ownStarts receives the start batches that this controller addresses to itself
+   * @param ownStops receives the stop batches that this controller addresses to itself
    */
   ClusterModules(
       CoreSettings settings,
--- a/src/main/java/mallowstall/core/ControllerCore.java
+++ b/src/main/java/mallowstall/core/ControllerCore.java
@@ -41,20 +41,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One controller without its sockets: takes events and the time, and hands each event to the module
- * that it concerns; requests to the outside leave through {@link Effects}. Not thread-safe: the
- * caller sets the time before each event and gives events one at a time. Replies may come before
- * the method returns; failures are replies too.
+ * One controller without its sockets. The core receives the time and events, and passes each event
+ * to the module concerned. Requests to other systems leave through {@link Effects}. Not
+ * thread-safe: the caller sets the time before each event and passes one event at a time. A reply
+ * may be given before the method returns, and a failure is given as a reply too.
  *
- * <p>Modules get what they use through their constructors, those of a lower layer first. Where a
- * lower layer calls a higher one, it takes a function that ends in one of the private methods here.
+ * <p>Modules receive the modules that they use through their constructors, and those of lower
+ * layers are built first. A module of a lower layer that calls a higher one receives a function
+ * that leads to one of the private methods of this class.
  */
 public final class ControllerCore implements UserRequests, HeartbeatReceiver, PeerEvents {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.core");
 
   /**
-   * ms. After its start a controller recovers the machines of its former process that have reported
-   * to nobody: most workers have come back by then, and need no second write.
+   * Delay in milliseconds from the start of a controller until it recovers the machines of its
+   * former process that have reported to no controller. By then most workers have reported again
+   * and need no second write.
    */
   private static final long RECOVERY_DELAY_MS = 7_000;
 
@@ -72,10 +74,10 @@
   private final JobApi jobApi;
 
   /**
-   * Builds all modules; none does anything before the first event.
+   * Builds all modules. No module acts before the first event.
    *
    * @param policies placement policies by job class
-   * @param metrics takes counts and durations
+   * @param metrics receives counts and durations
    * @param seed seed of random choices; equal events with an equal seed have equal effects
    */
   public ControllerCore(
@@ -176,7 +178,10 @@
         jobLeader::running);
   }
 
-  /** The order of the consumers is part of the behaviour: each sees the effects of those before. */
+  /**
+   * Returns the dispatcher of state changes. The order of the consumers is part of the behaviour,
+   * because each consumer sees the effects of those before it.
+   */
   private StateChangeDispatcher newDispatcher() {
     return new StateChangeDispatcher(
         List.of(
@@ -196,12 +201,15 @@
         this::replicaComplete);
   }
 
-  /** Sets the steady time and the time of day, both in ms, for the event that follows. */
+  /** Sets the steady time and the time of day, both in milliseconds, for the event that follows. */
   public void setTime(long steadyMs, long wallMs) {
     cluster.clock.advance(steadyMs, wallMs);
   }
 
-  /** Runs timers, a scheduling pass and commands that are due; call it after every event. */
+  /**
+   * Runs the timers and the scheduling pass that are due and sends pending commands. Must be called
+   * after every event.
+   */
   public void runDueWork() {
     cluster.clock.runDue();
     if (cluster.placementTrigger.takeDue()) {
@@ -210,12 +218,18 @@
     machines.commands.sendPending();
   }
 
-  /** Steady ms at which the next timer is due; {@code Long.MAX_VALUE}: none. */
+  /**
+   * Returns the steady time in milliseconds at which the next timer is due, or {@code
+   * Long.MAX_VALUE} if there is none.
+   */
   public long nextTimerMs() {
     return cluster.clock.nextTimerMs();
   }
 
-  /** The regular work of all modules; to be called every {@link Constants#TICK_MS}. */
+  /**
+   * Runs the regular work of all modules. Must be called every {@link Constants#TICK_MS}
+   * milliseconds.
+   */
   public void tick() {
     cluster.eventLoopLag.onTick(cluster.clock.now());
     cluster.store.tick();
@@ -268,12 +282,14 @@
     runDueWork();
   }
 
-  /** Whether workers can be served; users' requests perhaps not yet. */
+  /**
+   * Returns whether this controller can serve workers, even if it can't serve users' requests yet.
+   */
   public boolean isInitialized() {
     return jobApi.isInitialized();
   }
 
-  /** Whether users' requests can be served. */
+  /** Returns whether this controller can serve users' requests. */
   public boolean isReady() {
     return jobApi.isReady();
   }
@@ -329,32 +345,37 @@
     cluster.placementTrigger.request();
   }
 
-  /** Whether this controller leads the job and may place its tasks. */
+  /** Returns whether this controller leads the job and may place its tasks. */
   boolean mayPlace(String job) {
     return jobLeader.mayPlace(job);
   }
 
-  /** Ids of the machines whose published status is outdated without being marked so: a fault. */
+  /**
+   * Returns the ids of machines whose published status is outdated although it isn't marked as
+   * changed. Each of them is a fault.
+   */
   List<String> unpublishedChanges() {
     return machines.machineStatuses.unpublishedChanges();
   }
 
-  /** Ids of machines with attempts that nothing would end any more: a fault. */
+  /**
+   * Returns the ids of machines with attempts that nothing would ever end. Each of them is a fault.
+   */
   List<String> unknownAttemptMachines() {
     return jobLeader.unknownAttemptMachines();
   }
 
-  /** Asks a machine leader to stop a task. */
+  /** Sends a stop request to a machine leader. */
   void sendStop(String node, StopRequest stop) {
     cluster.messenger.sendStop(node, stop);
   }
 
-  /** Steady ms of the first tick; 0: there was none yet. */
+  /** Returns the steady time of the first tick in milliseconds, or 0 before the first tick. */
   long startedAtMs() {
     return cluster.clock.startedAtMs();
   }
 
-  /** Incarnation of this process; 0: it has none yet. */
+  /** Returns the incarnation of this process, or 0 if it has none yet. */
   long incarnation() {
     return cluster.store.incarnation();
   }
--- a/src/main/java/mallowstall/core/MachineModules.java
+++ b/src/main/java/mallowstall/core/MachineModules.java
@@ -30,7 +30,7 @@
 
 /**
  * The modules by which this controller leads machines: registration, heartbeats, fencing tokens,
- * starts and stops, failover and recovery. Thread: the event loop's.
+ * starts and stops, failover and recovery. Used on the event loop only.
  */
 final class MachineModules {
   final ManagedMachines machines;
@@ -55,9 +55,9 @@
   private final MachineRegistration registration;
 
   /**
-   * Builds the modules; none of them does anything before its first event.
+   * Builds the modules. No module acts before its first event.
    *
-   * @param ownStatusUpdates takes the status updates that this controller publishes to itself
+   * @param ownStatusUpdates receives the status updates that this controller publishes to itself
    */
   MachineModules(
       ClusterModules cluster, JobLeader jobLeader, Consumer<StatusUpdate> ownStatusUpdates) {
--- a/src/main/java/mallowstall/core/PlacementModules.java
+++ b/src/main/java/mallowstall/core/PlacementModules.java
@@ -24,7 +24,9 @@
 import mallowstall.core.quota.GuaranteedShares;
 import mallowstall.core.quota.QuotaLedger;
 
-/** The modules that decide which queued task starts on which machine. Thread: the event loop's. */
+/**
+ * The modules that decide which queued task starts on which machine. Used on the event loop only.
+ */
 final class PlacementModules {
   final QuotaLedger quotaLedger;
   final PlacementScheduler scheduler;
@@ -35,9 +37,9 @@
   private final JobRanking ranking;
 
   /**
-   * Builds the modules; none of them does anything before its first event.
+   * Builds the modules. No module acts before its first event.
    *
-   * @param seed seed of the choices among equal machines
+   * @param seed seed of the random choices among equal machines
    */
   PlacementModules(
       ClusterModules cluster,
--- a/src/main/java/mallowstall/core/model/AcceptanceQueryEnd.java
+++ b/src/main/java/mallowstall/core/model/AcceptanceQueryEnd.java
@@ -1,12 +1,13 @@
 package mallowstall.core.model;
 
 /**
- * The sender has told its users what an {@link AcceptanceQuery} was for, or never will: leases that
- * were granted for it have no use any more. May be lost; then they end by themselves.
+ * Ends an {@link AcceptanceQuery}: the sender has sent its users the response that the query was
+ * for, or never will. The leases that were granted for the query are no longer needed. The message
+ * may be lost; the leases then expire by themselves.
  *
- * @param node the controller that asked
- * @param incarnation the process that asked
- * @param serial the number of its query
+ * @param node the controller that sent the query
+ * @param incarnation incarnation of the process that sent the query
+ * @param serial number of the query
  */
 public record AcceptanceQueryEnd(String node, long incarnation, long serial)
     implements PeerMessage {}
--- a/src/main/java/mallowstall/core/model/ApiResponse.java
+++ b/src/main/java/mallowstall/core/model/ApiResponse.java
@@ -1,17 +1,19 @@
 package mallowstall.core.model;
 
 /**
- * Response to a user's request (protocol, Users): either a job's state or an error.
+ * Response to a user's request (protocol, Users), which is either the state of a job or an error.
  *
  * @param status HTTP status
- * @param id the job's id; null in an error
- * @param state the job's state by its name in the protocol; null in an error
- * @param completedTaskCount tasks of the job that are done
- * @param runningTaskCount tasks of the job that run now
- * @param message what is wrong, in an error; null in a state
- * @param retryAfterS seconds after which the request should be repeated; 0: it needn't be
- * @param validUntilMs steady ms until which the response may leave this controller; what another
- *     controller does later may contradict it; {@link #ALWAYS_VALID}: nothing does
+ * @param id id of the job, or null in an error
+ * @param state state of the job by its name in the protocol, or null in an error
+ * @param completedTaskCount number of tasks of the job that are done
+ * @param runningTaskCount number of tasks of the job that are running
+ * @param message description of the error, or null in a state
+ * @param retryAfterS time in seconds after which the user should repeat the request, or 0 if that
+ *     isn't needed
+ * @param validUntilMs steady time in milliseconds until which the response may leave this
+ *     controller, because another controller may contradict it later; {@link #ALWAYS_VALID} if none
+ *     ever does
  */
 public record ApiResponse(
     int status,
@@ -22,10 +24,10 @@
     String message,
     int retryAfterS,
     long validUntilMs) {
-  /** A response that stays true for good. */
+  /** The value of {@code validUntilMs} of a response that never becomes wrong. */
   public static final long ALWAYS_VALID = Long.MAX_VALUE;
 
-  /** s. Least time before a user repeats a request (protocol, Users). */
+  /** Minimum time in seconds before a user repeats a request (protocol, Users). */
   private static final int EXPIRED_RETRY_AFTER_S = 1;
 
   private static final int OK = 200;
@@ -40,60 +42,68 @@
   private static final String DONE = "done";
   private static final String CANCELLED = "cancelled";
 
-  /** 201: the submission is recorded. */
+  /** Returns 201: the submission is recorded. */
   public static ApiResponse accepted(String id) {
     return state(CREATED, id, PENDING, 0, 0);
   }
 
-  /** A job that has not ended: running if any of its tasks is. */
+  /**
+   * Returns the state of a job that has not ended, which is running if any of its tasks is running.
+   */
   public static ApiResponse open(String id, int completedTaskCount, int runningTaskCount) {
     String state = runningTaskCount > 0 ? RUNNING : PENDING;
     return state(OK, id, state, completedTaskCount, runningTaskCount);
   }
 
-  /** A job of which all tasks are done. */
+  /** Returns the state of a job of which all tasks are done. */
   public static ApiResponse done(String id, int completedTaskCount) {
     return state(OK, id, DONE, completedTaskCount, 0);
   }
 
-  /** A job that was cancelled. */
+  /** Returns the state of a job that was cancelled. */
   public static ApiResponse cancelled(String id, int completedTaskCount) {
     return state(OK, id, CANCELLED, completedTaskCount, 0);
   }
 
-  /** 400: the request itself is wrong; repeating it doesn't help. */
+  /** Returns 400: the request itself is wrong, and repeating it doesn't help. */
   public static ApiResponse invalid(String message) {
     return error(BAD_REQUEST, message);
   }
 
-  /** 404: there is no such job. */
+  /** Returns 404: there is no such job. */
   public static ApiResponse notFound() {
     return error(NOT_FOUND, "no such job");
   }
 
-  /** 422: the job could never run; repeating the request doesn't help. */
+  /** Returns 422: the job could never run, and repeating the request doesn't help. */
   public static ApiResponse unschedulable(String message) {
     return error(UNPROCESSABLE, message);
   }
 
-  /** 503: the user should come again after so many seconds. */
+  /** Returns 503: the user should repeat the request after the given number of seconds. */
   public static ApiResponse unavailable(String message, int retryAfterS) {
     return new ApiResponse(
         SERVICE_UNAVAILABLE, null, null, 0, 0, message, retryAfterS, ALWAYS_VALID);
   }
 
-  /** 503: takes the place of a response that could not leave in time. */
+  /** Returns 503, which is sent in place of a response that could not leave in time. */
   public static ApiResponse expired() {
     return unavailable("the answer was delayed for too long, ask again", EXPIRED_RETRY_AFTER_S);
   }
 
-  /** This response, which may leave until then and no later. */
+  /**
+   * Returns this response with the given steady time in milliseconds as the last at which it may
+   * leave this controller.
+   */
   public ApiResponse validUntil(long steadyMs) {
     return new ApiResponse(
         status, id, state, completedTaskCount, runningTaskCount, message, retryAfterS, steadyMs);
   }
 
-  /** Whether it may leave at this moment, in steady ms; if not, {@link #expired} leaves instead. */
+  /**
+   * Returns whether the response may leave this controller at the given steady time in
+   * milliseconds. If not, {@link #expired} is sent instead.
+   */
   public boolean mayLeaveAt(long steadyMs) {
     return steadyMs <= validUntilMs;
   }
--- a/src/main/java/mallowstall/core/model/AutoscalerLeaderEntry.java
+++ b/src/main/java/mallowstall/core/model/AutoscalerLeaderEntry.java
@@ -1,9 +1,10 @@
 package mallowstall.core.model;
 
 /**
- * Which controller runs the autoscaler; stored on the lease of its session.
+ * Names the controller that leads the autoscaler. The entry is stored on the lease of that
+ * controller's session.
  *
- * @param node the leading controller
- * @param incarnation its incarnation
+ * @param node the controller that leads the autoscaler
+ * @param incarnation incarnation of that controller
  */
 public record AutoscalerLeaderEntry(String node, long incarnation) implements StoredEntry {}
--- a/src/main/java/mallowstall/core/model/Capacity.java
+++ b/src/main/java/mallowstall/core/model/Capacity.java
@@ -2,16 +2,19 @@
 
 import mallowstall.Constants;
 
-/** How many equal tasks fit into free capacity. */
+/** Computes how many equal tasks fit into free capacity. */
 public final class Capacity {
-  /** Tasks. More than so many of one job on a machine aren't told apart. */
+  /**
+   * Maximum number of tasks that is returned. Larger numbers of tasks of one job on a machine are
+   * not distinguished.
+   */
   private static final double TASKS_PER_MACHINE_MAX = 1_000;
 
   private Capacity() {}
 
   /**
-   * Number of tasks that fit into the free processors, GPUs and GB of memory, at most {@link
-   * #TASKS_PER_MACHINE_MAX}; a resource of which they take nothing doesn't count.
+   * Returns the number of tasks that fit into the free processors, GPUs and gigabytes of memory, at
+   * most {@link #TASKS_PER_MACHINE_MAX}. A resource that the tasks don't use is ignored.
    */
   public static int fittingTasks(double cpus, double gpus, double memoryGb, JobSpec spec) {
     double fitting = TASKS_PER_MACHINE_MAX;
--- a/src/main/java/mallowstall/core/model/CommandKind.java
+++ b/src/main/java/mallowstall/core/model/CommandKind.java
@@ -1,11 +1,11 @@
 package mallowstall.core.model;
 
-/** What a worker is to do with an attempt of a task. */
+/** The action that a worker takes on an attempt of a task. */
 public enum CommandKind {
   /** Fetch the image and run the task. */
   START,
   /** End the task, after a grace period to save a checkpoint. */
   STOP,
-  /** Forget the exited task: its exit is recorded. */
+  /** Remove the exited task from the worker, because its exit is recorded. */
   REMOVE
 }
--- a/src/main/java/mallowstall/core/model/CompletionBitsEntry.java
+++ b/src/main/java/mallowstall/core/model/CompletionBitsEntry.java
@@ -1,10 +1,10 @@
 package mallowstall.core.model;
 
 /**
- * A part of a large job's completion bitmap that its {@link JobEntry} doesn't hold (docs/design.md,
- * Keys in the state service).
+ * A part of the completion bitmap of a large job that the job's {@link JobEntry} doesn't hold
+ * (docs/design.md, Keys in the state service).
  *
- * @param bits one bit per task, set once the task is done; bit 0 of byte 0 is the first task of the
- *     part
+ * @param bits one bit per task, set once the task is done; bit 0 of byte 0 belongs to the first
+ *     task of the part
  */
 public record CompletionBitsEntry(byte[] bits) implements StoredEntry {}
--- a/src/main/java/mallowstall/core/model/ExitReason.java
+++ b/src/main/java/mallowstall/core/model/ExitReason.java
@@ -1,17 +1,17 @@
 package mallowstall.core.model;
 
-/** Why an attempt of a task exited. */
+/** The reason for which an attempt of a task exited. */
 public enum ExitReason {
-  /** It has completed. */
+  /** The task completed. */
   DONE,
-  /** It was stopped by command. */
+  /** The task was stopped by a command. */
   STOPPED,
-  /** It failed, or for a reason that this version doesn't know. */
+  /** The task failed, or it exited for a reason that is unknown to this version. */
   ERROR,
-  /** Not started: the machine had too little free capacity. */
+  /** The task was not started, because the machine had too little free capacity. */
   INSUFFICIENT_CAPACITY,
-  /** Not started: another attempt of the task is on the machine. */
+  /** The task was not started, because another attempt of it is on the machine. */
   BUSY,
-  /** Not started: there is no such job or task. */
+  /** The task was not started, because the job or the task doesn't exist. */
   TASK_NOT_FOUND
 }
--- a/src/main/java/mallowstall/core/model/Heartbeat.java
+++ b/src/main/java/mallowstall/core/model/Heartbeat.java
@@ -10,11 +10,13 @@
  * @param type name of the machine type
  * @param zone zone of the machine
  * @param spot whether the cloud may interrupt the machine
- * @param session session of the worker process; a restart begins a larger one
- * @param sequence number of the heartbeat within the session; it only grows
- * @param fencingToken largest fencing token that the worker has accepted; 0: none
- * @param interruptionNoticeS s until the cloud takes the machine; null: no notice
- * @param tasks all tasks that the worker knows, exited ones until they are removed
+ * @param session number of the worker session; a restart of the worker process begins a session
+ *     with a larger number
+ * @param sequence number of the heartbeat within the session; it only increases
+ * @param fencingToken largest fencing token that the worker has accepted, or 0 if none
+ * @param interruptionNoticeS time in seconds until the cloud takes the machine, or null without a
+ *     notice
+ * @param tasks all tasks that the worker lists; exited ones are listed until they are removed
  */
 public record Heartbeat(
     String machine,
--- a/src/main/java/mallowstall/core/model/JobEntry.java
+++ b/src/main/java/mallowstall/core/model/JobEntry.java
@@ -3,15 +3,15 @@
 /**
  * The stored entry of a job (docs/design.md, Keys in the state service).
  *
- * @param spec the description that was submitted
- * @param submittedMs ms of the time of day at which the job was accepted
- * @param leader controller that leads the job
- * @param incarnation the leader's incarnation
- * @param epoch leader epoch; grows by one with each change of the leader
- * @param completionBits first part of the completion bitmap, one bit per task; further parts are
- *     {@link CompletionBitsEntry}
- * @param completedTaskCount tasks that are done, of the whole job
- * @param quotaReservedTasks tasks reserved in the team's quota
+ * @param spec the job as it was submitted
+ * @param submittedMs time of day in milliseconds at which the job was accepted
+ * @param leader the controller that leads the job
+ * @param incarnation incarnation of the leader
+ * @param epoch leader epoch, which increases by one with each change of the leader
+ * @param completionBits first part of the completion bitmap, one bit per task; the other parts are
+ *     stored as {@link CompletionBitsEntry}
+ * @param completedTaskCount number of tasks of the whole job that are done
+ * @param quotaReservedTasks number of tasks reserved in the team's quota
  * @param outcome how the job has ended, if it has
  */
 public record JobEntry(
@@ -25,7 +25,7 @@
     int quotaReservedTasks,
     JobOutcome outcome)
     implements StoredEntry {
-  /** The same with this outcome. */
+  /** Returns this entry with the given outcome. */
   public JobEntry withOutcome(JobOutcome newOutcome) {
     return new JobEntry(
         spec,
@@ -39,7 +39,7 @@
         newOutcome);
   }
 
-  /** The same led by this process, in the next leader epoch. */
+  /** Returns this entry with the given process as leader, in the next leader epoch. */
   public JobEntry withLeader(String node, long newIncarnation) {
     return new JobEntry(
         spec,
@@ -53,7 +53,10 @@
         outcome);
   }
 
-  /** The same with this first part of the bitmap, and so many done tasks in the whole job. */
+  /**
+   * Returns this entry with the given first part of the completion bitmap, number of done tasks in
+   * the whole job, and outcome.
+   */
   public JobEntry withCompletion(
       byte[] newCompletionBits, int newCompletedTaskCount, JobOutcome newOutcome) {
     return new JobEntry(
@@ -68,7 +71,7 @@
         newOutcome);
   }
 
-  /** The same with so many tasks counted against its team's quota. */
+  /** Returns this entry with the given number of tasks reserved in its team's quota. */
   public JobEntry withQuotaReservation(int newQuotaReservedTasks) {
     return new JobEntry(
         spec,
@@ -82,17 +85,20 @@
         outcome);
   }
 
-  /** Whether the job has ended: none of its tasks may be started any more. */
+  /** Returns whether the job has ended. No task of an ended job may be started. */
   public boolean isTerminal() {
     return outcome == JobOutcome.DONE || outcome == JobOutcome.CANCELLED;
   }
 
-  /** Whether a controller must still lead the job: it is open, or holds a quota reservation. */
+  /**
+   * Returns whether a controller must still lead the job, because it is open or holds a quota
+   * reservation.
+   */
   public boolean needsLeader() {
     return !isTerminal() || quotaReservedTasks > 0;
   }
 
-  /** The entry of a job that has just been accepted. */
+  /** Returns the entry of a job that has just been accepted. */
   public static JobEntry newlyAccepted(
       JobSpec spec, long submittedMs, String leader, long incarnation) {
     JobOutcome outcome = spec.isService() ? JobOutcome.SERVING : JobOutcome.NONE;
--- a/src/main/java/mallowstall/core/model/JobKind.java
+++ b/src/main/java/mallowstall/core/model/JobKind.java
@@ -1,6 +1,9 @@
 package mallowstall.core.model;
 
-/** How the tasks of a job end: those of a batch by themselves, those of a service if cancelled. */
+/**
+ * The kind of a job. The tasks of a batch job end by themselves, and those of a service end when
+ * the job is cancelled.
+ */
 public enum JobKind {
   BATCH,
   SERVICE
--- a/src/main/java/mallowstall/core/model/JobOutcome.java
+++ b/src/main/java/mallowstall/core/model/JobOutcome.java
@@ -1,10 +1,11 @@
 package mallowstall.core.model;
 
 /**
- * How a job has ended; {@code NONE} while a batch job is open, {@code SERVING} while a service is.
+ * How a job has ended. The value is {@code NONE} while a batch job is open and {@code SERVING}
+ * while a service is open.
  *
- * <p>Versions without services can't read {@code SERVING}, so they take an open service for an
- * unreadable entry: they answer 503 for it, and never run it as a batch or call it done.
+ * <p>Versions without services can't read {@code SERVING} and treat the entry of an open service as
+ * unreadable. They answer 503 for it, and never run it as a batch job or report it as done.
  */
 public enum JobOutcome {
   NONE,
--- a/src/main/java/mallowstall/core/model/JobSpec.java
+++ b/src/main/java/mallowstall/core/model/JobSpec.java
@@ -4,28 +4,30 @@
 import mallowstall.Constants;
 
 /**
- * A job as its user described it (protocol, Users). Amounts are per task.
+ * A job as specified by its user (protocol, Users). Amounts are per task.
  *
  * @param id id of the job, chosen by the user
- * @param jobClass class of the job; names the placement policy
- * @param team team whose quota counts
- * @param priority priority against other jobs
+ * @param jobClass class of the job, which selects the placement policy
+ * @param team team whose quota the job uses
+ * @param priority priority relative to other jobs
  * @param tasks number of tasks
- * @param cpus processors
- * @param gpus GPUs
- * @param memoryGb GB of memory
+ * @param cpus number of processors
+ * @param gpus number of GPUs
+ * @param memoryGb memory in gigabytes
  * @param image name of the image
- * @param imageGb GB of the image in the cache of a machine
- * @param machineTypes machine types that are allowed; null: all
- * @param zone zone that is demanded; null: any
+ * @param imageGb size of the image in the cache of a machine, in gigabytes
+ * @param machineTypes machine types that are allowed, or null if all are
+ * @param zone zone that is required, or null for any zone
  * @param singleZone whether all tasks must run in one zone
  * @param spread whether at most half of the tasks, rounded up, may run in one zone
  * @param spot whether tasks may run on spot machines
- * @param estimatedRunS s that one task runs by the user's estimate
- * @param checkpointIntervalS s between two checkpoints of a task; 0: it takes none
- * @param checkpointSaveS s that a task needs to save a checkpoint
- * @param deadlineS s after submission by which the job should be done; null: no deadline
- * @param kind batch or service; null, as in entries of older versions, becomes batch
+ * @param estimatedRunS run time of one task in seconds, as estimated by the user
+ * @param checkpointIntervalS time in seconds between two checkpoints of a task, or 0 if it saves
+ *     none
+ * @param checkpointSaveS time in seconds that a task needs to save a checkpoint
+ * @param deadlineS time in seconds after submission by which the job should be done, or null
+ *     without a deadline
+ * @param kind batch or service; null, as in entries of older versions, is replaced by batch
  */
 public record JobSpec(
     String id,
@@ -48,29 +50,41 @@
     double checkpointSaveS,
     Double deadlineS,
     JobKind kind) {
-  /** Entries of batch jobs have no kind: versions without services wrote them. */
+  /**
+   * Replaces a null kind by batch. Entries of batch jobs have no kind, because versions without
+   * services wrote them.
+   */
   public JobSpec {
     if (kind == null) {
       kind = JobKind.BATCH;
     }
   }
 
-  /** Whether the tasks are replicas that run until the job is cancelled. */
+  /** Returns whether the tasks are replicas that run until the job is cancelled. */
   public boolean isService() {
     return kind == JobKind.SERVICE;
   }
 
-  /** The most tasks that may be in one zone: half of a spread job's, rounded up. */
+  /**
+   * Returns the maximum number of tasks in one zone, which is half of the tasks, rounded up, for a
+   * spread job and unlimited for other jobs.
+   */
   public int maxTasksPerZone() {
     return spread ? (tasks + 1) / 2 : Integer.MAX_VALUE;
   }
 
-  /** Tasks that are placed first once the job starves: a tenth, at least one. */
+  /**
+   * Returns the number of tasks that are placed first once the job starves, which is a tenth but at
+   * least one.
+   */
   public int starvationTasks() {
     return Math.max(1, tasks / 10);
   }
 
-  /** Whether one task fits on an empty machine of this type, and the job allows the type. */
+  /**
+   * Returns whether one task fits on an empty machine of the given type and the job allows the
+   * type.
+   */
   public boolean fits(MachineType type) {
     return allowsType(type.name())
         && cpus <= type.cpus() + Constants.ROUNDING_EPSILON
@@ -78,7 +92,7 @@
         && memoryGb <= type.memoryGb() + Constants.ROUNDING_EPSILON;
   }
 
-  /** Whether the job may run on a machine of this type, in this zone, spot or not. */
+  /** Returns whether the job may run on a spot or on-demand machine of the given type and zone. */
   public boolean allowsMachine(String type, String machineZone, boolean spotMachine) {
     return allowsType(type) && (zone == null || zone.equals(machineZone)) && (!spotMachine || spot);
   }
--- a/src/main/java/mallowstall/core/model/MachineStatus.java
+++ b/src/main/java/mallowstall/core/model/MachineStatus.java
@@ -4,31 +4,33 @@
 import java.util.Objects;
 
 /**
- * A machine as its leader publishes it (docs/design.md, What controllers tell each other).
+ * The status of a machine as published by its leader (docs/design.md, What controllers tell each
+ * other).
  *
  * @param machine id of the machine
  * @param address host and port of the worker's own server
- * @param fencingToken the leader's fencing token
- * @param entryRevision revision of the machine's entry that the leader goes by
- * @param session session of the worker in its newest heartbeat
+ * @param fencingToken fencing token of the leader
+ * @param entryRevision revision of the machine's entry on which the leader's status is based
+ * @param session worker session of the newest heartbeat
  * @param heartbeatSequence number of that heartbeat within the session
- * @param tokenAcknowledged whether a heartbeat has shown the fencing token
- * @param usable whether the machine may get tasks
- * @param draining whether it gets no more tasks because it is about to be returned
- * @param needsReplacement whether it is faulty and should be returned
+ * @param tokenAcknowledged whether a heartbeat has contained the fencing token
+ * @param usable whether the machine may receive tasks
+ * @param draining whether the machine receives no more tasks because it is about to be returned
+ * @param needsReplacement whether the machine is faulty and should be returned
  * @param unresponsive whether heartbeats are overdue
- * @param leaseExpired whether the worker's lease has run out, so that its tasks have ended
+ * @param leaseExpired whether the worker lease has expired, so that the worker's tasks have ended
  * @param type name of the machine type
  * @param zone zone of the machine
- * @param spot whether the cloud may interrupt it
- * @param interruptionNoticeS s until the cloud takes the machine; negative: no notice
- * @param freeCpus processors neither used nor reserved
- * @param freeGpus GPUs neither used nor reserved
- * @param freeMemoryGb GB of memory neither used nor reserved
- * @param idleMs ms for which the machine has been idle, or, if unresponsive, without a heartbeat;
- *     0: in use
- * @param images names of the images in its cache
- * @param tasks its tasks and the starts reserved on it
+ * @param spot whether the cloud may interrupt the machine
+ * @param interruptionNoticeS time in seconds until the cloud takes the machine, or negative without
+ *     a notice
+ * @param freeCpus number of processors neither used nor reserved
+ * @param freeGpus number of GPUs neither used nor reserved
+ * @param freeMemoryGb gigabytes of memory neither used nor reserved
+ * @param idleMs time in milliseconds for which the machine has been idle or, if unresponsive, has
+ *     sent no heartbeat; 0 if it is in use
+ * @param images names of the images in the machine's cache
+ * @param tasks tasks of the machine and the starts reserved on it
  */
 public record MachineStatus(
     String machine,
@@ -53,7 +55,10 @@
     long idleMs,
     List<String> images,
     List<TaskStatus> tasks) {
-  /** Whether both are equal but for what changes with time alone: durations and heartbeats. */
+  /**
+   * Returns whether both statuses are equal except for the values that change with time alone,
+   * which are durations and heartbeats.
+   */
   public boolean sameIgnoringElapsedTime(MachineStatus other) {
     return fencingToken == other.fencingToken
         && Objects.equals(address, other.address)
--- a/src/main/java/mallowstall/core/model/MachineType.java
+++ b/src/main/java/mallowstall/core/model/MachineType.java
@@ -6,15 +6,15 @@
  * A machine type that the cloud rents out (protocol, Cloud).
  *
  * @param name name of the type
- * @param cpus processors
- * @param gpus GPUs
- * @param memoryGb GB of memory
- * @param cacheGb GB of the image cache
- * @param fetchGbPerS GB per second at which images are fetched
+ * @param cpus number of processors
+ * @param gpus number of GPUs
+ * @param memoryGb memory in gigabytes
+ * @param cacheGb size of the image cache in gigabytes
+ * @param fetchGbPerS rate at which images are fetched, in gigabytes per second
  * @param price price of an on-demand machine per hour
  * @param spotPrice price of a spot machine per hour
- * @param bootS s from the request to the first heartbeat, usually
- * @param zones zones in which the type can be had
+ * @param bootS usual time in seconds from the request to the first heartbeat
+ * @param zones zones in which the type is available
  */
 public record MachineType(
     String name,
--- a/src/main/java/mallowstall/core/model/OutcomeAcknowledgement.java
+++ b/src/main/java/mallowstall/core/model/OutcomeAcknowledgement.java
@@ -1,7 +1,8 @@
 package mallowstall.core.model;
 
 /**
- * The sender knows that the job has ended, and calls it open to nobody.
+ * Acknowledges an {@link OutcomeAnnouncement}: the sender knows that the job has ended and reports
+ * it as open to no user.
  *
  * @param node the sending controller
  * @param job id of the job
--- a/src/main/java/mallowstall/core/model/OutcomeAnnouncement.java
+++ b/src/main/java/mallowstall/core/model/OutcomeAnnouncement.java
@@ -1,13 +1,14 @@
 package mallowstall.core.model;
 
 /**
- * A job has ended, which its user is about to be told. The receiver calls the job open to nobody
- * from then on, and acknowledges. May be lost; then the sender waits until answers that rest on
- * earlier reads can't be given any more.
+ * Announces that a job has ended, before this is reported to the job's user. From then on the
+ * receiver reports the job as open to no user, and it acknowledges the message. The message may be
+ * lost; the sender then waits until no response that is based on an earlier read can be given any
+ * more.
  *
  * @param node the sending controller
- * @param job id of the job, which the receiver may not know yet
- * @param outcome how it ended, as recorded in the state service: done or cancelled
+ * @param job id of the job, which may be unknown to the receiver
+ * @param outcome how the job has ended, as recorded in the state service: done or cancelled
  */
 public record OutcomeAnnouncement(String node, String job, JobOutcome outcome)
     implements PeerMessage {}
--- a/src/main/java/mallowstall/core/model/PeerMessage.java
+++ b/src/main/java/mallowstall/core/model/PeerMessage.java
@@ -1,6 +1,6 @@
 package mallowstall.core.model;
 
-/** A message between controllers; one may be lost when a connection breaks. */
+/** A message between controllers. A message may be lost when a connection breaks. */
 public sealed interface PeerMessage
     permits StatusUpdate,
         StartBatch,
--- a/src/main/java/mallowstall/core/model/SessionEntry.java
+++ b/src/main/java/mallowstall/core/model/SessionEntry.java
@@ -1,7 +1,8 @@
 package mallowstall.core.model;
 
 /**
- * The present process of a controller; stored on its lease, so that it goes when the process does.
+ * The current process of a controller. The entry is stored on the lease of the process, so that it
+ * is deleted when the process ends.
  *
  * @param node name of the controller
  * @param incarnation incarnation of the process
--- a/src/main/java/mallowstall/core/model/StartRequest.java
+++ b/src/main/java/mallowstall/core/model/StartRequest.java
@@ -9,9 +9,10 @@
  * @param job id of the job
  * @param task number of the task
  * @param attempt number of the attempt
- * @param leaderEpoch leader epoch of the sender; smaller ones than the replica shows are rejected
- * @param expiryWallMs ms of the time of day after which the start must not reach the worker
- * @param victims tasks on that machine that are preempted to make room
+ * @param leaderEpoch leader epoch of the sender; an epoch smaller than that in the state replica is
+ *     rejected
+ * @param expiryWallMs time of day in milliseconds after which the start must not reach the worker
+ * @param victims tasks on the machine that are preempted to make room
  */
 public record StartRequest(
     String machine,
--- a/src/main/java/mallowstall/core/model/StopRequest.java
+++ b/src/main/java/mallowstall/core/model/StopRequest.java
@@ -7,7 +7,7 @@
  * @param job id of the job
  * @param task number of the task
  * @param attempt number of the attempt
- * @param gracePeriodS s that the task gets to save a checkpoint; 0: none
+ * @param gracePeriodS time in seconds that the task has to save a checkpoint, or 0 for none
  */
 public record StopRequest(
     String machine, String job, int task, long attempt, double gracePeriodS) {}
--- a/src/main/java/mallowstall/core/model/TaskAttempt.java
+++ b/src/main/java/mallowstall/core/model/TaskAttempt.java
@@ -2,19 +2,19 @@
 
 /**
  * One attempt of a task. A worker may list a rejected attempt beside the one that it runs. Equality
- * is written by hand for the reason that {@link TaskKey} gives.
+ * is implemented by hand for the reason given in {@link TaskKey}.
  *
  * @param job id of the job
  * @param task number of the task
- * @param attempt number of the attempt; later ones are larger
+ * @param attempt number of the attempt; later attempts have larger numbers
  */
 public record TaskAttempt(String job, int task, long attempt) {
-  /** The attempt that is reported there. */
+  /** Returns the attempt that the report describes. */
   public static TaskAttempt of(TaskReport report) {
     return new TaskAttempt(report.job(), report.task(), report.attempt());
   }
 
-  /** The attempt whose status this is. */
+  /** Returns the attempt that the status describes. */
   public static TaskAttempt of(TaskStatus status) {
     return new TaskAttempt(status.job(), status.task(), status.attempt());
   }
@@ -32,7 +32,7 @@
     return 31 * (31 * job.hashCode() + task) + Long.hashCode(attempt);
   }
 
-  /** The task, whatever the attempt. */
+  /** Returns the task of this attempt. */
   public TaskKey key() {
     return new TaskKey(job, task);
   }
--- a/src/main/java/mallowstall/core/model/TaskKey.java
+++ b/src/main/java/mallowstall/core/model/TaskKey.java
@@ -1,8 +1,9 @@
 package mallowstall.core.model;
 
 /**
- * One task of a job, whatever the attempt. Equality is written by hand: the generated one of
- * records goes through method handles, which the one compiler level used here doesn't inline.
+ * One task of a job, independent of its attempts. Equality is implemented by hand because the
+ * generated methods of records use method handles, which the only JIT compiler level in use here
+ * doesn't inline.
  *
  * @param job id of the job
  * @param task number of the task
--- a/src/main/java/mallowstall/core/model/TaskReport.java
+++ b/src/main/java/mallowstall/core/model/TaskReport.java
@@ -7,7 +7,7 @@
  * @param task number of the task
  * @param attempt number of the attempt
  * @param state state of the attempt
- * @param exitReason why it exited; null before
+ * @param exitReason reason of the exit, or null before the exit
  * @param checkpointed whether a checkpoint was saved
  */
 public record TaskReport(
--- a/src/main/java/mallowstall/core/model/TaskState.java
+++ b/src/main/java/mallowstall/core/model/TaskState.java
@@ -1,11 +1,11 @@
 package mallowstall.core.model;
 
-/** State of an attempt as its worker reports it. */
+/** State of an attempt as reported by its worker. */
 public enum TaskState {
-  /** Its image is being fetched. */
+  /** The image of the task is being fetched. */
   FETCHING,
   RUNNING,
-  /** Saves a checkpoint before it stops. */
+  /** The task saves a checkpoint before it stops. */
   CHECKPOINTING,
   EXITED
 }
--- a/src/main/java/mallowstall/core/model/TaskStatus.java
+++ b/src/main/java/mallowstall/core/model/TaskStatus.java
@@ -6,8 +6,8 @@
  * @param job id of the job
  * @param task number of the task
  * @param attempt number of the attempt
- * @param state state of the attempt; null: reserved, not yet in a heartbeat
- * @param exitReason why it exited; null before
+ * @param state state of the attempt, or null if the start is reserved and in no heartbeat yet
+ * @param exitReason reason of the exit, or null before the exit
  */
 public record TaskStatus(
     String job, int task, long attempt, TaskState state, ExitReason exitReason) {
--- a/src/main/java/mallowstall/core/model/VersionEntry.java
+++ b/src/main/java/mallowstall/core/model/VersionEntry.java
@@ -1,7 +1,8 @@
 package mallowstall.core.model;
 
 /**
- * The program version of a controller process, written together with its session.
+ * The program version of a controller process. The entry is written together with the session
+ * entry.
  *
  * @param node name of the controller
  * @param incarnation incarnation of the process
--- a/src/main/java/mallowstall/core/model/WorkerCommand.java
+++ b/src/main/java/mallowstall/core/model/WorkerCommand.java
@@ -1,14 +1,15 @@
 package mallowstall.core.model;
 
 /**
- * A command to a worker (protocol, Workers). Commands may come twice; attempts tell them apart.
+ * A command to a worker (protocol, Workers). A command may arrive twice; the number of the attempt
+ * identifies the repetition.
  *
- * @param kind what to do
+ * @param kind action that the worker takes
  * @param job id of the job
  * @param task number of the task
  * @param attempt number of the attempt
- * @param gracePeriodS s between the request to stop and the end by force; counts with {@code STOP}
- *     only
+ * @param gracePeriodS time in seconds between the request to stop and the forced end; used with
+ *     {@code STOP} only
  */
 public record WorkerCommand(
     CommandKind kind, String job, int task, long attempt, double gracePeriodS) {}
--- a/src/main/java/mallowstall/core/model/package-info.java
+++ b/src/main/java/mallowstall/core/model/package-info.java
@@ -1,10 +1,11 @@
 /**
- * The words of the core: jobs, machines, tasks, entries of the state service, heartbeats and the
- * messages between controllers. All types are records, enums or pure functions and nobody changes
- * what they hold.
+ * The data types of the core: jobs, machines, tasks, entries of the state service, heartbeats and
+ * the messages between controllers. All types are records, enums or pure functions, and the values
+ * that they hold are never modified.
  *
- * <p>The names of Java fields are free to change; what is stored or sent is named by the codecs of
- * the adapters. This is the lowest layer and holds no state. docs/design.md, "Keys in the state
- * service" and "What controllers tell each other", explains what the entries and messages are for.
+ * <p>The names of Java fields may change, because the codecs of the adapters define the names in
+ * stored and sent data. This is the lowest layer and holds no state. docs/design.md, "Keys in the
+ * state service" and "What controllers tell each other", explains the purpose of the entries and
+ * messages.
  */
 package mallowstall.core.model;
--- a/src/main/java/mallowstall/package-info.java
+++ b/src/main/java/mallowstall/package-info.java
@@ -1,6 +1,6 @@
 /**
- * One controller process: {@link mallowstall.Controller} wires the scheduling core to the adapters
- * of the state service, the cloud, peers, users and workers, and runs all of them on one event
- * loop. Nothing below the event loop is thread-safe or needs to be.
+ * One controller process. {@link mallowstall.Controller} connects the scheduling core with the
+ * adapters of the state service, the cloud, peers, users and workers, and runs all of them on one
+ * event loop. The code that runs on the event loop is not thread-safe and need not be.
  */
 package mallowstall;
