--- a/src/test/java/mallowstall/core/DerivedCountsCheck.java
+++ b/src/test/java/mallowstall/core/DerivedCountsCheck.java
@@ -8,13 +8,14 @@
 import mallowstall.core.model.TaskState;
 import mallowstall.core.model.TaskStatus;
 
-/** Compares what a core counts as it goes with the same counted anew. */
+/** Compares the counts that a core updates with each change to counts computed from scratch. */
 final class DerivedCountsCheck {
   private DerivedCountsCheck() {}
 
   /**
-   * No returned machine stays in a controller's view, and no attempt on a machine of which nothing
-   * is known any more: the controller's next regular work has to see to it.
+   * Checks that no returned machine stays in the controller's view, and that no attempt remains on
+   * a machine that is unknown to the controller. The controller's next tick has to remove a
+   * returned machine; it is a violation if the machine is still in the view after two more ticks.
    */
   static void checkReturnedMachines(Simulation simulation, SimulatedController node) {
     for (String id : node.core.unknownAttemptMachines()) {
@@ -35,8 +36,9 @@
   }
 
   /**
-   * What the core keeps up to date with each change, against counting all of it anew: a machine
-   * whose change is not published would make a start look as if it had never arrived.
+   * Checks that the core publishes each change of a machine's status, and that its counts of placed
+   * and running tasks equal the counts over all machines. If a change is not published (rule {@code
+   * untold}), a start on that machine looks as if it had never arrived.
    */
   static void check(Simulation simulation, ControllerCore core) {
     for (String id : core.unpublishedChanges()) {
--- a/src/test/java/mallowstall/core/FaultCombination.java
+++ b/src/test/java/mallowstall/core/FaultCombination.java
@@ -20,9 +20,9 @@
 import mallowstall.core.model.Priority;
 import mallowstall.core.model.TeamUsageEntry;
 
-/** Faults that meet, beside six jobs that run; each case says whether the faults did meet. */
+/** Combinations of faults that are injected while six jobs run. */
 enum FaultCombination {
-  /** Cancellations, questions and repetitions at the moment of a job's last end, everywhere. */
+  /** Users cancel, query and resubmit jobs as their last tasks end, at all controllers. */
   COMPLETION_AND_CANCELLATION {
     @Override
     boolean inject(Simulation sim) {
@@ -34,7 +34,7 @@
         sim.schedule(
             i * 100L,
             () ->
-                sim.users.scheduleInvalidRequests(1)); // repeats submissions, cancels what is done
+                sim.users.scheduleInvalidRequests(1)); // resubmits accepted jobs, cancels done jobs
       }
       sim.runUntil(sim.nowMs + 60_000);
       sim.cancelAtEndRate = 0;
@@ -44,36 +44,40 @@
     }
   },
   /**
-   * A heartbeat is delayed until the machine has another leader, then arrives there and elsewhere.
+   * A heartbeat is delayed until the machine has another leader, then reaches all running
+   * controllers.
    */
   DELAYED_HEARTBEAT_AND_NEW_LEADER {
     @Override
     boolean inject(Simulation sim) {
       SimulatedWorker worker = busiestWorker(sim);
-      Heartbeat held = worker.snapshot();
-      MachineEntry before = sim.machineEntry(worker.id);
-      sim.controllers.get(before.node()).crash(9_000);
+      Heartbeat delayedHeartbeat = worker.snapshot();
+      MachineEntry formerEntry = sim.machineEntry(worker.id);
+      sim.controllers.get(formerEntry.node()).crash(9_000);
       long until = sim.nowMs + 15_000;
-      while (sim.nowMs < until && sim.machineEntry(worker.id).node().equals(before.node())) {
+      while (sim.nowMs < until && sim.machineEntry(worker.id).node().equals(formerEntry.node())) {
         sim.runUntil(sim.nowMs + 50);
       }
       sim.runUntil(sim.nowMs + 2_000);
-      MachineEntry since = sim.machineEntry(worker.id);
-      boolean refused = true;
+      MachineEntry currentEntry = sim.machineEntry(worker.id);
+      boolean rejected = true;
       for (SimulatedController node : sim.controllers.values()) {
         if (!node.running) {
           continue;
         }
-        List<HeartbeatResponse> got = new ArrayList<>();
-        node.enqueueEvent(() -> node.core.handleHeartbeat(held, got::add));
+        List<HeartbeatResponse> responses = new ArrayList<>();
+        node.enqueueEvent(() -> node.core.handleHeartbeat(delayedHeartbeat, responses::add));
         sim.runUntil(sim.nowMs + 200);
-        refused &= got.get(0).status() != 200;
+        rejected &= responses.get(0).status() != 200;
       }
-      assertTrue(refused, "a heartbeat that old renews nothing");
-      return !since.node().equals(before.node());
+      assertTrue(rejected, "every running controller rejects the delayed heartbeat");
+      return !currentEntry.node().equals(formerEntry.node());
     }
   },
-  /** A leader without state service and peers; its jobs are cancelled through another. */
+  /**
+   * A machine leader loses the state service and its peers. A job on one of its machines is
+   * cancelled at another controller.
+   */
   LEADER_ISOLATED_AND_CANCELLATION {
     @Override
     boolean inject(Simulation sim) {
@@ -83,16 +87,16 @@
       sim.isolate(node);
       SimulatedController other = sim.controllers.get(node.name.equals("n1") ? "n2" : "n1");
       assertEquals("cancelled", cancelAt(sim, other, job).state());
-      boolean apart = sum(runningTasksByLeader(sim, job)) > 0;
+      boolean runningWhileIsolated = sum(runningTasksByLeader(sim, job)) > 0;
       sim.runUntil(sim.nowMs + Simulation.CANCEL_MS);
       assertEquals(0, sum(runningTasksByLeader(sim, job)));
       sim.runUntil(sim.nowMs + 10_000);
       node.stateServiceUnreachable = false;
       sim.healPartitions();
-      return apart;
+      return runningWhileIsolated;
     }
   },
-  /** All controllers are away for longer than a lease. */
+  /** All controllers are down for longer than a worker lease. */
   ALL_DOWN_FOR_A_LEASE {
     @Override
     boolean inject(Simulation sim) {
@@ -104,7 +108,10 @@
           .allMatch(worker -> worker.epoch > 1 && worker.tasks.isEmpty());
     }
   },
-  /** The state service is slow, then refuses a leader, then all, while users cancel and ask. */
+  /**
+   * The state service is slow, then rejects the requests of one controller, then those of all,
+   * while users cancel jobs and send invalid requests.
+   */
   SLOW_STATE_AND_CANCELLATION {
     @Override
     boolean inject(Simulation sim) {
@@ -119,12 +126,15 @@
       return sim.faultCounts.containsKey("slowState") && sim.faultCounts.containsKey("cancelNow");
     }
   },
-  /** A team at its limit, a change of leader, machines that can't be asked, a cancellation. */
+  /**
+   * A team is close to its quota when a job leader crashes, half of the machines are partitioned
+   * and a job of the team is cancelled.
+   */
   TEAM_AT_QUOTA {
     @Override
     boolean inject(Simulation sim) {
       for (int i = 1; i <= 4; i++) {
-        sim.users.cancel("wk-00000" + i); // makes room for it
+        sim.users.cancel("wk-00000" + i); // frees capacity for the team
       }
       double used = 0;
       for (long until = sim.nowMs + 20_000;
@@ -149,7 +159,10 @@
       return used >= 22;
     }
   },
-  /** More work than room, urgent and not, over slow links. */
+  /**
+   * Jobs of all priorities exceed the capacity while the state service answers slowly and status
+   * updates arrive late or twice.
+   */
   OVERLOAD_WITH_SLOW_LINKS {
     @Override
     boolean inject(Simulation sim) {
@@ -175,7 +188,10 @@
       return open > 5;
     }
   },
-  /** Machines reach no controller for longer than a lease; commands reach them; one cancels. */
+  /**
+   * The heartbeats of all machines reach no controller for longer than a lease, while commands
+   * reach the workers. A user cancels a job.
+   */
   OUTBOUND_BLOCKED_MACHINES {
     @Override
     boolean inject(Simulation sim) {
@@ -190,7 +206,7 @@
       return sim.faultCounts.containsKey("mute");
     }
   },
-  /** Commands and their answers are delayed by machines that pause and resume. */
+  /** Workers that pause and resume delay commands and their answers. */
   DELAYED_COMMANDS {
     @Override
     boolean inject(Simulation sim) {
@@ -214,7 +230,10 @@
       return sim.faultCounts.containsKey("hang, held orders executed");
     }
   },
-  /** Controllers hand over and back, all end, and one returns, also within a second. */
+  /**
+   * Controllers crash in turn, for less than a second or for some seconds, so that leadership moves
+   * and returns. Then all crash, and at first only one returns.
+   */
   FAILOVER_AND_FAILBACK {
     @Override
     boolean inject(Simulation sim) {
@@ -227,15 +246,18 @@
         node.crash(node.name.equals("n1") ? 300 : 20_000);
       }
       sim.runUntil(sim.nowMs + 2_000);
-      boolean one =
+      boolean onlyOneRunning =
           sim.controllers.get("n1").running
               && !sim.controllers.get("n0").running
               && !sim.controllers.get("n2").running;
       sim.runUntil(sim.nowMs + 25_000);
-      return one;
+      return onlyOneRunning;
     }
   },
-  /** Transactions without an answer are carried out late, after newer ones, also of the dead. */
+  /**
+   * Unanswered transactions are executed late: after newer ones, also after the process that sent
+   * them has ended.
+   */
   DELAYED_TRANSACTIONS {
     @Override
     boolean inject(Simulation sim) {
@@ -253,7 +275,7 @@
       return sim.faultCounts.containsKey("lateWrites, applied");
     }
   },
-  /** Jobs of two or three tasks that end far apart, with another leader in between. */
+  /** Jobs of two or three tasks that end 30 s apart; leaders change in between. */
   COMPLETIONS_FAR_APART {
     @Override
     boolean inject(Simulation sim) {
@@ -265,10 +287,11 @@
         sim.users.submit(batchJob(id).tasks(2 + j % 2).build());
       }
       sim.runUntil(sim.nowMs + 24_000);
-      boolean between = false;
+      boolean partlyCompleted = false;
       for (int j = 10; j < 16; j++) {
         JobEntry job = sim.jobEntry("wk-0000" + j);
-        between |= job.completedTaskCount() > 0 && job.completedTaskCount() < job.spec().tasks();
+        partlyCompleted |=
+            job.completedTaskCount() > 0 && job.completedTaskCount() < job.spec().tasks();
       }
       for (SimulatedController node : sim.controllers.values()) {
         node.crash(node.name.equals("n2") ? 200 : 5_000);
@@ -276,10 +299,13 @@
       sim.runUntil(sim.nowMs + 22_000);
       sim.crashBusiestLeaders();
       sim.runUntil(sim.nowMs + 30_000);
-      return between;
+      return partlyCompleted;
     }
   },
-  /** Jobs of one zone, pinned and not, lose machines. */
+  /**
+   * All machines with tasks in one zone are lost. The jobs are pinned to that zone, limited to any
+   * single zone, or spread over the zones.
+   */
   ONE_ZONE_LOSES_MACHINES {
     @Override
     boolean inject(Simulation sim) {
@@ -299,7 +325,7 @@
       return lost > 0;
     }
   },
-  /** Leaders change ten times in two minutes, also inside an outage. */
+  /** Leaders change ten times in two minutes, also during an outage of the state service. */
   TEN_LEADER_CHANGES {
     @Override
     boolean inject(Simulation sim) {
@@ -314,7 +340,10 @@
           && sim.faultCounts.containsKey("changeLeaders, in an outage");
     }
   },
-  /** A zone with workers and a controller is cut off for longer than a lease; one cancels. */
+  /**
+   * A zone with workers and a controller is partitioned for longer than a worker lease. A job in it
+   * is cancelled at a controller outside.
+   */
   ZONE_PARTITIONED {
     @Override
     boolean inject(Simulation sim) {
@@ -326,16 +355,17 @@
           job = runningJob(worker);
         }
       }
-      boolean inside = job != null && sim.controllers.get("n1").running;
+      boolean runningInZone = job != null && sim.controllers.get("n1").running;
       assertEquals("cancelled", cancelAt(sim, sim.controllers.get("n0"), job).state());
       sim.runUntil(sim.nowMs + Simulation.CANCEL_MS + 5_000);
       assertEquals(0, sum(runningTasksByLeader(sim, job)));
       sim.healPartitions();
-      return inside;
+      return runningInZone;
     }
   },
   /**
-   * A leader crashes; machines with long tasks are unreachable for commands, or for all messages.
+   * A machine leader crashes. Its machines run long tasks; half of them are unreachable for
+   * commands, the others for all messages.
    */
   LEADER_CRASH_MACHINES_UNREACHABLE {
     @Override
@@ -360,5 +390,6 @@
     }
   };
 
+  /** Injects the faults and returns whether they occurred together. */
   abstract boolean inject(Simulation sim);
 }
--- a/src/test/java/mallowstall/core/ForcedHistory.java
+++ b/src/test/java/mallowstall/core/ForcedHistory.java
@@ -27,48 +27,55 @@
 import mallowstall.core.model.ProgramVersion;
 
 /**
- * A simulated history of one job in which the order of events is forced: processes stand still at
- * chosen points, messages between controllers come late or twice, and users get an answer in the
- * moment in which it arrives, unless they have given up before.
+ * A simulated history of one job in which the test forces the order of events. Processes stall at
+ * chosen points, and messages between controllers are delayed, duplicated or lost. A user receives
+ * an answer at the moment of its arrival unless the user's request has timed out.
  */
 final class ForcedHistory implements Recorder {
   static final String JOB = "wk-000001";
 
-  /** The controller whose answers may come late, and the one that accepts and cancels the job. */
+  /** The controller whose answers may be late. */
   static final String ASKED = "n1";
 
+  /** The controller that accepts and cancels the job. */
   static final String OTHER = "n0";
 
   static final String THIRD = "n2";
 
-  /** ms. Users try again after so long, or later if the answer says so. */
+  /** Delay in milliseconds after which users retry a request whose answer lacks the job's state. */
   static final long RETRY_MS = 1_000;
 
-  /** ms. All stalls are over by then, and users have given up. */
+  /** Time in milliseconds after which all stalls are over and all requests have timed out. */
   static final long ALL_ANSWERED_MS = 8_000;
 
-  /** ms. A submission takes one transaction, as ever. */
-  private static final long ACCEPTED_WITHIN_MS = 700;
+  /** Maximum time in milliseconds of a submission, which takes one transaction. */
+  private static final long MAX_ACCEPTANCE_MS = 700;
 
-  /** ms. The longest that a user may be without an answer. */
-  private static final long UNANSWERED_MAX_MS = 75_000;
+  /** Maximum time in milliseconds that a user may be without an answer. */
+  private static final long MAX_UNANSWERED_MS = 75_000;
 
-  /** ms. By then every controller has its replica and has heard of all peers. */
+  /**
+   * Time in milliseconds by which every controller has a state replica and has messages from all
+   * peers.
+   */
   private static final long READY_MS = 8_000;
 
-  /** The write of an answer that a core has decided on, and its way to the user. */
+  /** Writes an answer that a core has decided on, and delivers it to the user. */
   interface AnswerWriter {
-    /** Called within the event that has decided on the answer. */
+    /** Called within the event in which the core decides on the answer. */
     void write(StallableProcess process, ApiResponse decided, Consumer<ApiResponse> user);
   }
 
-  /** How messages between controllers travel. */
+  /** The delays of messages between controllers. */
   interface MessageDelays {
-    /** ms until each delivery: 0 is the usual way, none at all is a loss. */
+    /**
+     * Returns the delay of each delivery in milliseconds. A delay of 0 uses the simulated
+     * connection; an empty list loses the message.
+     */
     List<Long> of(String from, String to, PeerMessage message);
   }
 
-  /** A user's request and what came of it; times are -1 until that has happened. */
+  /** A user's request and its answer; the time of an event is -1 until the event happens. */
   static final class Exchange {
     final UserRequest request;
     final String node;
@@ -77,7 +84,7 @@
     long leftMs = -1;
     int answers;
 
-    /** The answer as it came to the user; null: none came before the user gave up. */
+    /** The answer that the user received, or null if none arrived before the timeout. */
     ApiResponse received;
 
     Exchange(UserRequest request, String node, long askedMs) {
@@ -87,7 +94,10 @@
     }
   }
 
-  /** One user's attempts until the job's state is told; times are -1 until then. */
+  /**
+   * The attempts of one user until an answer contains the job's state; {@code toldMs} is -1 until
+   * then.
+   */
   static final class Attempts {
     final long begunMs;
     long toldMs = -1;
@@ -101,15 +111,16 @@
   final List<String> trace = new ArrayList<>();
   MessageDelays messageDelays = (from, to, message) -> List.of(0L);
 
-  /** When the state service got the job's entry, and the entry of its end; -1: not yet. */
+  /** The time at which the state service stores the job's first entry, or -1 before that. */
   long recordedMs = -1;
 
+  /** The time at which the state service stores the job's outcome, or -1 before that. */
   long endRecordedMs = -1;
 
   private final AnswerWriter answerWriter;
   private final Map<String, StallableProcess> processes = new HashMap<>();
 
-  /** Every controller is ready, and a user is about to submit the job. */
+  /** Runs until every controller is ready, and registers the job as about to be submitted. */
   ForcedHistory(long seed, long taskRunMs, AnswerWriter answerWriter) {
     this.answerWriter = answerWriter;
     simulation = new Simulation(seed, ProgramVersion.CURRENT, this);
@@ -132,7 +143,7 @@
     return simulation.controllers.get(node);
   }
 
-  /** The node's present process. */
+  /** Returns the current process of the node. */
   StallableProcess process(String node) {
     return processes.get(node);
   }
@@ -161,7 +172,7 @@
     }
   }
 
-  /** A user asks the controller once. */
+  /** Sends one request of a user to the controller. */
   Exchange ask(String node, UserRequest request) {
     return ask(node, request, exchange -> {});
   }
@@ -171,7 +182,7 @@
       simulation.checker.onCancelRequested(JOB);
     }
     Exchange exchange = new Exchange(request, node, nowMs());
-    trace(node + " is asked: " + request);
+    trace(node + " receives " + request);
     SimulatedController controller = controller(node);
     controller.enqueueEvent(
         () -> request.send(controller.core, decided -> onDecided(exchange, decided, onReceived)));
@@ -188,12 +199,12 @@
 
   private void onArrival(Exchange exchange, ApiResponse response, Consumer<Exchange> onReceived) {
     exchange.leftMs = nowMs();
-    boolean heard = nowMs() - exchange.askedMs <= exchange.request.timeoutMs();
+    boolean inTime = nowMs() - exchange.askedMs <= exchange.request.timeoutMs();
     trace(
         exchange.node
-            + (heard ? " tells the user of " : " answers too late the user of ")
+            + (inTime ? " answers " : " answers after the timeout ")
             + (exchange.request + ": " + describe(response)));
-    if (!heard) {
+    if (!inTime) {
       return;
     }
     exchange.received = response;
@@ -202,7 +213,7 @@
     onReceived.accept(exchange);
   }
 
-  /** A user asks again and again until the job's state is told. */
+  /** Sends a user's request repeatedly until an answer contains the job's state. */
   Attempts askUntilTold(String node, UserRequest request, long retryMs) {
     Attempts attempts = new Attempts(nowMs());
     attempt(node, request, retryMs, attempts);
@@ -238,27 +249,28 @@
         });
   }
 
-  /** The job is accepted at once. */
+  /** Submits the job and checks that the controller accepts it without delay. */
   void submitNow() {
     Attempts submission = askUntilTold(OTHER, UserRequest.SUBMISSION, RETRY_MS);
     run(3_000);
     long tookMs = submission.toldMs - submission.begunMs;
-    assertTrue(tookMs >= 0 && tookMs <= ACCEPTED_WITHIN_MS, "accepted after " + tookMs + " ms");
+    assertTrue(tookMs >= 0 && tookMs <= MAX_ACCEPTANCE_MS, "accepted after " + tookMs + " ms");
   }
 
-  /** Runs until the user knows, and until every other one has given up. */
+  /** Runs until the attempts have succeeded and every other user's request has timed out. */
   void finish(Attempts attempts) {
     run(ALL_ANSWERED_MS);
-    while (attempts.toldMs < 0 && nowMs() - attempts.begunMs < UNANSWERED_MAX_MS) {
+    while (attempts.toldMs < 0 && nowMs() - attempts.begunMs < MAX_UNANSWERED_MS) {
       run(100);
     }
     assertTrue(attempts.toldMs >= 0, () -> "without an answer: " + trace);
   }
 
   /**
-   * Asks about the job, which is submitted to the other controller a little later.
+   * Sends a request about the job, which is submitted to the other controller {@code submitAfterMs}
+   * later.
    *
-   * @return whether it was recorded after the question and before its answer left
+   * @return whether the job was recorded after the request and before the request's answer left
    */
   boolean askThenSubmit(UserRequest request, long submitAfterMs) {
     Exchange asked = ask(ASKED, request);
@@ -269,9 +281,10 @@
   }
 
   /**
-   * Asks about the job, which is cancelled at the other controller a little later.
+   * Sends a request about the job, which is cancelled at the other controller {@code cancelAfterMs}
+   * later.
    *
-   * @return whether the end was recorded after the question and before its answer left
+   * @return whether the outcome was recorded after the request and before the request's answer left
    */
   boolean askThenCancel(UserRequest request, long cancelAfterMs) {
     Exchange asked = ask(ASKED, request);
@@ -281,7 +294,10 @@
     return endRecordedMs > asked.askedMs && asked.leftMs > endRecordedMs;
   }
 
-  /** The asked controller learns of the job from nobody, and one peer's replies come late. */
+  /**
+   * Delays the acceptance replies of the third controller, and stalls the watch of the asked
+   * controller so that the controller does not see the job's entry.
+   */
   void delayLeases(long replyDelayMs) {
     controller(ASKED).watchStalled = true;
     messageDelays =
@@ -289,19 +305,25 @@
             List.of(from.equals(THIRD) && message instanceof AcceptanceReply ? replyDelayMs : 0L);
   }
 
-  /** A process sends a message to a peer; {@code usualWay} does so over its connection. */
-  void send(SimulatedController from, String to, PeerMessage message, Runnable usualWay) {
+  /**
+   * Sends a message to a peer with the configured delays; {@code sendOverConnection} sends it over
+   * the simulated connection.
+   */
+  void send(SimulatedController from, String to, PeerMessage message, Runnable sendOverConnection) {
     for (long delayMs : messageDelays.of(from.name, to, message)) {
       traceMessage(from.name, to, message, delayMs);
       if (delayMs == 0) {
-        usualWay.run();
+        sendOverConnection.run();
       } else {
         deliverLate(to, message, delayMs);
       }
     }
   }
 
-  /** Like a message on a connection of its own, which later connections may overtake. */
+  /**
+   * Delivers the message after the delay, outside of the simulated connection. Messages that are
+   * sent later may overtake it.
+   */
   private void deliverLate(String to, PeerMessage message, long delayMs) {
     SimulatedController receiver = controller(to);
     int receivingProcess = receiver.processNumber;
@@ -338,8 +360,8 @@
   }
 
   @Override
-  public Effects effects(SimulatedController node, Effects world) {
-    StallableProcess process = new StallableProcess(this, node, world);
+  public Effects effects(SimulatedController node, Effects delegate) {
+    StallableProcess process = new StallableProcess(this, node, delegate);
     processes.put(node.name, process);
     return process;
   }
--- a/src/test/java/mallowstall/core/HistoryDigest.java
+++ b/src/test/java/mallowstall/core/HistoryDigest.java
@@ -36,18 +36,19 @@
 
 /**
  * The SHA-256 digest of everything that leaves the cores in a simulated history, in order of
- * simulated time: all that they ask of the state service, workers, the cloud and each other, and
- * all answers to users and to workers' heartbeats. Two programs with the same digests have done
- * exactly the same in these histories.
+ * simulated time: all calls to the state service, workers and the cloud, all messages to peers, and
+ * all answers to users and to workers' heartbeats. Two programs with equal digests behave
+ * identically in these histories.
  *
- * <p>Each call or answer is one line: the simulated time in ms, the controller, a fixed label, and
- * the fields, separated by tabs. Values of the state service are the bytes that it gets, messages
- * between controllers the bytes of {@link PeerCodec} in hexadecimal; all else is written field by
- * field, constants by their ordinals. No name of a Java type, field or constant is in it, so that
- * renaming or moving these changes no digest.
+ * <p>Each call or answer is one line: the simulated time in milliseconds, the controller, a fixed
+ * label, and the fields, separated by tabs. Values of the state service are written as the bytes
+ * that the state service receives, and messages between controllers as the bytes of {@link
+ * PeerCodec} in hexadecimal. All else is written field by field, enum constants by their ordinals.
+ * A line contains no name of a Java type, field or constant, so that renaming or moving these
+ * changes no digest.
  *
- * <p>One instance records one history. The lines are digested as they come, and kept nowhere unless
- * a file is given.
+ * <p>One instance records one history. Each line goes into the digest at once, and is not stored
+ * unless a file is given.
  */
 final class HistoryDigest implements Recorder, AutoCloseable {
   private static final String ABSENT = "(none)";
@@ -57,7 +58,7 @@
   private final StringBuilder line = new StringBuilder();
   private long lines;
 
-  /** The lines are written to the file too; null: to none. */
+  /** Also writes the lines to the file, unless it is null. */
   private HistoryDigest(Path file) throws IOException {
     try {
       sha256 = MessageDigest.getInstance("SHA-256");
@@ -68,10 +69,10 @@
   }
 
   /**
-   * Plays a history and returns its digest.
+   * Runs a history and returns its digest.
    *
    * @param history its kind and seed, such as {@code plain 20000} or {@code upgrade 20100}
-   * @param dumpTo the directory of the file that the recorded lines are written to; null: none
+   * @param dumpTo the directory of the file for the recorded lines, or null to write no file
    */
   static String of(String history, Path dumpTo) throws IOException {
     String[] parts = history.split(" ");
@@ -98,8 +99,8 @@
   }
 
   @Override
-  public Effects effects(SimulatedController node, Effects world) {
-    return new RecordedEffects(node, world);
+  public Effects effects(SimulatedController node, Effects delegate) {
+    return new RecordedEffects(node, delegate);
   }
 
   @Override
@@ -176,14 +177,14 @@
     }
   }
 
-  /** Passes on what a core asks of the world, and records it. */
+  /** Records the calls of a core and passes them on to the delegate. */
   private final class RecordedEffects implements Effects {
     private final SimulatedController node;
-    private final Effects world;
+    private final Effects delegate;
 
-    RecordedEffects(SimulatedController node, Effects world) {
+    RecordedEffects(SimulatedController node, Effects delegate) {
       this.node = node;
-      this.world = world;
+      this.delegate = delegate;
     }
 
     @Override
@@ -200,50 +201,50 @@
       field(txn.deletes().size());
       txn.deletes().forEach(HistoryDigest.this::field);
       end();
-      world.transact(txn, then);
+      delegate.transact(txn, then);
     }
 
-    /** Leaves nothing: a core only measures with it. */
+    /** Records nothing, because a core only measures the value and nothing leaves the core. */
     @Override
     public int encodedSizeBytes(StoredEntry value) {
-      return world.encodedSizeBytes(value);
+      return delegate.encodedSizeBytes(value);
     }
 
     @Override
     public void get(String key, Consumer<GetResult> then) {
       begin(node, "read").field(key).end();
-      world.get(key, then);
+      delegate.get(key, then);
     }
 
     @Override
     public void list(String after, Consumer<ListResult> then) {
       begin(node, "list").field(after).end();
-      world.list(after, then);
+      delegate.list(after, then);
     }
 
     @Override
     public void watch(long after, long holdMs, Consumer<WatchResult> then) {
       begin(node, "watch").field(after).field(holdMs).end();
-      world.watch(after, holdMs, then);
+      delegate.watch(after, holdMs, then);
     }
 
     @Override
     public void grantLease(long ttlMs, Consumer<LeaseResult> then) {
       begin(node, "lease").field(ttlMs).end();
-      world.grantLease(ttlMs, then);
+      delegate.grantLease(ttlMs, then);
     }
 
     @Override
     public void renewLease(long lease, Consumer<LeaseResult> then) {
       begin(node, "renewal").field(lease).end();
-      world.renewLease(lease, then);
+      delegate.renewLease(lease, then);
     }
 
     @Override
     public void send(String peer, PeerMessage message) {
       begin(node, "message").field(peer);
       field(HexFormat.of().formatHex(PeerCodec.encode(message))).end();
-      world.send(peer, message);
+      delegate.send(peer, message);
     }
 
     @Override
@@ -255,20 +256,20 @@
         Consumer<CommandResult> then) {
       begin(node, "order").field(addr).field(token).field(session);
       commands(commands).end();
-      world.sendCommands(addr, token, session, commands, then);
+      delegate.sendCommands(addr, token, session, commands, then);
     }
 
     @Override
     public void fetchMachineTypes(Consumer<List<MachineType>> then) {
       begin(node, "types").end();
-      world.fetchMachineTypes(then);
+      delegate.fetchMachineTypes(then);
     }
 
     @Override
     public void scaleOut(ScaleOutRequest request, Consumer<ScaleOutResult> then) {
       begin(node, "rental").field(request.name()).field(request.type()).field(request.zone());
       field(request.spot()).field(request.count()).end();
-      world.scaleOut(request, then);
+      delegate.scaleOut(request, then);
     }
 
     @Override
@@ -276,13 +277,13 @@
       begin(node, "return").field(machines.size());
       machines.forEach(HistoryDigest.this::field);
       end();
-      world.scaleIn(machines, then);
+      delegate.scaleIn(machines, then);
     }
 
     @Override
     public void listMachines(String after, Consumer<InventoryPage> then) {
       begin(node, "machines").field(after).end();
-      world.listMachines(after, then);
+      delegate.listMachines(after, then);
     }
   }
 }
--- a/src/test/java/mallowstall/core/HistoryTally.java
+++ b/src/test/java/mallowstall/core/HistoryTally.java
@@ -3,30 +3,41 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** How many of a test's histories broke a rule, and in how many its order of events took place. */
+/**
+ * Counts the histories of a test in which a rule is violated, and those in which the order of
+ * events under test occurs.
+ */
 final class HistoryTally {
   private int histories;
-  private int tookPlace;
-  private int broken;
-  private String firstBroken = "";
+  private int orderOccurredCount;
+  private int violatingCount;
+  private String firstViolation = "";
 
-  /** {@code inOrder}: what the test is about has happened in this history. */
-  void add(ForcedHistory history, boolean inOrder) {
+  /**
+   * Adds a finished history; {@code orderOccurred} is true if the order of events under test
+   * occurred in it.
+   */
+  void add(ForcedHistory history, boolean orderOccurred) {
     histories++;
-    tookPlace += inOrder ? 1 : 0;
+    orderOccurredCount += orderOccurred ? 1 : 0;
     if (history.simulation.checker.violations.isEmpty()) {
       return;
     }
-    broken++;
-    if (firstBroken.isEmpty()) {
+    violatingCount++;
+    if (firstViolation.isEmpty()) {
       String violation = history.simulation.checker.violations.get(0);
-      firstBroken = violation + "\n" + String.join("\n", history.trace);
+      firstViolation = violation + "\n" + String.join("\n", history.trace);
     }
   }
 
   void assertNoneBroken() {
-    assertTrue(tookPlace > 0, "the order of events took place in no history");
-    String counts = broken + " of " + histories + " histories, in order " + tookPlace;
-    assertEquals(0, broken, () -> counts + "; the first: " + firstBroken);
+    assertTrue(orderOccurredCount > 0, "the order of events under test occurred in no history");
+    String counts =
+        violatingCount
+            + " of "
+            + histories
+            + " histories violate a rule, order occurred in "
+            + orderOccurredCount;
+    assertEquals(0, violatingCount, () -> counts + "; the first: " + firstViolation);
   }
 }
--- a/src/test/java/mallowstall/core/InvariantChecker.java
+++ b/src/test/java/mallowstall/core/InvariantChecker.java
@@ -12,8 +12,9 @@
 import mallowstall.core.model.Team;
 
 /**
- * The slow plain model: what is on which machine and what users were answered, checked at each
- * step.
+ * A simple, slow reference model of the tasks on each machine and of the answers that users
+ * received. The rules are checked at each step. Each violation is recorded as a text of the
+ * simulated time in milliseconds, the name of the violated rule, and details.
  */
 final class InvariantChecker {
   /** A task that is on a machine. */
@@ -23,13 +24,19 @@
   /** A replica of a service. */
   private record Replica(String job, int number) {}
 
-  /** A machine that is up, with all its processors. */
+  /** A machine that is up; {@code cpus} is its total number of CPUs. */
   record Machine(String id, String type, String zone, boolean spot, double cpus) {}
 
-  /** How long a job may wait beside room for it once no fault is left. */
+  /**
+   * Maximum time in milliseconds that a job may wait despite free capacity after the faults have
+   * ended.
+   */
   static final long MAX_PENDING_MS = 90_000;
 
-  /** How long a replica may be on no machine beside room for it once no fault is left. */
+  /**
+   * Maximum time in milliseconds that a replica may be on no machine despite free capacity after
+   * the faults have ended.
+   */
   static final long MAX_REPLICA_MISSING_MS = 30_000;
 
   final List<String> violations = new ArrayList<>();
@@ -47,15 +54,21 @@
   private final Map<String, Long> pendingSinceMs = new HashMap<>();
   private final Map<Replica, Long> replicaMissingSinceMs = new HashMap<>();
 
-  /** The machines that keep a replica's result: started there again it ends at once. */
+  /** The machines that keep a replica's result; a new start of the replica there ends at once. */
   private final Map<Replica, Set<String>> machinesWithResult = new HashMap<>();
 
   int startCount;
 
-  /** Starts after a cancellation was confirmed, soon enough to have been under way then. */
+  /**
+   * Number of starts at most {@code cancelMs} after a cancellation was confirmed, which may have
+   * been under way at that time.
+   */
   int startsAfterCancelCount;
 
-  /** From here on no fault is left: every accepted job's questions must be answered. */
+  /**
+   * Time in milliseconds at which the faults have ended. From then on every query about an accepted
+   * job must be answered.
+   */
   long faultsEndedMs = Long.MAX_VALUE;
 
   InvariantChecker(Map<String, Team> teams, long cancelMs) {
@@ -71,7 +84,7 @@
     cancelRequested.add(job);
   }
 
-  /** Whether somebody has asked to cancel the job. */
+  /** Returns whether a user has requested the cancellation of the job. */
   boolean isCancelRequested(String job) {
     return cancelRequested.contains(job);
   }
@@ -93,7 +106,7 @@
     if (!spec.allowsMachine(startedTask.type, startedTask.zone, startedTask.spot)) {
       violations.add(now + " wrong_place: " + startedTask);
     }
-    int zone = 1;
+    int tasksInZone = 1;
     for (RunningTask onMachine : runningTasks) {
       if (!onMachine.jobId.equals(startedTask.jobId)) {
         continue;
@@ -102,10 +115,10 @@
         violations.add(now + " wrong_place, one zone: " + startedTask);
       }
       if (onMachine.zone.equals(startedTask.zone)) {
-        zone++;
+        tasksInZone++;
       }
     }
-    if (spec.spread() && zone > (spec.tasks() + 1) / 2) {
+    if (spec.spread() && tasksInZone > (spec.tasks() + 1) / 2) {
       violations.add(now + " wrong_place, spread: " + startedTask);
     }
     Long cancelConfirmed = cancelConfirmedMs.get(startedTask.jobId);
@@ -150,7 +163,7 @@
     }
   }
 
-  /** Whether the job is a service: a replica of it that completed has to run again. */
+  /** Returns whether the job is a service, of which a completed replica has to run again. */
   boolean isService(String job) {
     JobSpec spec = jobs.get(job);
     return spec != null && spec.isService();
@@ -168,7 +181,7 @@
   void check(long now) {
     for (Map.Entry<String, Long> entry : lastAnswerMs.entrySet()) {
       if (!isOver(entry.getKey()) && now - 75_000 > Math.max(faultsEndedMs, entry.getValue())) {
-        violations.add(now + " forgotten: no question about " + entry.getKey() + " is answered");
+        violations.add(now + " forgotten: no query about " + entry.getKey() + " is answered");
         entry.setValue(now);
       }
     }
@@ -186,7 +199,7 @@
       }
       long since = pendingSinceMs.computeIfAbsent(spec.id(), k -> now);
       if (now - since > MAX_PENDING_MS) {
-        violations.add(now + " never_started: " + spec.id() + " beside room since " + since);
+        violations.add(now + " never_started: " + spec.id() + " despite capacity since " + since);
         pendingSinceMs.put(spec.id(), now);
       }
     }
@@ -198,16 +211,16 @@
   }
 
   private void checkReplicas(long now, JobSpec service) {
-    boolean wanted = now >= faultsEndedMs && shouldRun(service.id());
+    boolean mustRun = now >= faultsEndedMs && shouldRun(service.id());
     for (int number = 0; number < service.tasks(); number++) {
       Replica replica = new Replica(service.id(), number);
-      if (!wanted || isRunning(replica) || !hasCapacityFor(service, machinesWithResult(replica))) {
+      if (!mustRun || isRunning(replica) || !hasCapacityFor(service, machinesWithResult(replica))) {
         replicaMissingSinceMs.remove(replica);
         continue;
       }
       long since = replicaMissingSinceMs.computeIfAbsent(replica, k -> now);
       if (now - since > MAX_REPLICA_MISSING_MS) {
-        violations.add(now + " replica_missing: " + replica + " beside room since " + since);
+        violations.add(now + " replica_missing: " + replica + " despite capacity since " + since);
         replicaMissingSinceMs.put(replica, now);
       }
     }
@@ -226,7 +239,7 @@
     return false;
   }
 
-  /** How many replicas of the service are on machines. */
+  /** Returns the number of replicas of the service that are on machines. */
   int runningReplicas(String service) {
     int count = 0;
     for (RunningTask task : runningTasks) {
@@ -237,7 +250,9 @@
     return count;
   }
 
-  /** Accepted, not over, on no machine, and there is room for a task. */
+  /**
+   * Returns whether an accepted, open job is on no machine although capacity for a task is free.
+   */
   private boolean isPendingDespiteCapacity(JobSpec spec) {
     if (!shouldRun(spec.id()) || remainingTasks(spec.id()) == 0) {
       return false;
@@ -250,13 +265,16 @@
     return hasCapacityFor(spec, Set.of());
   }
 
-  /** Accepted, not over, and nobody has asked to cancel it. */
+  /** Returns whether the job is accepted, not over, and without a requested cancellation. */
   private boolean shouldRun(String job) {
     boolean accepted = lastReportedState.containsKey(job);
     return accepted && !isOver(job) && !cancelRequested.contains(job);
   }
 
-  /** Whether the team is under its limit and some other machine may take one more of the tasks. */
+  /**
+   * Returns whether the team's quota and a machine that is not excluded allow one more task of the
+   * job.
+   */
   private boolean hasCapacityFor(JobSpec spec, Set<String> excluded) {
     Team team = teams.get(spec.team());
     if (team.cpuQuota() > 0 && usedCpus(spec.team()) + spec.cpus() > team.cpuQuota() + 1e-6) {
@@ -283,7 +301,7 @@
     return false;
   }
 
-  /** Whether one more task of the job may run in the zone beside those that do. */
+  /** Returns whether the job's other running tasks allow one more task in the zone. */
   private boolean mayRunInZone(JobSpec spec, String zone) {
     int inZone = 1;
     for (RunningTask task : runningTasks) {
@@ -300,7 +318,10 @@
     return !spec.spread() || inZone <= (spec.tasks() + 1) / 2;
   }
 
-  /** A job that can never run was answered so: refused for good, or for now while undecided. */
+  /**
+   * Checks the status of the answer to a job that can never run: 422 rejects the job for good, 503
+   * leaves the decision open for now.
+   */
   void onUnplaceableAnswer(long now, String job, int status) {
     if (status != 422 && status != 503) {
       violations.add(now + " took_impossible: " + job + " " + status);
@@ -315,7 +336,7 @@
     return jobs.get(job);
   }
 
-  /** Jobs of which something is on a machine and that nobody has cancelled. */
+  /** Returns the jobs with tasks on machines and without a requested cancellation. */
   Set<String> runningJobs() {
     Set<String> out = new TreeSet<>();
     for (RunningTask task : runningTasks) {
@@ -336,12 +357,15 @@
     return out;
   }
 
-  /** A user got this answer to a question asked at {@code asked}. */
+  /** Checks an answer that a user receives at the time of the request. */
   void onAnswer(long now, String job, int status, String state) {
     onAnswer(now, now, job, status, state);
   }
 
-  void onAnswer(long now, long asked, String job, int status, String state) {
+  /**
+   * Checks an answer that a user receives at {@code now} to a request sent at {@code requestedMs}.
+   */
+  void onAnswer(long now, long requestedMs, String job, int status, String state) {
     String before = lastReportedState.get(job);
     if (!jobs.containsKey(job)) {
       if (status == 200) {
@@ -350,16 +374,16 @@
       return;
     }
     if (before != null && (status == 404 || status == 400 || status == 422)) {
-      violations.add(now + " forgotten: " + job + " " + status + ", asked at " + asked);
+      violations.add(now + " forgotten: " + job + " " + status + ", requested at " + requestedMs);
     }
     if (state == null) {
       return;
     }
     lastAnswerMs.put(job, now);
     if (isOver(job) && !before.equals(state)) {
-      String what = now + " went_back: " + job + " " + before + " " + state;
-      what += " since " + terminalStateMs.get(job) + ", asked at " + asked;
-      violations.add(what);
+      String violation = now + " went_back: " + job + " " + before + " " + state;
+      violation += " since " + terminalStateMs.get(job) + ", requested at " + requestedMs;
+      violations.add(violation);
     }
     if (state.equals("cancelled") && !cancelRequested.contains(job)) {
       violations.add(now + " went_back: " + job);
@@ -381,7 +405,7 @@
     lastReportedState.put(job, state);
   }
 
-  /** Whether a user was answered that the job is done or cancelled. */
+  /** Returns whether the last state in an answer to a user is done or cancelled. */
   boolean isOver(String job) {
     String last = lastReportedState.get(job);
     return "done".equals(last) || "cancelled".equals(last);
--- a/src/test/java/mallowstall/core/LateAnswerFaults.java
+++ b/src/test/java/mallowstall/core/LateAnswerFaults.java
@@ -9,11 +9,12 @@
 import mallowstall.core.model.JobSpec;
 
 /**
- * Random faults by which controllers answer late: short pauses, busy processors, slow reads and
- * lagging watches, amid bursts of requests about one job to all controllers.
+ * Injects random faults that make controllers answer late: short pauses, busy processors, slow
+ * reads and delayed watches. Most of them coincide with a burst of requests about one job to all
+ * controllers.
  */
 final class LateAnswerFaults {
-  /** The faults that must take place in the histories of a test. */
+  /** Names of the faults that must be injected in the histories of a test. */
   static final Set<String> NAMES =
       Set.of(
           "short pause",
@@ -33,13 +34,13 @@
           "answer left late",
           "answer after the user gave up");
 
-  /** ms. All faults of a burst begin within it, and users repeat their requests in it. */
+  /** Time in milliseconds in which the faults and the waves of requests of a burst begin. */
   private static final int BURST_MS = 3_000;
 
-  /** ms. Requests of one wave come within it. */
+  /** Time in milliseconds in which the requests of one wave are sent. */
   private static final int WAVE_MS = 30;
 
-  /** Questions are most likely, since users ask most often. */
+  /** The kinds of requests to draw from. Queries are most likely, as with real users. */
   private static final List<RequestKind> REQUESTS =
       List.of(
           RequestKind.QUESTION,
@@ -57,7 +58,10 @@
     this.sim = sim;
   }
 
-  /** So many of these faults within the period; the last ones end a few seconds after it. */
+  /**
+   * Schedules {@code count} faults or bursts that begin within the period of {@code periodMs}. The
+   * last ones end a few seconds after the period.
+   */
   void schedule(int count, int fromMs, int periodMs) {
     for (int i = 0; i < count; i++) {
       sim.schedule(fromMs + sim.random.nextInt(periodMs), this::inject);
@@ -75,7 +79,7 @@
     }
   }
 
-  /** Each fault at a time of its own, so that they meet in every order. */
+  /** Starts each fault at its own random time, so that the faults coincide in any order. */
   private void startFaultsOfBurst() {
     List<Runnable> faults =
         List.of(
@@ -95,13 +99,13 @@
     }
   }
 
-  /** In the middle of the next event, whatever it is. */
+  /** Pauses a random controller in the middle of its next event, of whatever kind. */
   private void pauseBriefly() {
     sim.countFault("short pause");
     randomController().pauseMs = randomPauseMs();
   }
 
-  /** Between the decision on the next answer and its departure. */
+  /** Pauses a random controller between the decision on its next answer and the sending of it. */
   private void pauseAtNextAnswer() {
     SimulatedController node = randomController();
     sim.countFault("short pause, at an answer");
@@ -146,7 +150,10 @@
     }
   }
 
-  /** Waves of requests about one job, before, at and after its first submission. */
+  /**
+   * Starts waves of requests about one job. For a new job they come before, at and after its first
+   * submission.
+   */
   private void startBurst() {
     List<String> known = knownOpenJobs();
     if (!known.isEmpty() && sim.random.nextInt(3) == 0) {
@@ -165,7 +172,7 @@
     sim.schedule(sim.random.nextInt(BURST_MS / 2), () -> submitFirst(spec));
   }
 
-  /** The job's user submits it, and others repeat that and ask at the same moment. */
+  /** Submits the job, and starts a wave of other users' requests about it at the same moment. */
   private void submitFirst(JobSpec spec) {
     sim.users.submit(spec);
     startWave(spec);
@@ -206,8 +213,8 @@
   private void request(RequestKind kind, JobSpec spec) {
     SimulatedController node = randomController();
     boolean submitted = sim.users.jobs.contains(spec.id());
-    boolean early = kind == RequestKind.SUBMISSION && !submitted;
-    if (node.running && !early) {
+    boolean beforeFirstSubmission = kind == RequestKind.SUBMISSION && !submitted;
+    if (node.running && !beforeFirstSubmission) {
       sim.countFault("burst, " + kind);
       sim.users.request(node, kind, spec);
     }
--- a/src/test/java/mallowstall/core/PeerLink.java
+++ b/src/test/java/mallowstall/core/PeerLink.java
@@ -9,7 +9,7 @@
 import mallowstall.core.model.StatusUpdate;
 import mallowstall.core.model.StopBatch;
 
-/** The connections of one controller to its peers: lossy, slow, or partitioned. */
+/** The connections of one controller to its peers, with delays, message faults and partitions. */
 final class PeerLink {
   private final Simulation simulation;
   private final SimulatedController node;
@@ -79,7 +79,7 @@
     int startedProcess = other.processNumber;
     if (message instanceof StatusUpdate
         && simulation.random.nextDouble() < simulation.statusUpdateFaultRate) {
-      boolean lost = simulation.random.nextBoolean();
+      boolean delayed = simulation.random.nextBoolean();
       simulation.schedule(
           simulation.random.nextInt(6_000),
           () -> {
@@ -87,26 +87,26 @@
               other.enqueueEvent(() -> other.core.handleMessage(message));
             }
           });
-      if (lost) {
+      if (delayed) {
         return;
       }
     }
-    // in order; across a partition it is delivered late
-    long when =
+    // messages to a peer arrive in order; a partition delays their delivery
+    long arrivalMs =
         Math.max(
             simulation.nowMs + randomDelayMs(message) / 2, lastArrivalMs.getOrDefault(peer, 0L));
     if (Boolean.TRUE.equals(node.partitionedPeers.get(peer))) {
-      when =
+      arrivalMs =
           Math.max(
-              when,
+              arrivalMs,
               simulation.nowMs
                   + (simulation.partitionDelayMs > 0
                       ? simulation.partitionDelayMs
                       : 2_000 + simulation.random.nextInt(8_000)));
     }
-    lastArrivalMs.put(peer, when);
+    lastArrivalMs.put(peer, arrivalMs);
     simulation.schedule(
-        when - simulation.nowMs,
+        arrivalMs - simulation.nowMs,
         () -> {
           if (other.running && other.processNumber == startedProcess) {
             other.enqueueEvent(() -> other.core.handleMessage(message));
@@ -117,19 +117,19 @@
   }
 
   private long randomDelayMs(PeerMessage message) {
-    boolean isAboutQuestion =
+    boolean isAcceptanceMessage =
         message instanceof AcceptanceQuery
             || message instanceof AcceptanceReply
             || message instanceof AcceptanceQueryEnd;
-    return isAboutQuestion ? simulation.randomQuestionDelayMs() : simulation.randomDelayMs();
+    return isAcceptanceMessage ? simulation.randomQuestionDelayMs() : simulation.randomDelayMs();
   }
 
-  /** The node's process has ended: its connections have, too. */
+  /** Closes all connections when the node's process ends. */
   void closeAll() {
     connectionIds.clear();
   }
 
-  /** The node has a new process, which counts its connections anew. */
+  /** Restarts the numbering of connections for a new process of the node. */
   void restart() {
     lastConnectionId = 0;
   }
--- a/src/test/java/mallowstall/core/RandomFaults.java
+++ b/src/test/java/mallowstall/core/RandomFaults.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import mallowstall.core.model.Priority;
 
-/** Random work and random faults for seeded histories. */
+/** Schedules random jobs and injects random faults in histories that are played from a seed. */
 final class RandomFaults {
   private RandomFaults() {}
 
-  /** How many messages are lost, late or repeated, by the remainders of the history's seed. */
+  /** Sets the rates of lost, late and repeated messages from remainders of the history's seed. */
   static void setMessageFaultRates(Simulation sim, long seed) {
     sim.messageLossRate = seed % 4 == 0 ? 0.02 : 0;
     sim.statusUpdateFaultRate = seed % 2 == 0 ? 0.2 : 0;
@@ -17,17 +17,17 @@
     sim.delayedTransactionRate = seed % 5 == 0 ? 0.1 : 0.01;
   }
 
-  /** So many random batch jobs within 70 s, some of them cancelled. */
+  /** Schedules random batch jobs within 70 s, some of which are cancelled. */
   static void scheduleRandomJobs(Simulation sim, int jobs) {
     scheduleRandomJobs(sim, jobs, 70_000);
   }
 
-  /** So many random batch jobs within this time, some of them cancelled. */
-  static void scheduleRandomJobs(Simulation sim, int jobs, int forMs) {
+  /** Schedules random batch jobs within {@code periodMs}, some of which are cancelled. */
+  static void scheduleRandomJobs(Simulation sim, int jobs, int periodMs) {
     for (int i = 0; i < jobs; i++) {
       int number = i;
       sim.schedule(
-          3_000 + sim.random.nextInt(forMs),
+          3_000 + sim.random.nextInt(periodMs),
           () -> {
             String id = String.format("wk-%06d", number);
             Priority priority = Priority.values()[sim.random.nextInt(3)];
@@ -55,7 +55,7 @@
     }
   }
 
-  /** One of the basic faults at random. */
+  /** Injects one of the basic faults at random. */
   static void injectBasicFault(Simulation sim) {
     SimulatedController node = sim.controllers.get(Simulation.NODES.get(sim.random.nextInt(3)));
     switch (sim.random.nextInt(13)) {
@@ -129,7 +129,10 @@
     }
   }
 
-  /** One of the combined faults at random; none of them begins anything new later than then. */
+  /**
+   * Injects one of the combined faults at random. A series of leader changes ends before {@code
+   * until}.
+   */
   static void injectCombinedFault(Simulation sim, long until) {
     SimulatedController node = sim.controllers.get(Simulation.NODES.get(sim.random.nextInt(3)));
     List<SimulatedWorker> workers = List.copyOf(sim.workers.values());
@@ -161,7 +164,7 @@
               1 + sim.random.nextInt(6), 1_000 + sim.random.nextInt(12_000));
       case 5 -> sim.users.scheduleInvalidRequests(10 + sim.random.nextInt(30));
       case 6 -> {
-        // ten times in two minutes, or as many as there is time for
+        // ten times in two minutes, or fewer if the time until the end is shorter
         long every = 12_000;
         for (long at = 0; at < 10 * every && sim.nowMs + at < until; at += every) {
           sim.schedule(at, sim::crashBusiestLeaders);
--- a/src/test/java/mallowstall/core/Recorder.java
+++ b/src/test/java/mallowstall/core/Recorder.java
@@ -6,14 +6,17 @@
 import mallowstall.core.model.Heartbeat;
 import mallowstall.core.model.HeartbeatResponse;
 
-/** Stands between the cores of a simulation and its world, and sees everything that leaves them. */
+/**
+ * Intercepts everything that leaves the cores of a simulation: calls and messages, and answers to
+ * users and workers.
+ */
 interface Recorder {
-  /** Records nothing, and puts nothing in between. */
+  /** Intercepts nothing. */
   Recorder OFF =
       new Recorder() {
         @Override
-        public Effects effects(SimulatedController node, Effects world) {
-          return world;
+        public Effects effects(SimulatedController node, Effects delegate) {
+          return delegate;
         }
 
         @Override
@@ -29,13 +32,13 @@
         }
       };
 
-  /** What the controller's core calls instead of this world. */
-  Effects effects(SimulatedController node, Effects world);
+  /** Returns the effects that the controller's core calls instead of the delegate. */
+  Effects effects(SimulatedController node, Effects delegate);
 
-  /** Whom the core answers instead of this user, who asked about the job. */
+  /** Returns the receiver of the answer instead of the user, whose request is about the job. */
   Consumer<ApiResponse> toUser(SimulatedController node, String job, Consumer<ApiResponse> user);
 
-  /** Whom the core answers instead of this worker, which has sent the heartbeat. */
+  /** Returns the receiver of the response instead of the worker, which sent the heartbeat. */
   Consumer<HeartbeatResponse> toWorker(
       SimulatedController node, Heartbeat heartbeat, Consumer<HeartbeatResponse> worker);
 }
--- a/src/test/java/mallowstall/core/SafetyTestSupport.java
+++ b/src/test/java/mallowstall/core/SafetyTestSupport.java
@@ -12,7 +12,7 @@
 import mallowstall.core.model.MachineEntry;
 import mallowstall.core.model.TaskState;
 
-/** What the tests of single cases share. */
+/** Helper methods of the tests that play single cases in a simulation. */
 final class SafetyTestSupport {
   private SafetyTestSupport() {}
 
@@ -20,7 +20,10 @@
     return sim.controllers.get(sim.jobEntry(id).leader());
   }
 
-  /** Runs until the controller has recovered the machine from its former incarnation; its entry. */
+  /**
+   * Runs until the controller has recovered the machine from the controller's former incarnation,
+   * and returns the machine's entry.
+   */
   static MachineEntry awaitRecovery(Simulation sim, SimulatedController node, String id) {
     MachineEntry entry = node.core.store().machine(id);
     while (sim.nowMs < 25_000
@@ -33,21 +36,24 @@
     return entry;
   }
 
-  /** Submits so many jobs of so many tasks each, wk-000000 and on. */
+  /** Submits the jobs wk-000000, wk-000001 and so on, each with {@code tasks} tasks. */
   static void submitJobs(Simulation sim, int jobs, int tasks, String team) {
     for (int i = 0; i < jobs; i++) {
       sim.users.submit(batchJob("wk-00000" + i).tasks(tasks).team(team).build());
     }
   }
 
-  /** The first so many jobs, from wk-000000 on, have finished. */
+  /** Asserts that the first {@code jobs} jobs, from wk-000000 on, have finished. */
   static void assertAllFinished(Simulation sim, int jobs) {
     for (int i = 0; i < jobs; i++) {
       assertFinished(sim, "wk-00000" + i);
     }
   }
 
-  /** The job is done, to users and in the state service, and no invariant was broken. */
+  /**
+   * Asserts that the job is done, in answers to users and in the state service, and that no
+   * invariant is violated.
+   */
   static void assertFinished(Simulation sim, String id) {
     assertEquals(List.of(), sim.checker.violations);
     assertEquals("done", sim.checker.lastState(id));
@@ -55,7 +61,9 @@
     assertEquals(job.spec().tasks(), job.completedTaskCount());
   }
 
-  /** Tasks of the job that run, by the leader of their machines. */
+  /**
+   * Returns the number of the job's tasks that have not exited, by the leader of their machines.
+   */
   static Map<String, Integer> runningTasksByLeader(Simulation sim, String job) {
     Map<String, Integer> out = new TreeMap<>();
     for (SimulatedWorker worker : sim.workers.values()) {
@@ -72,7 +80,10 @@
     return counts.values().stream().mapToInt(Integer::intValue).sum();
   }
 
-  /** The user's answer; the confirmation counts from then on. */
+  /**
+   * Cancels the job at the controller and returns the answer, or null if none arrives within 3 s.
+   * For the checker a confirmed cancellation counts from the arrival of the answer.
+   */
   static ApiResponse cancelAt(Simulation sim, SimulatedController node, String id) {
     sim.checker.onCancelRequested(id);
     List<ApiResponse> responses = new ArrayList<>();
@@ -91,7 +102,7 @@
     return responses.isEmpty() ? null : responses.get(0);
   }
 
-  /** A job of which a task runs there; null: none. */
+  /** Returns a job that has a running task on the worker, or null if there is none. */
   static String runningJob(SimulatedWorker worker) {
     for (SimulatedTask task : worker.tasks.values()) {
       if (task.state == TaskState.RUNNING) {
@@ -102,12 +113,12 @@
   }
 
   static SimulatedWorker busiestWorker(Simulation sim) {
-    SimulatedWorker most = null;
+    SimulatedWorker busiest = null;
     for (SimulatedWorker worker : sim.workers.values()) {
-      if (most == null || worker.tasks.size() > most.tasks.size()) {
-        most = worker;
+      if (busiest == null || worker.tasks.size() > busiest.tasks.size()) {
+        busiest = worker;
       }
     }
-    return most;
+    return busiest;
   }
 }
--- a/src/test/java/mallowstall/core/SeedSearch.java
+++ b/src/test/java/mallowstall/core/SeedSearch.java
@@ -11,8 +11,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Plays the histories of the seeds that the system property {@code mallowstall.seeds} names, on two
- * threads; 100 alone if it names none.
+ * Plays the histories of a range of seeds on two threads. The system property {@code
+ * mallowstall.seeds} sets the range; by default it is the seed 100 alone.
  */
 final class SeedSearch {
   private static final Pattern RANGE = Pattern.compile("(?<first>\\d{1,18})(-(?<last>\\d{1,18}))?");
@@ -25,7 +25,10 @@
     this(System.getProperty("mallowstall.seeds", "100"));
   }
 
-  /** A range such as {@code 1000-1200}, or one seed; anything else is refused in one line. */
+  /**
+   * Accepts a range such as {@code 1000-1200}, or one seed. Anything else throws an exception with
+   * a message of one line.
+   */
   SeedSearch(String range) {
     Matcher ends = RANGE.matcher(range);
     if (!ends.matches()) {
@@ -47,17 +50,17 @@
   }
 
   /**
-   * Plays and checks each seed's history, prints those that fail and the summary, and fails if any
-   * did.
+   * Plays and checks the history of each seed. Prints the seeds that fail and the summary, and
+   * throws an assertion error if any seed fails.
    */
   void runAll(LongConsumer history, Supplier<String> summary) throws InterruptedException {
     long count = lastSeed - nextSeed.get() + 1;
-    Thread beside = new Thread(() -> runRemaining(history));
+    Thread secondThread = new Thread(() -> runRemaining(history));
     if (count > 1) {
-      beside.start();
+      secondThread.start();
     }
     runRemaining(history);
-    beside.join();
+    secondThread.join();
     if (count > 1) {
       System.out.printf(
           "%d seeds, %d failed %s; %s%n",
