--- a/src/test/java/mallowstall/core/SimulatedCloud.java
+++ b/src/test/java/mallowstall/core/SimulatedCloud.java
@@ -10,7 +10,7 @@
 import mallowstall.core.model.MachineType;
 import mallowstall.core.model.ScaleOutRequest;
 
-/** The cloud as one controller sees it. */
+/** The interface of one controller to the simulated cloud. */
 final class SimulatedCloud {
   private final Simulation simulation;
   private final SimulatedController node;
@@ -49,7 +49,7 @@
   }
 
   void scaleIn(List<String> machines, Consumer<Boolean> then) {
-    if (machines.size() > Constants.SCALE_IN_MACHINES_MAX) { // as the protocol has it
+    if (machines.size() > Constants.SCALE_IN_MACHINES_MAX) { // the maximum that the protocol allows
       node.scheduleReply(30, () -> then.accept(false));
       return;
     }
@@ -69,7 +69,7 @@
               worker.zone,
               worker.spot,
               "running",
-              (simulation.nowMs - worker.bornAtMs) / 1000.0));
+              (simulation.nowMs - worker.createdAtMs) / 1000.0));
     }
     simulation.schedule(2_000, () -> {});
     node.scheduleReply(2_000, () -> then.accept(new InventoryPage(true, out, false)));
--- a/src/test/java/mallowstall/core/SimulatedController.java
+++ b/src/test/java/mallowstall/core/SimulatedController.java
@@ -28,15 +28,16 @@
 import mallowstall.core.model.WorkerCommand;
 
 /**
- * A controller, and the world as it sees it. It processes one event at a time, in the order of
- * their arrival. All that the core decides in an event leaves when the processing of that event is
- * over, or never if the process ends before.
+ * A simulated controller: a real core with simulated links to its environment. It processes one
+ * event at a time, in the order of arrival. The requests and messages that the core issues during
+ * an event are sent when the processing of that event ends; if the process ends earlier, they are
+ * discarded.
  */
 final class SimulatedController implements Effects {
-  /** Later than every timer. */
+  /** A steady time that is later than every timer. */
   private static final long NEVER = Long.MAX_VALUE;
 
-  /** An answer that leaves so late after its decision is counted as a fault. */
+  /** An answer that is sent later than this after it was decided on is counted as a fault. */
   private static final long LATE_ANSWER_MS = 50;
 
   private final Simulation simulation;
@@ -57,60 +58,60 @@
 
   boolean running;
 
-  /** The program version that it boots with next. */
+  /** The program version that the next process boots with. */
   int installedVersion;
 
-  /** The program version of its present process. */
+  /** The program version of the present process. */
   int runningVersion;
 
-  /** Regular work done by the present process, and how much of it at the last check. */
+  /** Number of ticks that the present process has run, in total and up to the last check. */
   int ticksRun;
 
   int ticksAtLastCheck;
 
-  /** Returned machines that were in its view at that check. */
+  /** The returned machines that were in the view of the controller at the last check. */
   Set<String> returnedAtLastCheck = Set.of();
 
-  /** Run once, when it next requests a failover of a job. */
+  /** Runs once when the controller next requests the failover of a job; null if not set. */
   Runnable onNextFailover;
 
   boolean stateServiceUnreachable;
 
-  /** Its next watch is answered that the revision is compacted. */
+  /** Whether the next watch fails because its revision has been compacted. */
   boolean compactNextWatch;
 
-  /** Its watches get no events. */
+  /** Whether the watches of this controller receive no events. */
   boolean watchStalled;
 
-  /** ms by which the answers to its writes of machine entries are late. */
+  /** Extra delay of the responses to writes of machine entries, in milliseconds. */
   long machineWriteDelayMs;
 
-  /** ms added to what the state service answers this node. */
+  /** Extra delay of the state service's responses to this controller, in milliseconds. */
   long stateDelayMs;
 
-  /** Stop batches sent to peers. */
+  /** Number of stop batches sent to peers. */
   int stopBatchesSent;
 
-  /** Questions to peers whether they have accepted jobs. */
+  /** Number of acceptance queries sent to peers. */
   int acceptanceQueriesSent;
 
-  /** Status updates sent to peers, and the machine statuses in them. */
+  /** Number of status updates sent to peers, and of the machine statuses in them. */
   int statusUpdatesSent;
 
   int machineStatusesSent;
 
   int maxMachineWritesInFlight;
 
-  /** It pauses in its next event for so many ms, while its clocks run on. */
+  /** Duration of a pause in the next event, in milliseconds. The clocks advance during it. */
   long pauseMs;
 
-  /** It pauses for so many ms in the event in which it next answers a user's request. */
+  /** Duration of a pause in the event that next answers a user's request, in milliseconds. */
   long pauseAtNextAnswerMs;
 
-  /** ms of its processor that each event takes; events wait for those before them. */
+  /** Processor time that each event takes, in milliseconds. Later events wait for it. */
   long eventCostMs;
 
-  /** Steady ms. When its wake-up for the next timer is due; {@link #NEVER}: none is scheduled. */
+  /** Steady time of the wake-up for the next timer, or {@link #NEVER} if none is scheduled. */
   private long wakeUpAtMs = NEVER;
 
   private boolean tickQueued;
@@ -139,11 +140,11 @@
     processNumber++;
     running = true;
     runningVersion = installedVersion;
-    forgetEvents();
+    clearEvents();
     ticksRun = 0;
     ticksAtLastCheck = 0;
     returnedAtLastCheck = Set.of();
-    stateServiceLink.forgetPendingWrites();
+    stateServiceLink.resetPendingWrites();
     peerLink.restart();
     List<String> peers = new ArrayList<>(Simulation.NODES);
     peers.remove(name);
@@ -189,12 +190,12 @@
   void crash(long downMs) {
     running = false;
     processNumber++;
-    forgetEvents();
+    clearEvents();
     peerLink.closeAll();
     simulation.schedule(downMs, this::boot);
   }
 
-  private void forgetEvents() {
+  private void clearEvents() {
     eventLoop.restart();
     pauseAtNextAnswerMs = 0;
     wakeUpAtMs = NEVER;
@@ -222,7 +223,7 @@
     simulation.schedule(Constants.TICK_MS, () -> tick(startedProcess));
   }
 
-  /** The event is processed after all that arrived before it. */
+  /** Enqueues an event, which is processed after all events that arrived before it. */
   void enqueueEvent(Runnable action) {
     if (!running) {
       return;
@@ -230,7 +231,7 @@
     eventLoop.enqueue(action, eventCostMs);
   }
 
-  /** Sets the clock, then does the work of the event and what that has made due. */
+  /** Sets the clock, runs the action of the event and then all work that is due. */
   void runEvent(Runnable action) {
     eventLoop.pauseInEvent(pauseMs);
     pauseMs = 0;
@@ -239,17 +240,20 @@
     core.runDueWork();
   }
 
-  /** Runs the action when the event under way is over, at once if there is none. */
+  /** Runs the action when the present event ends, or at once if there is none. */
   void afterEvent(Runnable action) {
     eventLoop.afterEvent(action);
   }
 
-  /** The longest that an event has waited while events cost processor time. */
+  /** Returns the maximum wait of an event that costs processor time, in milliseconds. */
   long maxEventWaitMs() {
     return eventLoop.maxWaitMs();
   }
 
-  /** Whom the core answers instead of this user, whom the answer reaches when the event is over. */
+  /**
+   * Returns a callback that passes an answer on to the user when the event in which the core
+   * decided on it ends.
+   */
   Consumer<ApiResponse> answerAfterEvent(Consumer<ApiResponse> user) {
     return answer -> {
       eventLoop.pauseInEvent(pauseAtNextAnswerMs);
@@ -265,12 +269,15 @@
     };
   }
 
-  /** The last look at its own clock before the write, as by the connections of a controller. */
+  /**
+   * Returns the answer, or an expired response if the answer may no longer be sent. The connections
+   * of a real controller also check this against their clock right before they write.
+   */
   ApiResponse checkedAtWrite(ApiResponse decided) {
     return decided.mayLeaveAt(steadyMs()) ? decided : ApiResponse.expired();
   }
 
-  /** A wake-up that is due later than the next timer is replaced. */
+  /** Schedules a wake-up for the next timer. It replaces a wake-up that is due later. */
   void scheduleWakeUp() {
     long nextMs = core.nextTimerMs();
     if (nextMs >= wakeUpAtMs) {
@@ -287,7 +294,7 @@
         });
   }
 
-  /** The time by its own clock. */
+  /** Returns the time of this controller's drifting steady clock, in milliseconds. */
   private long steadyMs() {
     return (long) (simulation.nowMs * (1 + clockDrift));
   }
@@ -378,7 +385,7 @@
     peerLink.send(peer, message);
   }
 
-  /** The connection to the peer fails, and is tried again. */
+  /** Closes the connection to the peer; a reconnection attempt follows. */
   void disconnect(String peer) {
     peerLink.disconnect(peer);
   }
--- a/src/test/java/mallowstall/core/SimulatedEventLoop.java
+++ b/src/test/java/mallowstall/core/SimulatedEventLoop.java
@@ -4,35 +4,35 @@
 import java.util.Queue;
 
 /**
- * The event loop of one controller: it processes one event at a time, in the order of their
- * arrival. What is decided in an event leaves when its processing is over, or never if the process
- * ends before.
+ * The event loop of one controller. It processes one event at a time, in the order of arrival. The
+ * actions that an event defers run when its processing ends; if the process ends earlier, they are
+ * discarded.
  */
 final class SimulatedEventLoop {
   private final Simulation simulation;
   private final SimulatedController node;
 
-  /** Events that have arrived and are not processed yet, the earliest first. */
+  /** Events that have arrived and whose processing has not started, in the order of arrival. */
   private final Queue<WaitingEvent> waitingEvents = new ArrayDeque<>();
 
-  /** What the event under way has decided, in that order. */
-  private final Queue<Runnable> departures = new ArrayDeque<>();
+  /** Actions that run when the present event ends, in the order in which they were added. */
+  private final Queue<Runnable> deferredActions = new ArrayDeque<>();
 
   private boolean eventUnderWay;
 
-  /** When the processing of the event under way is over. */
+  /** The time at which the processing of the present event ends. */
   private long eventEndsMs;
 
-  /** The end of the latest pause. */
+  /** The time at which the latest pause ends. */
   private long pausedUntilMs;
 
-  /** Processes so far; what was scheduled for a former one isn't done. */
+  /** Number of the present process. Work that was scheduled for an earlier one is skipped. */
   private int processNumber;
 
-  /** The longest that an event which costs processor time has waited. */
+  /** Maximum wait of an event that costs processor time, in milliseconds. */
   private long maxWaitMs;
 
-  /** An event, and the processor time that it takes. */
+  /** An event, its time of arrival and the processor time that it takes. */
   private record WaitingEvent(Runnable action, long arrivedMs, long costMs) {}
 
   SimulatedEventLoop(Simulation simulation, SimulatedController node) {
@@ -40,16 +40,16 @@
     this.node = node;
   }
 
-  /** The process ends: nothing more is processed, and nothing leaves. */
+  /** Discards all events and deferred actions because the process has ended. */
   void restart() {
     processNumber++;
     waitingEvents.clear();
-    departures.clear();
+    deferredActions.clear();
     eventUnderWay = false;
     pausedUntilMs = 0;
   }
 
-  /** The event is processed after all that arrived before it. */
+  /** Enqueues an event, which is processed after all events that arrived before it. */
   void enqueue(Runnable action, long costMs) {
     waitingEvents.add(new WaitingEvent(action, simulation.nowMs, costMs));
     processWaitingEvents();
@@ -83,25 +83,25 @@
         });
   }
 
-  /** What the event has decided leaves, in that order; then the next one may begin. */
+  /** Runs the deferred actions of the event in order. After that the next event may start. */
   private void completeEvent() {
-    while (!departures.isEmpty()) {
-      departures.remove().run();
+    while (!deferredActions.isEmpty()) {
+      deferredActions.remove().run();
     }
     eventUnderWay = false;
     node.scheduleWakeUp();
   }
 
-  /** Runs the action when the event under way is over, at once if there is none. */
+  /** Runs the action when the present event ends, or at once if there is none. */
   void afterEvent(Runnable action) {
     if (eventUnderWay) {
-      departures.add(action);
+      deferredActions.add(action);
     } else {
       action.run();
     }
   }
 
-  /** The process stands still in the event under way, before anything that it decides leaves. */
+  /** Pauses the process in the present event, before any of its deferred actions run. */
   void pauseInEvent(long forMs) {
     if (forMs > 0) {
       eventEndsMs += forMs;
--- a/src/test/java/mallowstall/core/SimulatedStateService.java
+++ b/src/test/java/mallowstall/core/SimulatedStateService.java
@@ -14,7 +14,7 @@
 import mallowstall.core.kernel.TransactionResult;
 import mallowstall.core.model.StoredEntry;
 
-/** A stand-in for the state service. */
+/** An in-memory implementation of the state service on simulated time. */
 final class SimulatedStateService {
   private final Simulation simulation;
 
@@ -22,7 +22,7 @@
     this.simulation = sim;
   }
 
-  /** A stored value. */
+  /** A stored value, its version and the lease that it depends on (0 if none). */
   record StoredValue(StoredEntry value, long version, long leaseId) {}
 
   final TreeMap<String, StoredValue> entries = new TreeMap<>();
@@ -33,36 +33,42 @@
   long lastLeaseId;
   boolean outage;
 
-  /** What it refuses to exceed, null: nothing. What is stored already stays. */
+  /** The limits that new transactions must keep to, or null if there are none. */
   private Simulation.StateLimits limits;
 
-  /** Changes that may come at once, at most a second's; refilled up to that moment. */
+  /**
+   * Number of changes that are admitted at once, as of {@code changeTokensUpdatedMs}. The maximum
+   * is the number of changes per second.
+   */
   private double changeTokens;
 
   private long changeTokensUpdatedMs;
 
-  /** Given each transaction right after it was carried out. */
+  /** Receives each transaction right after it is applied. */
   Consumer<Transaction> onApplied = transaction -> {};
 
-  /** From now on these limits hold, without notice. */
-  void setLimits(Simulation.StateLimits now) {
-    limits = now;
-    changeTokens = now.changesPerSecond();
+  /**
+   * Enforces these limits from now on, without notice to the controllers. Entries that are stored
+   * already stay even if they exceed them.
+   */
+  void setLimits(Simulation.StateLimits newLimits) {
+    limits = newLimits;
+    changeTokens = newLimits.changesPerSecond();
     changeTokensUpdatedMs = simulation.nowMs;
   }
 
-  /** Why the transaction exceeds the limits; OK: it doesn't. */
+  /** Returns the error code of a transaction that exceeds the limits, or OK if it keeps to them. */
   private ResultCode checkLimits(Transaction transaction) {
     if (limits == null) {
       return ResultCode.OK;
     }
     int changes = transaction.puts().size() + transaction.deletes().size();
-    boolean large =
+    boolean tooLarge =
         changes > limits.txnOps() || transaction.conditions().size() > 4 * limits.txnOps();
     for (PutOperation put : transaction.puts()) {
-      large |= Simulation.encodedSize(put.value()) > limits.valueBytes();
+      tooLarge |= Simulation.encodedSize(put.value()) > limits.valueBytes();
     }
-    if (large) {
+    if (tooLarge) {
       simulation.countFault("limits, too large");
       return ResultCode.INVALID;
     }
@@ -78,7 +84,7 @@
     return ResultCode.OK;
   }
 
-  /** All transactions that came here, whatever became of them. */
+  /** All transactions received, including rejected and conflicting ones. */
   final List<Transaction> receivedTransactions = new ArrayList<>();
 
   void applyChange(String key, StoredEntry value, long newRevision, long lease) {
@@ -124,9 +130,9 @@
   TransactionResult transact(Transaction transaction) {
     expireLeases();
     receivedTransactions.add(transaction);
-    ResultCode exceeds = checkLimits(transaction);
-    if (exceeds != ResultCode.OK) {
-      return new TransactionResult(exceeds, 0);
+    ResultCode limitCheck = checkLimits(transaction);
+    if (limitCheck != ResultCode.OK) {
+      return new TransactionResult(limitCheck, 0);
     }
     for (PutOperation put : transaction.puts()) {
       if (put.leaseId() != 0 && !leases.containsKey(put.leaseId())) {
--- a/src/test/java/mallowstall/core/SimulatedTask.java
+++ b/src/test/java/mallowstall/core/SimulatedTask.java
@@ -3,7 +3,7 @@
 import mallowstall.core.model.ExitReason;
 import mallowstall.core.model.TaskState;
 
-/** A task on the machine. */
+/** One attempt of a task on a simulated machine. */
 final class SimulatedTask {
   String job;
   int task;
@@ -12,6 +12,6 @@
   ExitReason exitReason;
   int step;
 
-  /** When what it does now is done; later if its machine pauses. */
+  /** The time at which its present step ends. A pause of the worker postpones it. */
   long dueMs;
 }
--- a/src/test/java/mallowstall/core/SimulatedUsers.java
+++ b/src/test/java/mallowstall/core/SimulatedUsers.java
@@ -13,10 +13,10 @@
 import mallowstall.core.model.JobSpec;
 import mallowstall.core.model.JobSpecBuilder;
 
-/** The users: they submit jobs, ask about them until these are over, and cancel some. */
+/** The simulated users. They submit jobs, query them until they have ended, and cancel some. */
 final class SimulatedUsers {
-  /** How long a user waits for the answer to a question, as the protocol has it. */
-  private static final long QUESTION_TIMEOUT_MS = 2_000;
+  /** How long a user waits for the answer to a query, as the protocol specifies. */
+  private static final long QUERY_TIMEOUT_MS = 2_000;
 
   /** How long a user waits for the answer to a submission or a cancellation. */
   private static final long REQUEST_TIMEOUT_MS = 5_000;
@@ -25,7 +25,7 @@
 
   final List<String> jobs = new ArrayList<>();
 
-  /** Jobs that somebody asks about until they are over. */
+  /** Jobs that a user queries periodically until they have ended. */
   private final Set<String> polledJobs = new HashSet<>();
 
   private int nextUnplaceableNumber;
@@ -35,36 +35,39 @@
   }
 
   /**
-   * Whom the core answers on behalf of a user who asks now. An answer that comes when the user has
-   * given up is lost.
+   * Returns the callback for the answer to a request that a user sends now. An answer that arrives
+   * after the user's timeout is lost.
    */
-  private Consumer<ApiResponse> answerTo(
+  private Consumer<ApiResponse> answerCallback(
       SimulatedController node, String id, long timeoutMs, Consumer<ApiResponse> user) {
-    long asked = simulation.nowMs;
-    Consumer<ApiResponse> waiting =
+    long requestedMs = simulation.nowMs;
+    Consumer<ApiResponse> beforeTimeout =
         answer -> {
-          if (simulation.nowMs - asked < timeoutMs) {
+          if (simulation.nowMs - requestedMs < timeoutMs) {
             user.accept(answer);
           } else {
             simulation.countFault("answer after the user gave up");
           }
         };
-    return simulation.recorder.toUser(node, id, node.answerAfterEvent(waiting));
+    return simulation.recorder.toUser(node, id, node.answerAfterEvent(beforeTimeout));
   }
 
-  /** Asks this controller, whose adapter refuses the kinds of jobs that its version lacks. */
+  /**
+   * Submits the job at this controller. If the program version of the controller lacks services,
+   * its adapter rejects a service as malformed.
+   */
   void submitAt(SimulatedController node, JobSpec spec, Consumer<ApiResponse> reply) {
     if (spec.isService() && !node.supportsServices()) {
       submitMalformedAt(node, spec.id(), "oficio must be batch", reply);
       return;
     }
-    Consumer<ApiResponse> user = answerTo(node, spec.id(), REQUEST_TIMEOUT_MS, reply);
+    Consumer<ApiResponse> user = answerCallback(node, spec.id(), REQUEST_TIMEOUT_MS, reply);
     node.enqueueEvent(() -> node.core.submit(spec, user));
   }
 
   private void submitMalformedAt(
       SimulatedController node, String id, String reason, Consumer<ApiResponse> reply) {
-    Consumer<ApiResponse> user = answerTo(node, id, REQUEST_TIMEOUT_MS, reply);
+    Consumer<ApiResponse> user = answerCallback(node, id, REQUEST_TIMEOUT_MS, reply);
     node.enqueueEvent(() -> node.core.rejectSubmission(id, reason, user));
   }
 
@@ -79,7 +82,7 @@
       return;
     }
     SimulatedController node = randomController();
-    long asked = simulation.nowMs;
+    long requestedMs = simulation.nowMs;
     boolean[] retried = {false};
     boolean[] answered = {false};
     Runnable retry =
@@ -96,7 +99,7 @@
           answer -> {
             boolean lost = simulation.random.nextDouble() < simulation.messageLossRate;
             if (!lost) {
-              recordAnswer(asked, spec.id(), answer);
+              recordAnswer(requestedMs, spec.id(), answer);
             }
             answered[0] = !lost && answer.state() != null;
             if (!answered[0]) {
@@ -112,13 +115,16 @@
   }
 
   private void query(SimulatedController node, String id, Consumer<ApiResponse> reply) {
-    Consumer<ApiResponse> user = answerTo(node, id, QUESTION_TIMEOUT_MS, reply);
+    Consumer<ApiResponse> user = answerCallback(node, id, QUERY_TIMEOUT_MS, reply);
     node.enqueueEvent(() -> node.core.query(id, user));
   }
 
-  /** A request made at {@code asked} is answered. Whoever hears that the job is accepted polls. */
-  private void recordAnswer(long asked, String id, ApiResponse answer) {
-    simulation.checker.onAnswer(simulation.nowMs, asked, id, answer.status(), answer.state());
+  /**
+   * Records the answer to a request that was sent at {@code requestedMs}. If the answer holds a
+   * state, the job is accepted and the user polls it from now on.
+   */
+  private void recordAnswer(long requestedMs, String id, ApiResponse answer) {
+    simulation.checker.onAnswer(simulation.nowMs, requestedMs, id, answer.status(), answer.state());
     if (answer.state() != null && polledJobs.add(id)) {
       poll(id);
     }
@@ -129,9 +135,9 @@
       return;
     }
     SimulatedController node = randomController();
-    long asked = simulation.nowMs;
+    long requestedMs = simulation.nowMs;
     if (node.running) {
-      query(node, id, answer -> recordAnswer(asked, id, answer));
+      query(node, id, answer -> recordAnswer(requestedMs, id, answer));
     }
     simulation.schedule(2_000 + simulation.random.nextInt(3_000), () -> poll(id));
   }
@@ -147,14 +153,14 @@
   }
 
   private void cancelAt(SimulatedController node, String id, Runnable onUndecided) {
-    long asked = simulation.nowMs;
+    long requestedMs = simulation.nowMs;
     Consumer<ApiResponse> user =
-        answerTo(
+        answerCallback(
             node,
             id,
             REQUEST_TIMEOUT_MS,
             answer -> {
-              recordAnswer(asked, id, answer);
+              recordAnswer(requestedMs, id, answer);
               if (answer.state() == null && answer.status() != 404) {
                 onUndecided.run();
               }
@@ -191,8 +197,11 @@
     simulation.schedule(0, () -> cancel(service));
   }
 
-  /** Cancels up to that many running jobs within 200 ms; up to eight of their machines pause. */
-  void cancelRunningJobs(int count, long hangMs) {
+  /**
+   * Cancels up to {@code count} running jobs within 200 ms. Up to eight of their machines pause for
+   * {@code pauseMs}, or none if it is 0.
+   */
+  void cancelRunningJobs(int count, long pauseMs) {
     List<String> ids = new ArrayList<>(simulation.checker.runningJobs());
     Set<String> machines = new TreeSet<>();
     for (int i = 0; i < count && !ids.isEmpty(); i++) {
@@ -201,23 +210,24 @@
       machines.addAll(simulation.checker.machinesOf(id));
       simulation.schedule(simulation.random.nextInt(200), () -> cancel(id));
     }
-    if (hangMs <= 0) {
+    if (pauseMs <= 0) {
       return;
     }
-    int hung = 0;
+    int pausedWorkers = 0;
     for (String machineId : machines) {
       SimulatedWorker worker = simulation.workers.get(machineId);
-      if (worker == null || hung++ >= 8) {
+      if (worker == null || pausedWorkers++ >= 8) {
         continue;
       }
       simulation.countFault("cancelNow, hang");
-      worker.pause(hangMs);
+      worker.pause(pauseMs);
     }
   }
 
   /**
-   * Within 20 s so many requests that users shouldn't send: submissions of accepted jobs again,
-   * over or not, cancellations of done jobs, questions about no job, jobs that can never run.
+   * Schedules {@code count} invalid requests within 20 s: repeated submissions of accepted jobs
+   * (ended or not), cancellations of done jobs, queries of unknown jobs, and submissions of jobs
+   * that can never run.
    */
   void scheduleInvalidRequests(int count) {
     for (int i = 0; i < count; i++) {
@@ -264,20 +274,20 @@
   private void resubmit(SimulatedController node, String id) {
     simulation.countFault(
         simulation.checker.isOver(id) ? "oddRequests, over again" : "oddRequests, again");
-    long asked = simulation.nowMs;
-    submitAt(node, simulation.checker.spec(id), answer -> recordAnswer(asked, id, answer));
+    long requestedMs = simulation.nowMs;
+    submitAt(node, simulation.checker.spec(id), answer -> recordAnswer(requestedMs, id, answer));
   }
 
-  /** A job of an unknown team, or whose tasks fit on no machine. */
+  /** Submits a job whose team is unknown or whose tasks fit on no machine. */
   private void submitUnplaceable(SimulatedController node) {
     simulation.countFault("oddRequests, impossible");
-    boolean team = simulation.random.nextBoolean();
+    boolean unknownTeam = simulation.random.nextBoolean();
     String id = String.format("wk-9%05d", nextUnplaceableNumber++);
     JobSpec spec =
         batchJob(id)
             .tasks(1 + simulation.random.nextInt(4))
-            .cpus(team ? 1 : 9)
-            .team(team ? "nobody" : "free")
+            .cpus(unknownTeam ? 1 : 9)
+            .team(unknownTeam ? "nobody" : "free")
             .build();
     submitAt(
         node,
@@ -288,7 +298,7 @@
         });
   }
 
-  /** A service of more replicas than its team may run at once is asked for. */
+  /** Submits a service with more replicas than its team may run at once. */
   void submitUnplaceableService() {
     SimulatedController node = randomController();
     if (!node.running) {
@@ -314,7 +324,7 @@
     }
   }
 
-  /** What users may ask about one job at any time. */
+  /** The kinds of requests about one job that users may send at any time. */
   enum RequestKind {
     QUESTION,
     SUBMISSION,
@@ -323,11 +333,11 @@
     CANCELLATION
   }
 
-  /** One request about a job to this controller, without any retry. */
+  /** Sends one request about a job to this controller, without any retry. */
   void request(SimulatedController node, RequestKind kind, JobSpec spec) {
     String id = spec.id();
-    long asked = simulation.nowMs;
-    Consumer<ApiResponse> user = answer -> recordAnswer(asked, id, answer);
+    long requestedMs = simulation.nowMs;
+    Consumer<ApiResponse> user = answer -> recordAnswer(requestedMs, id, answer);
     switch (kind) {
       case QUESTION -> query(node, id, user);
       case SUBMISSION -> submitAt(node, spec, user);
--- a/src/test/java/mallowstall/core/SimulatedWorker.java
+++ b/src/test/java/mallowstall/core/SimulatedWorker.java
@@ -11,7 +11,7 @@
 import mallowstall.core.model.TaskReport;
 import mallowstall.core.model.WorkerCommand;
 
-/** A stand-in for a worker and its machine. */
+/** A simulated worker and its machine. */
 final class SimulatedWorker {
   private final Simulation simulation;
   final TaskRunner taskRunner;
@@ -22,7 +22,7 @@
 
   final boolean spot;
 
-  final long bornAtMs;
+  final long createdAtMs;
 
   long token;
 
@@ -36,30 +36,30 @@
 
   boolean partitioned;
 
-  /** Its heartbeats arrive, answers and commands don't reach it. */
+  /** Whether responses and commands don't reach this worker. Its heartbeats still arrive. */
   boolean inboundBlocked;
 
-  /** Its heartbeats reach no controller; commands reach it and are answered. */
+  /** Whether heartbeats reach no controller. Commands still reach this worker and are answered. */
   boolean outboundBlocked;
 
-  /** Answers and commands reach it again. */
+  /** Ends a partition or inbound block, so that responses and commands reach this worker again. */
   void unblockInbound() {
     partitioned = false;
     inboundBlocked = false;
   }
 
-  /** It executes and sends nothing until then. */
+  /** The end of the pause. Until then this worker executes and sends nothing. */
   private long pausedUntilMs;
 
-  /** What has come since it paused, in order. */
+  /** Actions that arrived during the pause, in order. They run when this worker resumes. */
   private final List<Runnable> queuedWhilePaused = new ArrayList<>();
 
-  /** Its lease expired while it was paused: the next session begins when it resumes. */
+  /** Whether the worker lease expired during a pause. The next session starts on resumption. */
   private boolean newEpochOnResume;
 
   boolean faulty;
 
-  /** When the cloud takes it away, by its notice; 0: no notice. */
+  /** The time at which the cloud terminates the machine, or 0 if no notice was given. */
   private long terminatedAtMs;
 
   String controllerName;
@@ -80,11 +80,11 @@
     this.id = id;
     this.zone = zone;
     this.spot = spot;
-    this.bornAtMs = sim.nowMs;
+    this.createdAtMs = sim.nowMs;
     this.controllerName = Simulation.NODES.get(sim.random.nextInt(3));
   }
 
-  /** The cloud gives it notice that it is terminated after so long. */
+  /** Delivers the cloud's notice that it terminates the machine after {@code ms} milliseconds. */
   void giveTerminationNotice(long ms) {
     if (dead || terminatedAtMs != 0) {
       return;
@@ -101,18 +101,18 @@
   }
 
   /**
-   * Executes and sends nothing for so long. Its tasks make no progress meanwhile, and go on unless
-   * its lease has run out.
+   * Pauses this worker: for {@code ms} milliseconds it executes and sends nothing, and its tasks
+   * make no progress. Afterwards the tasks continue unless the worker lease has expired.
    */
   void pause(long ms) {
     if (dead) {
       return;
     }
     simulation.countFault("hang");
-    long more = Math.max(0, simulation.nowMs + ms - Math.max(simulation.nowMs, pausedUntilMs));
+    long extraMs = Math.max(0, simulation.nowMs + ms - Math.max(simulation.nowMs, pausedUntilMs));
     pausedUntilMs = Math.max(pausedUntilMs, simulation.nowMs + ms);
     for (SimulatedTask task : tasks.values()) {
-      task.dueMs += more;
+      task.dueMs += extraMs;
     }
     simulation.schedule(ms, this::resume);
   }
@@ -146,8 +146,9 @@
   }
 
   /**
-   * While it is paused nothing of this shows; its tasks count as stopped from the lease's end on,
-   * since it can't go on with them any more.
+   * Starts a new session without tasks if the worker lease has expired. While the worker is paused,
+   * controllers see none of this. Its tasks still count as stopped from the lease expiry on,
+   * because the worker can't continue them afterwards.
    */
   private void checkLease() {
     if (simulation.nowMs - leaseStartMs <= Simulation.LEASE_MS || newEpochOnResume) {
@@ -202,10 +203,10 @@
     heartbeatInFlight = true;
     heartbeatDue = false;
     lastHeartbeatMs = simulation.nowMs;
-    long ownId = ++heartbeatId;
+    long sentId = ++heartbeatId;
     Heartbeat heartbeat = snapshot();
     SimulatedController controller = simulation.controllers.get(controllerName);
-    simulation.schedule(4_000, () -> runWhenResumed(() -> timeOut(ownId)));
+    simulation.schedule(4_000, () -> runWhenResumed(() -> timeOut(sentId)));
     if (outboundBlocked) {
       simulation.countFault("mute");
       return;
@@ -220,25 +221,25 @@
       return;
     }
     if (!controller.running) {
-      simulation.schedule(5, () -> failConnection(ownId));
+      simulation.schedule(5, () -> failConnection(sentId));
       return;
     }
     if (simulation.random.nextDouble() < simulation.messageLossRate) {
-      return; // lost, or answered to nobody
+      return; // the heartbeat is lost
     }
-    deliver(controller, heartbeat, ownId);
+    deliver(controller, heartbeat, sentId);
   }
 
-  /** No response has come for 4 s. */
-  private void timeOut(long mine) {
-    if (heartbeatId == mine && heartbeatInFlight) {
+  /** Handles a heartbeat without a response for 4 s: the worker switches to another controller. */
+  private void timeOut(long sentId) {
+    if (heartbeatId == sentId && heartbeatInFlight) {
       switchController();
     }
   }
 
-  /** The connection failed. */
-  private void failConnection(long mine) {
-    if (heartbeatId == mine) {
+  /** Handles a failed connection: the worker switches to another controller. */
+  private void failConnection(long sentId) {
+    if (heartbeatId == sentId) {
       switchController();
     }
   }
@@ -250,7 +251,7 @@
     sendDelayed(any, heartbeat, 200 + simulation.random.nextInt(3 * (int) Simulation.LEASE_MS));
   }
 
-  /** The heartbeat arrives so much later; nobody waits for the answer. */
+  /** Delivers the heartbeat after {@code ms} milliseconds. The response is discarded. */
   private void sendDelayed(SimulatedController controller, Heartbeat heartbeat, long ms) {
     simulation.schedule(
         ms,
@@ -265,14 +266,14 @@
         });
   }
 
-  private void deliver(SimulatedController controller, Heartbeat heartbeat, long mine) {
+  private void deliver(SimulatedController controller, Heartbeat heartbeat, long sentId) {
     long sent = simulation.nowMs;
-    int life = controller.processNumber;
+    int startedProcess = controller.processNumber;
     simulation.schedule(
         simulation.randomDelayMs(),
         () -> {
-          if (!controller.running || controller.processNumber != life) {
-            failConnection(mine);
+          if (!controller.running || controller.processNumber != startedProcess) {
+            failConnection(sentId);
             return;
           }
           controller.enqueueEvent(
@@ -284,7 +285,8 @@
                           heartbeat,
                           answer ->
                               controller.afterEvent(
-                                  () -> sendResponse(controller, heartbeat, answer, sent, mine)))));
+                                  () ->
+                                      sendResponse(controller, heartbeat, answer, sent, sentId)))));
         });
   }
 
@@ -293,10 +295,10 @@
       Heartbeat heartbeat,
       HeartbeatResponse answer,
       long sent,
-      long mine) {
+      long sentId) {
     simulation.schedule(
         simulation.randomDelayMs(),
-        () -> runWhenResumed(() -> receiveResponse(controller, heartbeat, answer, sent, mine)));
+        () -> runWhenResumed(() -> receiveResponse(controller, heartbeat, answer, sent, sentId)));
   }
 
   private void receiveResponse(
@@ -304,12 +306,12 @@
       Heartbeat heartbeat,
       HeartbeatResponse answer,
       long sent,
-      long mine) {
-    // timed out, though it was paused then
+      long sentId) {
+    // the request timed out while the worker was paused
     if (simulation.nowMs - sent > 4_000) {
-      timeOut(mine);
+      timeOut(sentId);
     }
-    if (heartbeatId == mine
+    if (heartbeatId == sentId
         && heartbeatInFlight
         && !isPartitionedFrom(controller)
         && !inboundBlocked) {
--- a/src/test/java/mallowstall/core/Simulation.java
+++ b/src/test/java/mallowstall/core/Simulation.java
@@ -23,8 +23,8 @@
 import mallowstall.state.StoredEntries;
 
 /**
- * Several real cores on simulated time against stand-ins for the state service, the cloud, workers
- * and users, with losses, delays, late and repeated messages, crashes, cuts and clock drift.
+ * Runs several real cores on simulated time against a simulated state service, cloud, workers and
+ * users. It simulates lost, delayed and duplicated messages, crashes, partitions and clock drift.
  */
 final class Simulation {
   static final List<String> NODES = List.of("n0", "n1", "n2");
@@ -37,7 +37,7 @@
 
   static final long CANCEL_MS = 35_000;
 
-  /** Something that happens at a time; of like times the first one planned comes first. */
+  /** An action at a time. Actions at equal times run in the order in which they were scheduled. */
   private record ScheduledEvent(long atMs, long order, Runnable action) {}
 
   private final PriorityQueue<ScheduledEvent> queue =
@@ -51,8 +51,8 @@
 
   final SplittableRandom random;
 
-  /** For what users' questions alone cause, so that a question changes nothing else by chance. */
-  private final SplittableRandom questionRandom;
+  /** Random source for effects of queries alone, so that a query changes no other random draw. */
+  private final SplittableRandom queryRandom;
 
   final Map<String, Team> teams =
       Map.of("free", new Team("free", 0, 0, 0, 0), "tight", new Team("tight", 8, 24, 0, 0));
@@ -73,47 +73,53 @@
 
   int maxMachines = 12;
 
-  /** Share of messages to the state service and to workers that go astray. */
+  /**
+   * Share of heartbeats, commands, requests to the state service and answers to submissions that
+   * are lost, or whose responses are lost.
+   */
   double messageLossRate;
 
-  /** Share of status updates that are lost, and of those that come once more, late. */
+  /** Share of status updates that arrive up to 6 s late, or in time and again up to 6 s later. */
   double statusUpdateFaultRate;
 
-  /** Share of heartbeats of which a copy comes late, to any controller. */
+  /** Share of heartbeats of which a late copy arrives at a random controller. */
   double duplicateHeartbeatRate;
 
   int duplicatedHeartbeats;
 
-  /** Every direct command is executed late and its answer is lost. */
+  /** Whether every direct command is executed late and its response is lost. */
   boolean delayAllCommands;
 
   int delayedCommands;
 
-  /** This zone is cut off from everything outside it; what goes in or out is delayed. */
+  /** The partitioned zone, or null if there is none; messages in or out are delayed or lost. */
   String partitionedZone;
 
-  /** By how much a partition between controllers delays messages, in ms; 0: 2 to 10 s. */
+  /** Delay of messages between partitioned controllers in milliseconds, or 0 for 2 to 10 s. */
   long partitionDelayMs;
 
-  /** Share of transactions that get no answer and are carried out 2 to 12 s later. */
+  /** Share of transactions that get no response and are executed 2 to 12 s later. */
   double delayedTransactionRate;
 
-  /** Longest delay of the state service's answers to all, in ms, from 300 on; 0: it isn't slow. */
+  /** Maximum delay of the state service's responses in milliseconds, 300 or more; 0 for none. */
   int maxStateDelayMs;
 
-  /** Share of jobs cancelled as their last task ends, and as the last but one does. */
+  /**
+   * Share of batch jobs that are cancelled when their last task ends, and when the last but one
+   * ends. When a replica is done, its service is cancelled at a quarter of this rate.
+   */
   double cancelAtEndRate;
 
-  /** How often each fault was injected, by its name. */
+  /** Number of injected faults, by the name of the fault. */
   final Map<String, Integer> faultCounts = new TreeMap<>();
 
-  /** Share of replicas that end by themselves within 20 s, as done or with an error. */
+  /** Share of replicas that exit on their own within 20 s, as done or with an error. */
   double replicaExitRate;
 
-  /** How long tasks run, in ms; 0: 1 to 7 s. */
+  /** Run time of tasks in milliseconds, or 0 for a random run time of 1 to 7 s. */
   long taskRunMs;
 
-  /** How long single tasks run, by job and number. */
+  /** Run time of single tasks in milliseconds, by {@code job/task number}. */
   final Map<String, Long> taskRunMsByTask = new HashMap<>();
 
   long policyEvaluations;
@@ -123,10 +129,10 @@
   final MachineType machineType =
       new MachineType("t8", 8, 0, 32, 20, 1, 1.0, 0.3, 8, List.of("a", "b"));
 
-  /** Limits of the state service: bytes of a value, changes in a transaction and in a second. */
+  /** Limits of the state service: bytes per value, changes per transaction, changes per second. */
   record StateLimits(int valueBytes, int txnOps, double changesPerSecond) {}
 
-  /** What the controllers keep to. */
+  /** The limits that the controllers are configured with. */
   final StateLimits controllerLimits;
 
   final Recorder recorder;
@@ -135,7 +141,7 @@
     this(seed, ProgramVersion.CURRENT);
   }
 
-  /** All controllers begin with this program version. */
+  /** Creates a simulation whose controllers all start with this program version. */
   Simulation(long seed, int programVersion) {
     this(seed, programVersion, Recorder.OFF);
   }
@@ -144,7 +150,7 @@
     this(seed, ProgramVersion.CURRENT, controllerLimits, Recorder.OFF);
   }
 
-  /** What leaves the controllers' cores goes to the recorder. */
+  /** Creates a simulation whose recorder sees all effects and answers of the controllers' cores. */
   Simulation(long seed, int programVersion, Recorder recorder) {
     this(seed, programVersion, new StateLimits(8_192, 24, 120), recorder);
   }
@@ -154,7 +160,7 @@
     this.controllerLimits = controllerLimits;
     this.recorder = recorder;
     random = new SplittableRandom(seed);
-    questionRandom = new SplittableRandom(~seed);
+    queryRandom = new SplittableRandom(~seed);
     for (String name : NODES) {
       controllers.put(name, new SimulatedController(this, name, programVersion));
     }
@@ -175,7 +181,7 @@
     nowMs = until;
   }
 
-  /** From now on nothing goes wrong by chance. */
+  /** Stops all random faults from now on. */
   void stopRandomFaults() {
     messageLossRate = 0;
     statusUpdateFaultRate = 0;
@@ -204,21 +210,21 @@
     return randomDelayMs(random);
   }
 
-  /** The same for a message that is about a user's question alone. */
+  /** Returns a random delay for a message that only a user's query causes, in milliseconds. */
   long randomQuestionDelayMs() {
-    return randomDelayMs(questionRandom);
+    return randomDelayMs(queryRandom);
   }
 
   private static long randomDelayMs(SplittableRandom random) {
     return random.nextInt(100) < 3 ? 100 + random.nextInt(300) : 1 + random.nextInt(8);
   }
 
-  /** Bytes of the value as the real state service gets it. */
+  /** Returns the size of the value in bytes, as encoded for the real state service. */
   static int encodedSize(StoredEntry value) {
     return StoredEntries.encode(value).length;
   }
 
-  /** Its turn in the upgrade has come: it is killed, and every later process is of the present. */
+  /** Upgrades a controller: crashes it, and later processes run the current program version. */
   void upgrade(SimulatedController node, long downMs) {
     node.installedVersion = ProgramVersion.CURRENT;
     countFault(node.running ? "upgrade" : "upgrade, while down");
@@ -227,7 +233,7 @@
     }
   }
 
-  /** Whether every controller is up with the present version. */
+  /** Returns whether every controller is running with the current program version. */
   boolean allUpgraded() {
     return controllers.values().stream()
         .allMatch(node -> node.running && node.runningVersion == ProgramVersion.CURRENT);
@@ -249,7 +255,10 @@
     return id;
   }
 
-  /** Without state service and peers, but with its workers, until {@link #healPartitions}. */
+  /**
+   * Partitions a controller from the state service and its peers, but not from its workers. The
+   * test ends this by {@link #healPartitions} and by a reset of {@code stateServiceUnreachable}.
+   */
   void isolate(SimulatedController node) {
     node.stateServiceUnreachable = true;
     for (SimulatedController controller : controllers.values()) {
@@ -259,7 +268,7 @@
     }
   }
 
-  /** The zone is cut off from everything, its controllers too, until {@link #healPartitions}. */
+  /** Partitions the zone and its controllers from the outside until {@link #healPartitions}. */
   void partitionZone(String zone) {
     partitionedZone = zone;
     for (SimulatedController node : controllers.values()) {
@@ -275,7 +284,7 @@
     }
   }
 
-  /** Controllers refuse each other's connections, all of them, until {@link #healPartitions}. */
+  /** Partitions all controllers from each other until {@link #healPartitions} is called. */
   void partitionPeers() {
     for (SimulatedController node : controllers.values()) {
       for (SimulatedController controller : controllers.values()) {
@@ -305,26 +314,26 @@
     }
   }
 
-  /** All controllers end, and are back after so long. */
+  /** Crashes all controllers. They restart after {@code downMs} milliseconds. */
   void crashAll(long downMs) {
     for (SimulatedController node : controllers.values()) {
       node.crash(downMs);
     }
   }
 
-  /** So many ordinary machines more, half of them in either zone. */
+  /** Adds machines that are not spot machines, half of them in either zone. */
   void addMachines(int count) {
     for (int i = 0; i < count; i++) {
       addMachine("t8", i % 2 == 0 ? "a" : "b", false, 0);
     }
   }
 
-  /** The job's entry in the state service. */
+  /** Returns the job's entry in the state service. */
   JobEntry jobEntry(String id) {
     return (JobEntry) stateService.entries.get(StateKeys.job(id)).value();
   }
 
-  /** All tasks of the job that are readable as done in the state service. */
+  /** Returns the tasks of the job that are recorded as done in the state service. */
   BitSet doneBits(String id) {
     return JobBitmaps.completedTasks(
         jobEntry(id),
@@ -334,7 +343,7 @@
         });
   }
 
-  /** The machine's record as the first controller that is up has it. */
+  /** Returns the machine's entry in the state replica of the first running controller. */
   MachineEntry machineEntry(String id) {
     for (SimulatedController node : controllers.values()) {
       if (node.running) {
@@ -344,14 +353,14 @@
     throw new IllegalStateException("no controller is up");
   }
 
-  /** Ends a running replica as if by itself; false: it runs nowhere. */
-  boolean exitReplica(String job, int number, ExitReason why) {
+  /** Makes a running replica exit on its own; returns false if the replica runs nowhere. */
+  boolean exitReplica(String job, int number, ExitReason reason) {
     for (SimulatedWorker worker : workers.values()) {
       for (SimulatedTask task : worker.tasks.values()) {
         if (!task.job.equals(job) || task.task != number || task.state != TaskState.RUNNING) {
           continue;
         }
-        worker.taskRunner.exit(task, why);
+        worker.taskRunner.exit(task, reason);
         return true;
       }
     }
@@ -367,7 +376,7 @@
     checker.onMachineTerminated(id);
   }
 
-  /** Crashes whoever leads most machines and whoever leads most jobs, for 100 to 900 ms. */
+  /** Crashes the leader of the most machines and that of the most jobs, for 100 to 900 ms. */
   void crashBusiestLeaders() {
     Map<String, Integer> machinesByLeader = new TreeMap<>();
     Map<String, Integer> jobsByLeader = new TreeMap<>();
@@ -383,24 +392,24 @@
       }
     }
     for (Map<String, Integer> counts : List.of(machinesByLeader, jobsByLeader)) {
-      SimulatedController most = null;
+      SimulatedController busiest = null;
       for (SimulatedController node : controllers.values()) {
         if (!node.running || !counts.containsKey(node.name)) {
           continue;
         }
-        if (most == null || counts.get(node.name) > counts.get(most.name)) {
-          most = node;
+        if (busiest == null || counts.get(node.name) > counts.get(busiest.name)) {
+          busiest = node;
         }
       }
-      if (most == null) {
+      if (busiest == null) {
         continue;
       }
       countFault(stateService.outage ? "changeLeaders, in an outage" : "changeLeaders");
-      most.crash(100 + random.nextInt(800));
+      busiest.crash(100 + random.nextInt(800));
     }
   }
 
-  /** The state service refuses one controller alone, and right after it all of them. */
+  /** Makes the state service reject one controller alone, and right afterwards all of them. */
   void rejectOneThenOutage(SimulatedController node, long aloneMs, long outageMs) {
     countFault("refusedThenOutage");
     node.stateServiceUnreachable = true;
--- a/src/test/java/mallowstall/core/StallPoint.java
+++ b/src/test/java/mallowstall/core/StallPoint.java
@@ -1,22 +1,22 @@
 package mallowstall.core;
 
-/** Where a process stands still, between its look at the clock and what it sends. */
+/** A point at which a process can stall, between reading its clock and sending a message. */
 enum StallPoint {
-  /** A read of the job's entry has been decided on, and leaves after the stall. */
+  /** The process has decided to read the job's entry. It sends the read after the stall. */
   BEFORE_READ_SENT,
 
-  /** The read's answer has come; all that the process makes of it leaves after the stall. */
+  /** The response to the read has arrived. Messages that result from it leave after the stall. */
   AFTER_READ_ANSWERED,
 
-  /** A lease has been granted to a peer, and the reply leaves after the stall. */
+  /** The process has granted a lease to a peer. It sends the reply after the stall. */
   BEFORE_GRANT_SENT,
 
-  /** The reply that grants a lease has left. */
+  /** The reply that grants a lease to a peer has been sent. */
   AFTER_GRANT_SENT,
 
-  /** A user's answer has been decided on, and the write begins after the stall. */
+  /** The process has decided on the answer to a user. The write starts after the stall. */
   BEFORE_WRITE,
 
-  /** The write of a user's answer has begun, and the answer leaves after the stall. */
+  /** The write of the answer to a user has started. The answer leaves after the stall. */
   AFTER_VALIDITY_CHECK
 }
--- a/src/test/java/mallowstall/core/StallableProcess.java
+++ b/src/test/java/mallowstall/core/StallableProcess.java
@@ -26,52 +26,55 @@
 import mallowstall.core.model.WorkerCommand;
 
 /**
- * One process of a simulated controller, which can stand still at a chosen point of an event: until
- * the stall is over nothing leaves it and it handles no further event, while its clocks run on.
+ * One process of a simulated controller that can stall at a chosen point of an event. During a
+ * stall it sends nothing and handles no further event, while its clocks advance.
  */
 final class StallableProcess implements Effects {
   private final ForcedHistory history;
   private final SimulatedController node;
-  private final Effects world;
+  private final Effects delegate;
   private final int processNumber;
 
-  /** ms. Stalls that are still to come, each once. */
+  /** Durations of the planned stalls in milliseconds. Each one is removed when it starts. */
   private final Map<StallPoint, Long> plannedStalls = new EnumMap<>(StallPoint.class);
 
   private long stalledUntilMs;
 
-  /** What leaves the process goes to {@code world}, its messages by way of the history. */
-  StallableProcess(ForcedHistory history, SimulatedController node, Effects world) {
+  /** Creates a process whose effects go to {@code delegate}, messages by way of the history. */
+  StallableProcess(ForcedHistory history, SimulatedController node, Effects delegate) {
     this.history = history;
     this.node = node;
-    this.world = world;
+    this.delegate = delegate;
     this.processNumber = node.processNumber;
   }
 
-  /** The last look at its own clock before the write, as by the connections of a controller. */
+  /**
+   * Returns the answer, or an expired response if the answer may no longer be sent. The connections
+   * of a real controller also check this against their clock right before they write.
+   */
   ApiResponse checkedAtWrite(ApiResponse decided) {
     return node.checkedAtWrite(decided);
   }
 
-  /** Stands still for so many ms when it next gets there. */
+  /** Plans a stall of {@code stallMs} milliseconds for when the process next reaches the point. */
   void planStall(StallPoint point, long stallMs) {
     plannedStalls.put(point, stallMs);
   }
 
-  /** Whether it has got to all points at which it was to stand still. */
-  boolean hadItsStalls() {
+  /** Returns whether the process has reached all points at which a stall was planned. */
+  boolean hasReachedAllStalls() {
     return plannedStalls.isEmpty();
   }
 
-  /** The process is at this point now: from here on it stands still if that is planned. */
+  /** Marks that the process reaches this point now, and starts the stall if one is planned. */
   void reach(StallPoint point) {
     Long stallMs = plannedStalls.remove(point);
     if (stallMs == null || stallMs == 0) {
       return;
     }
     stalledUntilMs = history.nowMs() + stallMs;
-    history.trace(node.name + " stands still for " + stallMs + " ms: " + point);
-    // an event can't be paused from within: no further one is handled, nor a timer
+    history.trace(node.name + " stalls for " + stallMs + " ms: " + point);
+    // A running event can't pause itself. The pause event delays later events and timers instead.
     history.simulation.schedule(0, () -> pauseEvents(stalledUntilMs));
   }
 
@@ -82,17 +85,17 @@
     }
   }
 
-  /** What leaves the process leaves now, or when the stall is over if the process lives then. */
-  void leave(Runnable departure) {
+  /** Runs the action now, or at the end of the present stall if the process still runs then. */
+  void leave(Runnable action) {
     if (stalledUntilMs <= history.nowMs()) {
-      departure.run();
+      action.run();
       return;
     }
     history.simulation.schedule(
         stalledUntilMs - history.nowMs(),
         () -> {
           if (isAlive()) {
-            departure.run();
+            action.run();
           }
         });
   }
@@ -104,7 +107,7 @@
   @Override
   public void get(String key, Consumer<GetResult> callback) {
     if (!key.equals(StateKeys.job(ForcedHistory.JOB))) {
-      leave(() -> world.get(key, callback));
+      leave(() -> delegate.get(key, callback));
       return;
     }
     reach(StallPoint.BEFORE_READ_SENT);
@@ -112,11 +115,11 @@
   }
 
   private void sendRead(String key, Consumer<GetResult> callback) {
-    history.trace(node.name + " sends its read");
-    world.get(
+    history.trace(node.name + " sends its read request");
+    delegate.get(
         key,
         result -> {
-          history.trace(node.name + " gets its read's answer: " + describe(result));
+          history.trace(node.name + " receives the response to its read: " + describe(result));
           reach(StallPoint.AFTER_READ_ANSWERED);
           callback.accept(result);
         });
@@ -135,7 +138,7 @@
     if (grant) {
       reach(StallPoint.BEFORE_GRANT_SENT);
     }
-    leave(() -> history.send(node, peer, message, () -> world.send(peer, message)));
+    leave(() -> history.send(node, peer, message, () -> delegate.send(peer, message)));
     if (grant) {
       reach(StallPoint.AFTER_GRANT_SENT);
     }
@@ -143,32 +146,32 @@
 
   @Override
   public int encodedSizeBytes(StoredEntry value) {
-    return world.encodedSizeBytes(value);
+    return delegate.encodedSizeBytes(value);
   }
 
   @Override
   public void transact(Transaction transaction, Consumer<TransactionResult> callback) {
-    leave(() -> world.transact(transaction, callback));
+    leave(() -> delegate.transact(transaction, callback));
   }
 
   @Override
   public void list(String afterKey, Consumer<ListResult> callback) {
-    leave(() -> world.list(afterKey, callback));
+    leave(() -> delegate.list(afterKey, callback));
   }
 
   @Override
   public void watch(long afterRevision, long waitMs, Consumer<WatchResult> callback) {
-    leave(() -> world.watch(afterRevision, waitMs, callback));
+    leave(() -> delegate.watch(afterRevision, waitMs, callback));
   }
 
   @Override
   public void grantLease(long ttlMs, Consumer<LeaseResult> callback) {
-    leave(() -> world.grantLease(ttlMs, callback));
+    leave(() -> delegate.grantLease(ttlMs, callback));
   }
 
   @Override
   public void renewLease(long leaseId, Consumer<LeaseResult> callback) {
-    leave(() -> world.renewLease(leaseId, callback));
+    leave(() -> delegate.renewLease(leaseId, callback));
   }
 
   @Override
@@ -178,26 +181,26 @@
       long session,
       List<WorkerCommand> commands,
       Consumer<CommandResult> callback) {
-    leave(() -> world.sendCommands(address, fencingToken, session, commands, callback));
+    leave(() -> delegate.sendCommands(address, fencingToken, session, commands, callback));
   }
 
   @Override
   public void fetchMachineTypes(Consumer<List<MachineType>> callback) {
-    leave(() -> world.fetchMachineTypes(callback));
+    leave(() -> delegate.fetchMachineTypes(callback));
   }
 
   @Override
   public void scaleOut(ScaleOutRequest request, Consumer<ScaleOutResult> callback) {
-    leave(() -> world.scaleOut(request, callback));
+    leave(() -> delegate.scaleOut(request, callback));
   }
 
   @Override
   public void scaleIn(List<String> machines, Consumer<Boolean> callback) {
-    leave(() -> world.scaleIn(machines, callback));
+    leave(() -> delegate.scaleIn(machines, callback));
   }
 
   @Override
   public void listMachines(String afterId, Consumer<InventoryPage> callback) {
-    leave(() -> world.listMachines(afterId, callback));
+    leave(() -> delegate.listMachines(afterId, callback));
   }
 }
--- a/src/test/java/mallowstall/core/StateServiceLink.java
+++ b/src/test/java/mallowstall/core/StateServiceLink.java
@@ -23,12 +23,15 @@
 import mallowstall.core.model.MachineEntry;
 import mallowstall.core.model.StoredEntry;
 
-/** The state service as one controller sees it: slow, lossy, cut off, or of an older version. */
+/**
+ * The link of one controller to the state service. Requests can be slow, lost or rejected, and an
+ * older program version of the controller can't read all entries.
+ */
 final class StateServiceLink {
   private final Simulation simulation;
   private final SimulatedController node;
 
-  /** Writes of single machine entries that are unanswered, and the most there were. */
+  /** Number of unanswered transactions that write machine entries. */
   private int machineWritesInFlight;
 
   StateServiceLink(Simulation simulation, SimulatedController node) {
@@ -36,59 +39,60 @@
     this.node = node;
   }
 
-  /** A request that the event under way decides on leaves when that is over. */
-  private <T> void callStateService(Supplier<T> exec, T refused, T unknown, Consumer<T> then) {
+  /** Sends a request when the event that issues it ends. */
+  private <T> void callStateService(
+      Supplier<T> operation, T rejected, T unknown, Consumer<T> then) {
     long decidedMs = simulation.nowMs;
-    node.afterEvent(() -> transmit(decidedMs, exec, refused, unknown, then));
+    node.afterEvent(() -> transmit(decidedMs, operation, rejected, unknown, then));
   }
 
-  @SuppressWarnings("ReturnValueIgnored") // requests are executed whose answers are lost
+  @SuppressWarnings("ReturnValueIgnored") // a request is executed even if its response is lost
   private <T> void transmit(
-      long decidedMs, Supplier<T> exec, T refused, T unknown, Consumer<T> then) {
-    if (isGivenUp(decidedMs)) {
-      exec.get();
+      long decidedMs, Supplier<T> operation, T rejected, T unknown, Consumer<T> then) {
+    if (hasTimedOut(decidedMs)) {
+      operation.get();
       node.scheduleReply(0, () -> then.accept(unknown));
       return;
     }
     if (simulation.stateService.outage || node.stateServiceUnreachable) {
-      node.scheduleReply(5, () -> then.accept(refused));
+      node.scheduleReply(5, () -> then.accept(rejected));
       return;
     }
-    double dice = simulation.random.nextDouble();
-    if (dice < simulation.messageLossRate / 3) { // never arrives
+    double draw = simulation.random.nextDouble();
+    if (draw < simulation.messageLossRate / 3) { // the request is lost
       node.scheduleReply(Constants.STATE_TIMEOUT_MS, () -> then.accept(unknown));
-    } else if (dice < simulation.messageLossRate * 2 / 3) { // executed, the answer is lost
-      simulation.schedule(simulation.randomDelayMs(), exec::get);
+    } else if (draw < simulation.messageLossRate * 2 / 3) { // executed, but the response is lost
+      simulation.schedule(simulation.randomDelayMs(), operation::get);
       node.scheduleReply(Constants.STATE_TIMEOUT_MS, () -> then.accept(unknown));
-    } else if (dice < simulation.messageLossRate) { // executed late
-      simulation.schedule(500 + simulation.random.nextInt(4_000), exec::get);
+    } else if (draw < simulation.messageLossRate) { // executed late, and the response is lost
+      simulation.schedule(500 + simulation.random.nextInt(4_000), operation::get);
       node.scheduleReply(Constants.STATE_TIMEOUT_MS, () -> then.accept(unknown));
     } else {
       long delayMs = simulation.randomDelayMs();
       int startedProcess = node.processNumber;
       if (simulation.maxStateDelayMs > 0) {
-        callSlowly(exec, unknown, then);
+        callSlowly(operation, unknown, then);
         return;
       }
       simulation.schedule(
           delayMs,
           () -> {
-            T task = exec.get();
-            int still = node.processNumber;
-            if (startedProcess == still) {
-              node.scheduleReply(1 + node.stateDelayMs, () -> then.accept(task));
+            T result = operation.get();
+            int currentProcess = node.processNumber;
+            if (startedProcess == currentProcess) {
+              node.scheduleReply(1 + node.stateDelayMs, () -> then.accept(result));
             }
           });
     }
   }
 
-  /** Whether the controller has stood still for so long that it no longer waits for the answer. */
-  private boolean isGivenUp(long decidedMs) {
+  /** Returns whether the controller has paused past the timeout since it issued the request. */
+  private boolean hasTimedOut(long decidedMs) {
     return simulation.nowMs - decidedMs >= Constants.STATE_TIMEOUT_MS;
   }
 
-  /** Executed at some moment of the delay; what takes too long is given up on. */
-  private <T> void callSlowly(Supplier<T> exec, T unknown, Consumer<T> then) {
+  /** Executes the request within a random delay. Its outcome is unknown after the timeout. */
+  private <T> void callSlowly(Supplier<T> operation, T unknown, Consumer<T> then) {
     simulation.countFault("slowState");
     int totalDelayMs = randomSlowDelayMs();
     int startedProcess = node.processNumber;
@@ -100,9 +104,9 @@
     simulation.schedule(
         before,
         () -> {
-          T task = exec.get();
+          T result = operation.get();
           if (!late && startedProcess == node.processNumber) {
-            node.scheduleReply(totalDelayMs - before, () -> then.accept(task));
+            node.scheduleReply(totalDelayMs - before, () -> then.accept(result));
           }
         });
   }
@@ -140,7 +144,7 @@
       simulation.schedule(0, action);
     }
     boolean served =
-        !simulation.stateService.outage && !node.stateServiceUnreachable && !isGivenUp(decidedMs);
+        !simulation.stateService.outage && !node.stateServiceUnreachable && !hasTimedOut(decidedMs);
     if (served
         && simulation.delayedTransactionRate > 0
         && simulation.random.nextDouble() < simulation.delayedTransactionRate) {
@@ -166,17 +170,17 @@
         then);
   }
 
-  /** Whether the transaction takes over a job that another incarnation leads. */
+  /** Returns whether the transaction takes a job over from another incarnation: its epoch rises. */
   private boolean isFailover(Transaction txn) {
     for (PutOperation put : txn.puts()) {
-      if (!(put.value() instanceof JobEntry claimed)) {
+      if (!(put.value() instanceof JobEntry updated)) {
         continue;
       }
       SimulatedStateService.StoredValue present = simulation.stateService.entries.get(put.key());
       if (present == null || !(present.value() instanceof JobEntry before)) {
         continue;
       }
-      if (claimed.epoch() > before.epoch()) {
+      if (updated.epoch() > before.epoch()) {
         return true;
       }
     }
@@ -217,7 +221,7 @@
             if (!isVisible(entry.getKey(), entry.getValue().value())) {
               continue;
             }
-            if (out.size() == 7) { // small pages, so that changes come between them
+            if (out.size() == 7) { // small pages, so that changes happen between them
               more = true;
               break;
             }
@@ -318,8 +322,9 @@
   }
 
   /**
-   * What its program makes of an entry; null: it can't read it. Versions without services read no
-   * entry of an open service, and take a cancelled one for that of a batch job.
+   * Returns the entry as the controller's program version reads it, or null if that version can't
+   * read it. Versions without services can't read the entry of an open service, and read the entry
+   * of a cancelled service as that of a batch job.
    */
   private StoredEntry decodeForVersion(StoredEntry value) {
     if (node.supportsServices() || !(value instanceof JobEntry job)) {
@@ -331,7 +336,7 @@
     return job.spec().isService() ? asBatch(job) : job;
   }
 
-  /** The items that its program sees in listings and watches. */
+  /** Returns whether listings and watches show the entry to the controller's program version. */
   private boolean isVisible(String key, StoredEntry value) {
     if (node.supportsServices()) {
       return true;
@@ -355,8 +360,8 @@
         job.outcome());
   }
 
-  /** The node has a new process: answers to the former one are lost. */
-  void forgetPendingWrites() {
+  /** Resets the count of pending writes for a new process, which gets no earlier responses. */
+  void resetPendingWrites() {
     machineWritesInFlight = 0;
   }
 }
--- a/src/test/java/mallowstall/core/TaskRunner.java
+++ b/src/test/java/mallowstall/core/TaskRunner.java
@@ -8,14 +8,14 @@
 import mallowstall.core.model.TaskState;
 import mallowstall.core.model.WorkerCommand;
 
-/** Runs the tasks of one worker: fetches their images, starts them, and ends them. */
+/** Runs the tasks of one worker: fetches their images, starts the tasks and ends them. */
 final class TaskRunner {
   private final Simulation simulation;
   private final SimulatedWorker worker;
 
   private final Map<String, Long> imageFetchedAtMs = new HashMap<>();
 
-  /** Tasks that completed here: their results are kept. */
+  /** Tasks that are done on this worker. A later attempt ends as done without running again. */
   private final Set<String> completedTasks = new HashSet<>();
 
   TaskRunner(Simulation simulation, SimulatedWorker worker) {
@@ -117,22 +117,22 @@
   }
 
   private void scheduleRandomExit(SimulatedTask task, String key) {
-    ExitReason why = simulation.random.nextBoolean() ? ExitReason.DONE : ExitReason.ERROR;
-    simulation.countFault("replica ended: " + why);
-    scheduleStep(task, simulation.random.nextInt(20_000), () -> exitIfRunning(task, key, why));
+    ExitReason reason = simulation.random.nextBoolean() ? ExitReason.DONE : ExitReason.ERROR;
+    simulation.countFault("replica ended: " + reason);
+    scheduleStep(task, simulation.random.nextInt(20_000), () -> exitIfRunning(task, key, reason));
   }
 
-  private void exitIfRunning(SimulatedTask task, String key, ExitReason why) {
+  private void exitIfRunning(SimulatedTask task, String key, ExitReason reason) {
     if (worker.dead || worker.tasks.get(key) != task || task.state != TaskState.RUNNING) {
       return;
     }
-    exit(task, why);
+    exit(task, reason);
   }
 
   private long runDurationMs(SimulatedTask task) {
-    Long own = simulation.taskRunMsByTask.get(task.job + "/" + task.task);
-    return own != null
-        ? own
+    Long taskSpecificMs = simulation.taskRunMsByTask.get(task.job + "/" + task.task);
+    return taskSpecificMs != null
+        ? taskSpecificMs
         : simulation.taskRunMs > 0
             ? simulation.taskRunMs
             : 1_000 + simulation.random.nextInt(6_000);
--- a/src/test/java/mallowstall/core/TestPolicy.java
+++ b/src/test/java/mallowstall/core/TestPolicy.java
@@ -6,7 +6,7 @@
 import mallowstall.core.placement.Policy.Facts;
 import mallowstall.core.placement.Policy.Strategy;
 
-/** A small policy: any machine, the emptiest last. */
+/** A policy that accepts any machine and prefers those with the highest CPU utilization. */
 record TestPolicy(String name, Runnable onEvaluate) implements Policy {
   @Override
   public List<Block> blocks() {
--- a/src/test/java/mallowstall/core/UserRequest.java
+++ b/src/test/java/mallowstall/core/UserRequest.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 import mallowstall.core.model.ApiResponse;
 
-/** What users ask of a controller about the job of a {@link ForcedHistory}. */
+/** The requests that users send about the job of a {@link ForcedHistory}. */
 enum UserRequest {
   SUBMISSION,
   QUERY,
@@ -13,12 +13,12 @@
   MALFORMED_SUBMISSION,
   IMPOSSIBLE_SUBMISSION;
 
-  /** ms. Users wait so long for an answer to a query, and for one to anything else. */
+  /** Timeouts of the users in milliseconds: for queries, and for all other requests. */
   private static final long QUERY_TIMEOUT_MS = 2_000;
 
   private static final long CHANGE_TIMEOUT_MS = 5_000;
 
-  /** The user has given up so many ms after the request, and gets no answer that comes later. */
+  /** Returns the user's timeout in milliseconds. The user receives no answer that arrives later. */
   long timeoutMs() {
     return this == QUERY ? QUERY_TIMEOUT_MS : CHANGE_TIMEOUT_MS;
   }
--- a/src/test/java/mallowstall/core/WorkerLink.java
+++ b/src/test/java/mallowstall/core/WorkerLink.java
@@ -7,7 +7,7 @@
 import mallowstall.core.kernel.ResultCode;
 import mallowstall.core.model.WorkerCommand;
 
-/** The way of one controller's direct commands to workers. */
+/** Delivers the direct commands of one controller to workers. */
 final class WorkerLink {
   private final Simulation simulation;
   private final SimulatedController node;
@@ -29,15 +29,18 @@
           SimulatedWorker worker = simulation.workers.get(addr);
           boolean late = simulation.nowMs - decidedMs >= Constants.COMMAND_REQUEST_TIMEOUT_MS;
           if (late && worker != null) {
-            executeGivenUp(worker, token, session, commands, then);
+            executeAfterTimeout(worker, token, session, commands, then);
           } else {
             transmit(worker, token, session, commands, then);
           }
         });
   }
 
-  /** Executed though the controller, which has stood still since, gives up on them at once. */
-  private void executeGivenUp(
+  /**
+   * Executes commands that a paused controller sends after their timeout. The controller receives
+   * an unknown outcome at once, although the worker executes the commands.
+   */
+  private void executeAfterTimeout(
       SimulatedWorker worker,
       long token,
       long session,
@@ -47,7 +50,10 @@
     node.scheduleReply(0, () -> then.accept(new CommandResult(ResultCode.OUTCOME_UNKNOWN, null)));
   }
 
-  /** To the worker, or to none: then no connection is accepted. */
+  /**
+   * Sends the commands to the worker. If the worker is null, no connection is accepted and the
+   * commands are rejected.
+   */
   private void transmit(
       SimulatedWorker worker,
       long token,
@@ -56,7 +62,7 @@
       Consumer<CommandResult> then) {
     if (worker == null || worker.isPartitionedFrom(node) || worker.inboundBlocked) {
       if (worker != null && worker.isPartitionedFrom(node) && simulation.random.nextBoolean()) {
-        // delayed by the partition, executed late
+        // delayed by the partition and executed late
         simulation.schedule(
             1_000 + simulation.random.nextInt(15_000),
             () -> worker.runWhenResumed(() -> worker.executeCommands(token, session, commands)));
@@ -73,14 +79,14 @@
       }
       return;
     }
-    double dice = simulation.random.nextDouble();
+    double draw = simulation.random.nextDouble();
     if (simulation.delayAllCommands) {
       simulation.delayedCommands++;
-      dice = 0;
+      draw = 0;
     }
-    if (dice < simulation.messageLossRate || simulation.delayAllCommands) {
+    if (draw < simulation.messageLossRate || simulation.delayAllCommands) {
       simulation.schedule(
-          !simulation.delayAllCommands && dice < simulation.messageLossRate / 2
+          !simulation.delayAllCommands && draw < simulation.messageLossRate / 2
               ? simulation.randomDelayMs()
               : 500 + simulation.random.nextInt(20_000),
           () -> worker.runWhenResumed(() -> worker.executeCommands(token, session, commands)));
@@ -107,7 +113,10 @@
         });
   }
 
-  /** Executed when the machine goes on, perhaps long after it was given up on. */
+  /**
+   * Executes the commands when the paused worker resumes, which may be long after the controller's
+   * request has timed out.
+   */
   private void queueCommands(
       SimulatedWorker worker,
       long token,
