--- a/src/test/java/mallowstall/core/AcceptanceQueryTest.java
+++ b/src/test/java/mallowstall/core/AcceptanceQueryTest.java
@@ -14,14 +14,17 @@
 import mallowstall.core.model.PeerMessage;
 import org.junit.jupiter.api.Test;
 
-/** Guards against a flood between controllers, and against messages that fit no question. */
+/**
+ * Guards against a flood of acceptance queries between controllers when users send many queries,
+ * and against peer messages that match no acceptance query.
+ */
 class AcceptanceQueryTest {
-  private static final String UNKNOWN = "wk-000099";
-  private static final int QUESTIONS = 5_000;
+  private static final String UNKNOWN_JOB = "wk-000099";
+  private static final int USER_QUERIES = 5_000;
   private static final long FLOOD_MS = 2_000;
 
-  /** A query every 100 ms at most, to each of two peers. */
-  private static final int QUERIES_MAX = 2 * (int) (FLOOD_MS / 100 + 12);
+  /** Maximum number of acceptance queries: one every 100 ms to each of two peers, and a margin. */
+  private static final int ACCEPTANCE_QUERIES_MAX = 2 * (int) (FLOOD_MS / 100 + 12);
 
   private static Simulation ready(long seed) {
     Simulation sim = new Simulation(seed);
@@ -35,15 +38,18 @@
     return answers;
   }
 
-  /** Each is answered, with few messages between controllers, and work is accepted beside them. */
+  /**
+   * Many user queries for unknown jobs arrive at one controller. Each query is answered, the
+   * controllers exchange few messages, and another controller accepts a job at the same time.
+   */
   @Test
-  void manyQuestionsAboutUnknownJobsShareFewMessages() {
+  void manyQueriesForUnknownJobsShareFewMessages() {
     Simulation sim = ready(996);
     SimulatedController asked = sim.controllers.get("n1");
     List<List<ApiResponse>> answers = new ArrayList<>();
-    for (int i = 0; i < QUESTIONS; i++) {
+    for (int i = 0; i < USER_QUERIES; i++) {
       String job = "wk-5" + i;
-      sim.schedule(i * FLOOD_MS / QUESTIONS, () -> answers.add(query(asked, job)));
+      sim.schedule(i * FLOOD_MS / USER_QUERIES, () -> answers.add(query(asked, job)));
     }
     sim.runUntil(sim.nowMs + FLOOD_MS / 2);
     List<ApiResponse> accepted = new ArrayList<>();
@@ -59,53 +65,61 @@
       assertTrue(status == 404 || status == 503, "status " + status);
       unknown += status == 404 ? 1 : 0;
     }
-    assertEquals(QUESTIONS, answers.size());
-    assertTrue(unknown > 0, "some are answered for good");
+    assertEquals(USER_QUERIES, answers.size());
+    assertTrue(unknown > 0, "some queries are answered 404");
     assertTrue(
-        asked.acceptanceQueriesSent <= QUERIES_MAX, "queries " + asked.acceptanceQueriesSent);
+        asked.acceptanceQueriesSent <= ACCEPTANCE_QUERIES_MAX,
+        "queries " + asked.acceptanceQueriesSent);
     assertEquals("pending", accepted.get(0).state());
   }
 
-  /** Replies to no question, from nobody, or to a former process change nothing. */
+  /**
+   * Acceptance messages that match no query, come from an unknown node or are addressed to a former
+   * process change nothing.
+   */
   @Test
-  void strayMessagesChangeNothing() {
+  void unmatchedMessagesChangeNothing() {
     Simulation sim = ready(997);
     SimulatedController node = sim.controllers.get("n1");
     long incarnation = node.core.incarnation();
     List<PeerMessage> stray =
         List.of(
             new AcceptanceReply("n0", incarnation, 77, List.of()),
-            new AcceptanceReply("nobody", incarnation, 1, List.of(UNKNOWN)),
+            new AcceptanceReply("nobody", incarnation, 1, List.of(UNKNOWN_JOB)),
             new AcceptanceReply("n0", incarnation - 1, 1, List.of()),
             new AcceptanceQueryEnd("nobody", 0, 5),
-            new AcceptanceQuery("nobody", 0, 1, List.of("", "no job id", UNKNOWN)));
+            new AcceptanceQuery("nobody", 0, 1, List.of("", "no job id", UNKNOWN_JOB)));
     stray.forEach(message -> node.enqueueEvent(() -> node.core.handleMessage(message)));
-    List<ApiResponse> answers = query(node, UNKNOWN);
+    List<ApiResponse> answers = query(node, UNKNOWN_JOB);
     stray.forEach(message -> node.enqueueEvent(() -> node.core.handleMessage(message)));
     sim.runUntil(sim.nowMs + 1_200);
     assertEquals(1, answers.size(), "answered once");
     assertEquals(404, answers.get(0).status());
-    assertNull(node.core.store().job(UNKNOWN));
+    assertNull(node.core.store().job(UNKNOWN_JOB));
   }
 
-  /** A later question is through while an earlier one still waits for a reply that comes late. */
+  /**
+   * A later acceptance query completes while an earlier query still waits for a late reply. The end
+   * of the later query must not end the leases of the earlier one, or the job is accepted before
+   * the earlier query is answered 404.
+   */
   @Test
-  void endOfALaterQueryKeepsTheLeasesOfAnEarlierOne() {
+  void endOfLaterQueryKeepsLeasesOfEarlierQuery() {
     Simulation sim = ready(999);
     String job = "wk-000001";
     sim.checker.onSubmitted(batchJob(job).tasks(1).cpus(1).build());
-    SimulatedController asker = sim.controllers.get("n1");
+    SimulatedController queried = sim.controllers.get("n1");
     SimulatedController accepting = sim.controllers.get("n0");
-    long incarnation = asker.core.incarnation();
-    asker.watchStalled = true; // it learns nothing of the job by itself
+    long incarnation = queried.core.incarnation();
+    queried.watchStalled = true; // its state replica doesn't receive the job's entry
     sim.controllers.get("n2").pauseMs = 3_000;
     sim.runUntil(sim.nowMs + 150);
-    List<ApiResponse> refused = query(asker, job);
+    List<ApiResponse> refused = query(queried, job);
     sim.runUntil(sim.nowMs + 120);
-    query(asker, UNKNOWN);
+    query(queried, UNKNOWN_JOB);
     sim.runUntil(sim.nowMs + 100);
-    AcceptanceReply toTheSecond = new AcceptanceReply("n2", incarnation, 2, List.of());
-    asker.enqueueEvent(() -> asker.core.handleMessage(toTheSecond));
+    AcceptanceReply replyToSecond = new AcceptanceReply("n2", incarnation, 2, List.of());
+    queried.enqueueEvent(() -> queried.core.handleMessage(replyToSecond));
     sim.runUntil(sim.nowMs + 350);
     List<ApiResponse> submitted = new ArrayList<>();
     accepting.enqueueEvent(
@@ -118,24 +132,24 @@
                 }));
     sim.runUntil(sim.nowMs + 100);
     assertEquals(List.of(), refused, "still waits for a reply");
-    AcceptanceReply toTheFirst = new AcceptanceReply("n2", incarnation, 1, List.of());
-    asker.enqueueEvent(() -> asker.core.handleMessage(toTheFirst));
+    AcceptanceReply replyToFirst = new AcceptanceReply("n2", incarnation, 1, List.of());
+    queried.enqueueEvent(() -> queried.core.handleMessage(replyToFirst));
     assertEquals(1, refused.size(), "answered once");
     sim.checker.onAnswer(sim.nowMs, job, refused.get(0).status(), refused.get(0).state());
     assertEquals(1, submitted.size(), "answered once");
-    assertEquals(503, submitted.get(0).status(), "the first question's lease lasts");
+    assertEquals(503, submitted.get(0).status(), "the lease of the first query still holds");
     assertEquals(List.of(), sim.checker.violations);
-    assertEquals(404, refused.get(0).status(), "the first question is through as well");
+    assertEquals(404, refused.get(0).status(), "the first query completes as well");
   }
 
-  /** One of two peers doesn't reply: the question isn't answered for good, nor held back. */
+  /** If one of two peers doesn't reply, a query is answered 503 instead of 404 within 1.1 s. */
   @Test
-  void missingReplyIsAnswered503InTime() {
+  void missingPeerReplyIsAnswered503InTime() {
     Simulation sim = ready(998);
     sim.controllers.get("n2").pauseMs = 3_000;
     sim.runUntil(sim.nowMs + 200);
     long askedMs = sim.nowMs;
-    List<ApiResponse> answers = query(sim.controllers.get("n1"), UNKNOWN);
+    List<ApiResponse> answers = query(sim.controllers.get("n1"), UNKNOWN_JOB);
     while (answers.isEmpty() && sim.nowMs < askedMs + 3_000) {
       sim.runUntil(sim.nowMs + 10);
     }
--- a/src/test/java/mallowstall/core/AcceptedJobAnswersTest.java
+++ b/src/test/java/mallowstall/core/AcceptedJobAnswersTest.java
@@ -16,30 +16,40 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Guards against a 404, 400 or 422 that one controller tells after another has told that the job is
- * accepted (forgotten): the refusal rests on a read that was made before and came back slowly.
+ * Guards against a 404, 400 or 422 that one controller returns after another controller has
+ * reported the job as accepted (violation "forgotten"). The rejection rests on a read that the
+ * state service executed before the acceptance and whose response arrived late.
  */
 class AcceptedJobAnswersTest {
   private static final String JOB = "wk-000001";
 
-  /** What the state service answers the asked controller comes so much later. */
-  private static final long SLOW_ANSWERS_MS = 800;
+  /** Delay of the state service's responses to the queried controller, in milliseconds. */
+  private static final long READ_DELAY_MS = 800;
 
-  /** Between the question and the submission: enough for the question's read to be made. */
+  /**
+   * Time between a request and the submission, in milliseconds. The state service executes the read
+   * of the request within this time.
+   */
   private static final long READ_MADE_MS = 30;
 
-  /** A submission takes one transaction, as ever. */
+  /** Maximum time of a submission, which takes one transaction, in milliseconds. */
   private static final long ACCEPTED_WITHIN_MS = 700;
 
-  /** No request is held back longer than a read counts, a cancellation by its transaction too. */
+  /**
+   * Maximum time until a request is answered, in milliseconds. A request waits no longer than its
+   * read counts; a cancellation also waits for its transaction.
+   */
   private static final long ANSWERED_WITHIN_MS = 1_100;
 
   private static final long CANCELLED_WITHIN_MS = 3_000;
 
-  /** A question is over for good: its answer and the word of it have reached everybody. */
-  private static final long QUESTION_OVER_MS = 1_000;
+  /**
+   * Time after which a query is complete, in milliseconds: the user has the answer and all peers
+   * have received the end of the acceptance query.
+   */
+  private static final long QUERY_COMPLETE_MS = 1_000;
 
-  /** What a user asks about a job that nobody has submitted yet. */
+  /** A user's request for a job that no user has submitted yet. */
   private enum Question {
     QUERY,
     CANCELLATION,
@@ -56,7 +66,7 @@
     }
   }
 
-  /** An answer, and when it was sent. */
+  /** An answer to a user, and the simulated time at which it was sent, in milliseconds. */
   private record TimedAnswer(ApiResponse response, long atMs) {}
 
   private static JobSpec job() {
@@ -100,12 +110,12 @@
     return ask(sim, node, (core, reply) -> core.submit(job(), reply));
   }
 
-  private static TimedAnswer only(List<TimedAnswer> answers) {
+  private static TimedAnswer onlyAnswer(List<TimedAnswer> answers) {
     assertEquals(1, answers.size(), "answered once");
     return answers.get(0);
   }
 
-  /** Submits again and again until the job is called accepted, as users do. */
+  /** Repeats the submission until the job is reported as accepted, as users do. */
   private static TimedAnswer submitUntilAccepted(Simulation sim, SimulatedController node) {
     for (long end = sim.nowMs + 60_000; sim.nowMs < end; ) {
       List<TimedAnswer> answers = submit(sim, node);
@@ -117,8 +127,11 @@
     throw new AssertionError("not accepted within a minute");
   }
 
-  /** One that is read before the job is recorded, and whose read is answered so much later. */
-  private static List<TimedAnswer> askSlowly(
+  /**
+   * Sends a request whose read is executed before the job is recorded, and whose read response is
+   * delayed by {@code delayMs}.
+   */
+  private static List<TimedAnswer> askWithDelayedRead(
       Simulation sim, SimulatedController asked, Question question, long delayMs) {
     asked.stateDelayMs = delayMs;
     List<TimedAnswer> answers = ask(sim, asked, question);
@@ -132,20 +145,20 @@
 
   private static void assertAnswered(
       Simulation sim, List<TimedAnswer> answers, long askedMs, long withinMs) {
-    long tookMs = only(answers).atMs() - askedMs;
+    long tookMs = onlyAnswer(answers).atMs() - askedMs;
     assertTrue(tookMs <= withinMs, "answered after " + tookMs + " ms");
     assertEquals(List.of(), sim.checker.violations);
   }
 
   @ParameterizedTest
   @EnumSource(Question.class)
-  void noRefusalAfterTheAcceptanceIsTold(Question question) {
+  void noRejectionAfterAcceptanceIsReported(Question question) {
     int acceptedFirst = 0;
     for (long seed = 861; seed <= 900; seed++) {
       Simulation sim = ready(new Simulation(seed));
       long askedMs = sim.nowMs;
       List<TimedAnswer> slow =
-          askSlowly(sim, sim.controllers.get("n1"), question, 100 + 15 * (seed % 40));
+          askWithDelayedRead(sim, sim.controllers.get("n1"), question, 100 + 15 * (seed % 40));
       long submittedMs = sim.nowMs;
       List<TimedAnswer> accepted = submit(sim, sim.controllers.get("n0"));
       sim.runUntil(sim.nowMs + 4_000);
@@ -154,51 +167,58 @@
           slow,
           askedMs,
           question == Question.CANCELLATION ? CANCELLED_WITHIN_MS : ANSWERED_WITHIN_MS);
-      assertEquals("pending", only(accepted).response().state());
-      assertTrue(only(accepted).atMs() - submittedMs <= ACCEPTED_WITHIN_MS, "as soon as ever");
-      acceptedFirst += only(accepted).atMs() < only(slow).atMs() ? 1 : 0;
+      assertEquals("pending", onlyAnswer(accepted).response().state());
+      assertTrue(onlyAnswer(accepted).atMs() - submittedMs <= ACCEPTED_WITHIN_MS, "accepted late");
+      acceptedFirst += onlyAnswer(accepted).atMs() < onlyAnswer(slow).atMs() ? 1 : 0;
     }
-    assertTrue(acceptedFirst > 0, "the order of events took place in no history");
+    assertTrue(acceptedFirst > 0, "no history had this order of events");
   }
 
-  /** A peer that can't be reached may accept the job at any moment. */
+  /** A peer that can't be reached may accept the job at any time: requests are answered 503. */
   @ParameterizedTest
   @EnumSource(Question.class)
-  void silentPeerMayHaveAcceptedTheJob(Question question) {
+  void requestIsAnswered503WhilePeersAreUnreachable(Question question) {
     for (long seed = 901; seed <= 910; seed++) {
       Simulation sim = ready(new Simulation(seed));
       sim.partitionDelayMs = 60_000;
       sim.partitionPeers();
       long askedMs = sim.nowMs;
-      List<TimedAnswer> slow = askSlowly(sim, sim.controllers.get("n1"), question, SLOW_ANSWERS_MS);
+      List<TimedAnswer> slow =
+          askWithDelayedRead(sim, sim.controllers.get("n1"), question, READ_DELAY_MS);
       List<TimedAnswer> accepted = submit(sim, sim.controllers.get("n0"));
       sim.runUntil(sim.nowMs + 4_000);
       assertAnswered(sim, slow, askedMs);
-      assertEquals(503, only(slow).response().status());
-      assertEquals("pending", only(accepted).response().state());
+      assertEquals(503, onlyAnswer(slow).response().status());
+      assertEquals("pending", onlyAnswer(accepted).response().state());
     }
   }
 
-  /** Whoever stands still while it is asked, or while it asks, tells nothing that is too old. */
+  /**
+   * A controller that pauses while it handles a request or a peer's acceptance query reports no
+   * stale state afterwards.
+   */
   @Test
-  void pausedControllersTellNothingOld() {
+  void pausedControllerReportsNoStaleState() {
     for (String pausing : List.of("n0", "n1", "n2")) {
       for (long pauseMs : new long[] {50, 300, 900, 1_100, 3_000}) {
         Simulation sim = ready(new Simulation(911));
         List<TimedAnswer> slow =
-            askSlowly(sim, sim.controllers.get("n1"), Question.QUERY, SLOW_ANSWERS_MS / 4);
+            askWithDelayedRead(sim, sim.controllers.get("n1"), Question.QUERY, READ_DELAY_MS / 4);
         sim.controllers.get(pausing).pauseMs = pauseMs;
         submitUntilAccepted(sim, sim.controllers.get("n0"));
         sim.runUntil(sim.nowMs + 5_000);
-        only(slow);
+        onlyAnswer(slow);
         assertEquals(List.of(), sim.checker.violations, pausing + " for " + pauseMs + " ms");
       }
     }
   }
 
-  /** A controller of an older version answers no question about what it has accepted. */
+  /**
+   * A controller of an older version, which replies to no acceptance query, may have accepted the
+   * job.
+   */
   @Test
-  void olderVersionMayHaveAcceptedTheJob() {
+  void noRejectionAfterAcceptanceByOlderVersion() {
     for (int version = ProgramVersion.UNKNOWN;
         version <= ProgramVersion.WITH_OUTCOME_ANNOUNCEMENTS;
         version++) {
@@ -210,7 +230,7 @@
         ready(sim);
         long askedMs = sim.nowMs;
         List<TimedAnswer> slow =
-            askSlowly(sim, sim.controllers.get("n1"), Question.QUERY, SLOW_ANSWERS_MS);
+            askWithDelayedRead(sim, sim.controllers.get("n1"), Question.QUERY, READ_DELAY_MS);
         submit(sim, old);
         sim.runUntil(sim.nowMs + 4_000);
         assertAnswered(sim, slow, askedMs);
@@ -218,9 +238,9 @@
     }
   }
 
-  /** The submission comes while a peer is being told that there is no such job, or just after. */
+  /** The submission arrives while a peer handles a query for the job, or just after the query. */
   @Test
-  void submissionDuringTheQuestionIsAcceptedSoon() {
+  void submissionDuringQueryIsAcceptedWithinThreeSeconds() {
     for (long delayMs = 0; delayMs <= 60; delayMs += 2) {
       Simulation sim = ready(new Simulation(931));
       List<TimedAnswer> asked = ask(sim, sim.controllers.get("n1"), Question.QUERY);
@@ -228,29 +248,29 @@
       long submittedMs = sim.nowMs;
       long acceptedMs = submitUntilAccepted(sim, sim.controllers.get("n0")).atMs();
       sim.runUntil(sim.nowMs + 2_000);
-      only(asked);
+      onlyAnswer(asked);
       assertTrue(acceptedMs - submittedMs <= 3_000, "accepted late: " + acceptedMs);
       assertEquals(List.of(), sim.checker.violations);
     }
   }
 
-  /** Who asks first, is told that there is no such job, and submits it then, isn't held back. */
+  /** A user who receives a 404 for the job and then submits it is not delayed. */
   @Test
-  void submissionAfterTheQuestionIsAcceptedAtOnce() {
+  void submissionAfterQueryIsAcceptedAtOnce() {
     for (long seed = 932; seed <= 940; seed++) {
       Simulation sim = ready(new Simulation(seed));
       List<TimedAnswer> asked = ask(sim, sim.controllers.get("n1"), Question.QUERY);
-      sim.runUntil(sim.nowMs + QUESTION_OVER_MS);
-      assertEquals(404, only(asked).response().status());
+      sim.runUntil(sim.nowMs + QUERY_COMPLETE_MS);
+      assertEquals(404, onlyAnswer(asked).response().status());
       List<TimedAnswer> accepted = submit(sim, sim.controllers.get("n0"));
       sim.runUntil(sim.nowMs + ACCEPTED_WITHIN_MS);
-      assertEquals("pending", only(accepted).response().state());
+      assertEquals("pending", onlyAnswer(accepted).response().state());
     }
   }
 
-  /** Questions that never stop hold no acceptance back. */
+  /** Queries that arrive every 20 ms don't delay an acceptance by more than 3 s. */
   @Test
-  void questionsAllTheTimeHoldNoAcceptanceBack() {
+  void continuousQueriesDoNotDelayAcceptance() {
     Simulation sim = ready(new Simulation(941));
     for (int i = 0; i < 500; i++) {
       SimulatedController node = sim.controllers.get("n" + (1 + i % 2));
@@ -264,14 +284,17 @@
     assertEquals(List.of(), sim.checker.violations);
   }
 
-  /** A process that vouched for the job's absence ends, and its successor accepts the job. */
+  /**
+   * A controller process that granted a lease on the job's absence crashes, and the job is
+   * submitted to the next process of the controller while the lease may still hold.
+   */
   @Test
-  void successorKeepsWhatItsPredecessorVouchedFor() {
+  void restartedControllerKeepsLeasesOfFormerProcess() {
     for (long seed = 951; seed <= 990; seed++) {
       Simulation sim = ready(new Simulation(seed));
-      SimulatedController silent = sim.controllers.get("n2");
-      // its reply comes late, but in time for the asker
-      silent.pauseMs = 700;
+      SimulatedController pausedPeer = sim.controllers.get("n2");
+      // the peer's reply is late, but in time for the queried controller
+      pausedPeer.pauseMs = 700;
       sim.runUntil(sim.nowMs + 101);
       List<TimedAnswer> asked = ask(sim, sim.controllers.get("n1"), Question.QUERY);
       sim.runUntil(sim.nowMs + 20 + seed % 20);
@@ -282,14 +305,17 @@
         submit(sim, accepting);
       }
       sim.runUntil(sim.nowMs + 5_000);
-      only(asked);
+      onlyAnswer(asked);
       assertEquals(List.of(), sim.checker.violations, "seed " + seed);
     }
   }
 
-  /** Nobody's job is answered 404 in ordinary times, 503 beside a silent peer, and 404 again. */
+  /**
+   * A query for a job that no user has submitted is answered 404 without faults, 503 while the
+   * peers are unreachable, and 404 again afterwards.
+   */
   @Test
-  void unknownJobIsAnswered404UnlessAPeerIsSilent() {
+  void unknownJobIsAnswered404UnlessPeersAreUnreachable() {
     Simulation sim = ready(new Simulation(995));
     assertUnknown(sim, 404);
     sim.partitionPeers();
@@ -307,7 +333,7 @@
       List<TimedAnswer> answers = ask(sim, node, Question.QUERY);
       sim.runUntil(sim.nowMs + 1_200);
       assertAnswered(sim, answers, askedMs);
-      assertEquals(status, only(answers).response().status());
+      assertEquals(status, onlyAnswer(answers).response().status());
     }
   }
 }
--- a/src/test/java/mallowstall/core/AnswerFreshnessTest.java
+++ b/src/test/java/mallowstall/core/AnswerFreshnessTest.java
@@ -14,31 +14,40 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * No controller answers a user with something older than it knows itself when it sends the answer,
- * whatever the read or the write on which the answer rests had shown (docs/questions.md, 9).
+ * Guards against an answer to a user that is staler than the controller's state replica at the time
+ * of the answer, whatever the read or write showed on which the answer rests (docs/questions.md,
+ * 9).
  *
- * <p>What happens: with a state service that answers slowly, a question is answered 404, or a
- * repeated submission 400 or 422, although the controller's own replica shows the accepted job; and
- * a submission is answered as pending although the replica shows it cancelled. Why: only answers
- * that rest on an entry that was read were compared with the replica; those that rest on a missing
- * entry or on the controller's own write were not. What showed it: here the replica is looked at in
- * the moment of each answer.
+ * <p>The fault: while the state service responds slowly, a query is answered 404, or a repeated
+ * submission 400 or 422, although the controller's own replica shows the accepted job. A submission
+ * is answered as pending although the replica shows the job as cancelled. The cause: only answers
+ * that rest on an entry that was read were compared with the replica; answers that rest on a
+ * missing entry or on the controller's own write were not. The test compares each answer with the
+ * replica at the time of the answer.
  */
 class AnswerFreshnessTest {
   private static final String JOB = "wk-000001";
   private static final int HISTORIES = 400;
 
-  /** Slow enough for a watch to overtake a read, below the age at which a read counts. */
+  /**
+   * Maximum delay of a state service response in milliseconds. It is long enough for a watch event
+   * to reach a controller before the response to an earlier read, and shorter than the time for
+   * which a read counts.
+   */
   private static final int MAX_STATE_DELAY_MS = 900;
 
-  /** An answer, and what the controller's replica showed of the job when it was sent. */
+  /**
+   * An answer to a user, and the job's entry in the controller's replica at the time of the answer,
+   * or null if the replica had none.
+   */
   private record Answer(ApiResponse response, JobEntry known) {
-    boolean isOlderThanKnown() {
+    boolean isOlderThanReplica() {
       boolean accepted = response.state() != null;
-      boolean refused = response.status() != 503 && !accepted;
-      boolean over = known != null && known.isTerminal();
-      boolean calledOpen = "pending".equals(response.state()) || "running".equals(response.state());
-      return (known != null && refused) || (over && calledOpen);
+      boolean rejected = response.status() != 503 && !accepted;
+      boolean ended = known != null && known.isTerminal();
+      boolean reportedOpen =
+          "pending".equals(response.state()) || "running".equals(response.state());
+      return (known != null && rejected) || (ended && reportedOpen);
     }
   }
 
@@ -57,7 +66,7 @@
                 response -> answers.add(new Answer(response, node.core.store().job(JOB)))));
   }
 
-  /** Requests at three controllers around the moment at which the job is accepted. */
+  /** Sends requests to three controllers around the time of the job's acceptance. */
   private static List<Answer> answersAroundAcceptance(long seed) {
     Simulation sim = new Simulation(seed);
     sim.runUntil(8_000);
@@ -91,21 +100,21 @@
   }
 
   @Test
-  void answersAreNotOlderThanWhatTheControllerKnows() {
-    List<String> older = new ArrayList<>();
-    int told = 0;
-    int unknown = 0;
+  void answersAreNotOlderThanStateReplica() {
+    List<String> staleAnswers = new ArrayList<>();
+    int answersWithState = 0;
+    int notFoundAnswers = 0;
     for (long seed = 801; seed <= 800 + HISTORIES; seed++) {
       for (Answer answer : answersAroundAcceptance(seed)) {
-        told += answer.response().state() == null ? 0 : 1;
-        unknown += answer.response().status() == 404 ? 1 : 0;
-        if (answer.isOlderThanKnown()) {
-          older.add("seed " + seed + ": " + answer.response());
+        answersWithState += answer.response().state() == null ? 0 : 1;
+        notFoundAnswers += answer.response().status() == 404 ? 1 : 0;
+        if (answer.isOlderThanReplica()) {
+          staleAnswers.add("seed " + seed + ": " + answer.response());
         }
       }
     }
-    assertEquals(List.of(), older);
-    assertTrue(told > HISTORIES, "answers with a state: " + told);
-    assertTrue(unknown > 0, "questions before the acceptance are answered 404");
+    assertEquals(List.of(), staleAnswers);
+    assertTrue(answersWithState > HISTORIES, "answers with a state: " + answersWithState);
+    assertTrue(notFoundAnswers > 0, "queries before the acceptance are answered 404");
   }
 }
--- a/src/test/java/mallowstall/core/AnswersOnTheirWayTest.java
+++ b/src/test/java/mallowstall/core/AnswersOnTheirWayTest.java
@@ -10,8 +10,9 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Guards against a refusal that reaches its user after the job's end was told (forgotten), and
- * against answers that are late on their way after they have left (forgotten, went_back).
+ * Guards against a rejection that reaches its user after the job's end was reported (violation
+ * "forgotten"), and against answers that the network delays after they have left their process
+ * (violations "forgotten" and "went_back").
  */
 class AnswersOnTheirWayTest {
   private static final String ASKED = ForcedHistory.ASKED;
@@ -21,10 +22,10 @@
     return new ForcedHistory(seed, runMs, LateAnswersTest::write);
   }
 
-  /** The lease holds back "pending", but not "cancelled" or "done" of the same job. */
+  /** A lease on the job's absence delays the report "pending", but not "cancelled" or "done". */
   @ParameterizedTest
   @EnumSource(names = {"QUERY", "CANCELLATION", "MALFORMED_SUBMISSION", "IMPOSSIBLE_SUBMISSION"})
-  void cancelledIsToldDuringALease(UserRequest request) {
+  void cancellationIsReportedDuringLease(UserRequest request) {
     HistoryTally tally = new HistoryTally();
     for (int i = 0; i < 10; i++) {
       ForcedHistory history = history(30_000 + i, 300_000);
@@ -43,10 +44,12 @@
     tally.assertNoneBroken();
   }
 
-  /** As before, by the job's last task. */
+  /**
+   * The job ends with its last task while a lease on its absence holds, and is reported as done.
+   */
   @ParameterizedTest
   @EnumSource(names = {"CANCELLATION", "MALFORMED_SUBMISSION", "IMPOSSIBLE_SUBMISSION"})
-  void doneIsToldDuringALease(UserRequest request) {
+  void completionIsReportedDuringLease(UserRequest request) {
     HistoryTally tally = new HistoryTally();
     for (int i = 0; i < 20; i++) {
       ForcedHistory history = history(31_000 + i, 300);
@@ -62,7 +65,7 @@
     tally.assertNoneBroken();
   }
 
-  /** The refusal has left its process in time, and TCP delivers it late. */
+  /** The rejection has left its process in time, and TCP delivers it late. */
   @ParameterizedTest
   @EnumSource(names = {"QUERY", "CANCELLATION", "MALFORMED_SUBMISSION", "IMPOSSIBLE_SUBMISSION"})
   void refusalThatArrivesLate(UserRequest request) {
@@ -75,7 +78,7 @@
               32_000 + i,
               300_000,
               (process, decided, user) ->
-                  LateAnswersTest.write(process, decided, delayRefusals(holder, user, delayMs)));
+                  LateAnswersTest.write(process, decided, delayRejections(holder, user, delayMs)));
       holder[0] = history;
       history.delayLeases(0);
       tally.add(history, history.askThenSubmit(request, 130));
@@ -83,12 +86,12 @@
     tally.assertNoneBroken();
   }
 
-  private static Consumer<ApiResponse> delayRefusals(
+  private static Consumer<ApiResponse> delayRejections(
       ForcedHistory[] holder, Consumer<ApiResponse> user, long delayMs) {
     return response -> {
       boolean refusal = response.status() >= 400 && response.status() < 500;
       if (refusal) {
-        holder[0].trace("a refusal has left its process, late on its way");
+        holder[0].trace("a rejection has left its process, and its delivery is delayed");
         holder[0].simulation.schedule(delayMs, () -> user.accept(response));
       } else {
         user.accept(response);
@@ -96,7 +99,10 @@
     };
   }
 
-  /** Open state that is late on its way only, after its process has acknowledged the end. */
+  /**
+   * The network alone delays an answer with an open state, which arrives after its process has
+   * acknowledged the job's end.
+   */
   @Test
   void openStateThatArrivesLate() {
     HistoryTally tally = new HistoryTally();
@@ -115,7 +121,8 @@
                         if (holder[0].nowMs() > 14_000
                             && List.of("pending", "running")
                                 .contains(String.valueOf(response.state()))) {
-                          holder[0].trace("an open state has left its process");
+                          holder[0].trace(
+                              "an open state has left its process, and its delivery is delayed");
                           holder[0].simulation.schedule(delayMs, () -> user.accept(response));
                         } else {
                           user.accept(response);
--- a/src/test/java/mallowstall/core/CancellationInOutageTest.java
+++ b/src/test/java/mallowstall/core/CancellationInOutageTest.java
@@ -13,49 +13,66 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A cancellation that the leader of the job cannot read before the state service fails for all. */
+/**
+ * Guards against tasks that run on after a confirmed cancellation. The leader of their machines
+ * cannot read the cancellation, as it loses the state service before, and then the state service
+ * fails for all controllers.
+ */
 class CancellationInOutageTest {
   private static final String CANCELLED_JOB = "wk-000001";
 
   private static final String OTHER_JOB = "wk-000002";
 
-  /** Histories of each case in which the faults meet, and the most seeds tried to find them. */
+  /**
+   * Number of histories of each case in which the faults coincide, and the maximum number of seeds
+   * that are tried to find them.
+   */
   private static final int HISTORIES = 3;
 
   private static final int SEEDS_MAX = 6;
 
-  /** What else happens before the outage. */
+  /** A fault that is added before the outage. */
   enum AdditionalFault {
     NOTHING,
-    /** The confirmer crashes as soon as it has answered, and restarts at once. */
-    CONFIRMER_BACK_AT_ONCE,
-    /** The confirmer crashes as soon as it has answered, for good. */
+    /**
+     * The controller that confirmed the cancellation crashes after its answer and restarts at once.
+     */
+    CONFIRMER_RESTARTED,
+    /** The confirmer crashes after its answer and does not restart. */
     CONFIRMER_GONE,
-    /** All its messages to the leader are delayed by 60 s. */
+    /** All messages of the confirmer to the leader are delayed by 60 s. */
     WORDS_HELD_BACK,
-    /** All its messages arrive 30 s late: those sent before the cancellation look new. */
+    /**
+     * All messages of the confirmer to the leader are delayed by 30 s, so that messages from before
+     * the cancellation look new.
+     */
     WORDS_LATE,
-    /** Its messages are delayed and it crashes. */
+    /**
+     * The messages of the confirmer to the leader are delayed by 60 s and the confirmer crashes.
+     */
     WORDS_HELD_BACK_AND_GONE,
-    /** The recorded cancellation is confirmed only when asked for again, in the outage. */
-    CONFIRMED_FROM_MEMORY,
+    /**
+     * The cancellation is recorded before the outage, and the confirmer confirms it only when the
+     * request is repeated during the outage.
+     */
+    CONFIRMED_DURING_OUTAGE,
     /** Half of the machines are unreachable for 8 s. */
     MACHINES_UNREACHABLE
   }
 
   /**
-   * The state service refuses the leader alone, another controller confirms a cancellation, then
-   * the service is down for all for longer than a cancellation may take, while workers go on
-   * sending heartbeats to the leader. The tasks are stopped in time all the same; tasks of other
-   * jobs run on unless the leader is cut off from the confirmer.
+   * The state service is unreachable for one machine leader, and another controller confirms a
+   * cancellation. Then the state service is down for all controllers for longer than a cancellation
+   * may take, while workers go on sending heartbeats to the leader. The tasks are stopped in time
+   * nevertheless. Tasks of other jobs run on unless the leader is cut off from the confirmer.
    */
   @ParameterizedTest
   @EnumSource(AdditionalFault.class)
-  void cancellationHoldsWhenLeaderCannotReadIt(AdditionalFault besides) {
+  void cancellationStopsTasksWhenLeaderCannotReadIt(AdditionalFault fault) {
     for (long gap : new long[] {200, 900, 2_000}) {
       int histories = 0;
       for (long seed = 1; histories < HISTORIES; seed++) {
-        assertTrue(seed <= SEEDS_MAX, "the faults hardly ever meet: " + besides + ", gap " + gap);
+        assertTrue(seed <= SEEDS_MAX, "the faults rarely coincide: " + fault + ", gap " + gap);
         Simulation sim = new Simulation(100 + seed);
         sim.taskRunMs = 400_000;
         sim.runUntil(8_000);
@@ -68,24 +85,24 @@
         SimulatedController confirmer = sim.controllers.get(leader.name.equals("n1") ? "n2" : "n1");
         leader.stateServiceUnreachable = true;
         sim.runUntil(sim.nowMs + 120);
-        if (besides.name().startsWith("WORDS")) {
-          sim.partitionDelayMs = besides == AdditionalFault.WORDS_LATE ? 30_000 : 60_000;
+        if (fault.name().startsWith("WORDS")) {
+          sim.partitionDelayMs = fault == AdditionalFault.WORDS_LATE ? 30_000 : 60_000;
           confirmer.partitionedPeers.put(leader.name, true);
         }
-        long confirmed = confirmCancellation(sim, confirmer, besides, gap);
-        sim.runUntil(confirmed + 7_000);
+        long confirmedMs = confirmCancellation(sim, confirmer, fault, gap);
+        sim.runUntil(confirmedMs + 7_000);
         if (!hasWorkers(sim, leader)) {
-          continue; // by chance all have turned to others: the faults don't meet
+          continue; // by chance all workers have switched controllers: the faults don't coincide
         }
         histories++;
-        checkOutage(sim, leader, besides, confirmed, besides + ", gap " + gap + ", seed " + seed);
+        checkOutage(sim, leader, fault, confirmedMs, fault + ", gap " + gap + ", seed " + seed);
         sim.stateService.endOutage();
         leader.stateServiceUnreachable = false;
         confirmer.partitionedPeers.clear();
         sim.runUntil(sim.nowMs + 90_000);
         assertEquals(List.of(), sim.checker.violations);
         assertEquals(0, sum(runningTasksByLeader(sim, CANCELLED_JOB)));
-        assertTrue(sum(runningTasksByLeader(sim, OTHER_JOB)) > 0, "the other job is run again");
+        assertTrue(sum(runningTasksByLeader(sim, OTHER_JOB)) > 0, "the other job runs again");
         assertEquals(JobOutcome.CANCELLED, sim.jobEntry(CANCELLED_JOB).outcome());
       }
     }
@@ -96,21 +113,24 @@
         .anyMatch(worker -> worker.controllerName.equals(node.name));
   }
 
-  /** The leader of most of the machines that run the job. */
-  private static String leaderOfMost(Map<String, Integer> machines) {
+  /** Returns the controller that leads the machines with most of the running tasks of the job. */
+  private static String leaderOfMost(Map<String, Integer> tasksByLeader) {
     String most = "n0";
-    for (String node : machines.keySet()) {
-      if (machines.get(node) > machines.getOrDefault(most, 0)) {
+    for (String node : tasksByLeader.keySet()) {
+      if (tasksByLeader.get(node) > tasksByLeader.getOrDefault(most, 0)) {
         most = node;
       }
     }
     return most;
   }
 
-  /** Has the cancellation confirmed and then the outage begin; returns when it was confirmed. */
+  /**
+   * Cancels the job at the confirmer and starts the outage. Returns the time of the confirmation in
+   * milliseconds.
+   */
   private static long confirmCancellation(
-      Simulation sim, SimulatedController confirmer, AdditionalFault besides, long gap) {
-    if (besides == AdditionalFault.CONFIRMED_FROM_MEMORY) {
+      Simulation sim, SimulatedController confirmer, AdditionalFault fault, long gap) {
+    if (fault == AdditionalFault.CONFIRMED_DURING_OUTAGE) {
       sim.checker.onCancelRequested(CANCELLED_JOB);
       confirmer.enqueueEvent(() -> confirmer.core.cancel(CANCELLED_JOB, answer -> {}));
       sim.runUntil(sim.nowMs + gap);
@@ -120,19 +140,19 @@
       return sim.nowMs;
     }
     assertEquals("cancelled", cancelAt(sim, confirmer, CANCELLED_JOB).state());
-    long confirmed = sim.nowMs;
-    if (besides == AdditionalFault.CONFIRMER_BACK_AT_ONCE) {
+    long confirmedMs = sim.nowMs;
+    if (fault == AdditionalFault.CONFIRMER_RESTARTED) {
       confirmer.crash(150);
     }
-    if (besides.name().endsWith("GONE")) {
+    if (fault.name().endsWith("GONE")) {
       confirmer.crash(500_000);
     }
-    if (besides == AdditionalFault.MACHINES_UNREACHABLE) {
+    if (fault == AdditionalFault.MACHINES_UNREACHABLE) {
       partitionEverySecondMachine(sim, 8_000);
     }
     sim.runUntil(sim.nowMs + gap);
     sim.stateService.outage = true;
-    return confirmed;
+    return confirmedMs;
   }
 
   private static void partitionEverySecondMachine(Simulation sim, long ms) {
@@ -148,20 +168,20 @@
   private static void checkOutage(
       Simulation sim,
       SimulatedController leader,
-      AdditionalFault besides,
-      long confirmed,
-      String what) {
-    // the faults did meet: the leader can't read the cancellation, and workers send it heartbeats
+      AdditionalFault fault,
+      long confirmedMs,
+      String caseName) {
+    // the faults coincide: the leader can't read the cancellation, and workers send it heartbeats
     assertEquals(JobOutcome.NONE, leader.core.store().job(CANCELLED_JOB).outcome());
     assertTrue(hasWorkers(sim, leader));
-    sim.runUntil(confirmed + Simulation.CANCEL_MS - 100);
-    assertEquals(0, sum(runningTasksByLeader(sim, CANCELLED_JOB)), what);
+    sim.runUntil(confirmedMs + Simulation.CANCEL_MS - 100);
+    assertEquals(0, sum(runningTasksByLeader(sim, CANCELLED_JOB)), caseName);
     boolean confirmerReachable =
-        besides == AdditionalFault.NOTHING || besides == AdditionalFault.CONFIRMED_FROM_MEMORY;
+        fault == AdditionalFault.NOTHING || fault == AdditionalFault.CONFIRMED_DURING_OUTAGE;
     if (confirmerReachable) {
       assertEquals(6, sum(runningTasksByLeader(sim, OTHER_JOB)), "unrelated tasks run on");
     }
-    sim.runUntil(confirmed + Simulation.CANCEL_MS + 15_000);
+    sim.runUntil(confirmedMs + Simulation.CANCEL_MS + 15_000);
     if (confirmerReachable) {
       assertEquals(6, sum(runningTasksByLeader(sim, OTHER_JOB)), "unrelated tasks run on");
     }
--- a/src/test/java/mallowstall/core/CombinedFaultsTest.java
+++ b/src/test/java/mallowstall/core/CombinedFaultsTest.java
@@ -9,14 +9,14 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Faults that meet, each combination brought about on simulated time. Every case first shows that
- * its faults did meet. The arguments stand in docs/design.md, "When troubles meet".
+ * Tests combinations of faults that coincide, on simulated time. Every case first verifies that its
+ * faults did coincide. The reasoning is in docs/design.md, "When troubles meet".
  */
 class CombinedFaultsTest {
-  /** Six jobs run, two of them of a team at its quota, when the faults meet. */
+  /** Six jobs run when the faults coincide; two of the jobs belong to a team at its quota. */
   @ParameterizedTest
   @EnumSource(FaultCombination.class)
-  void invariantsHold(FaultCombination combination) {
+  void invariantsHoldWhenFaultsCoincide(FaultCombination combination) {
     for (long seed = 1; seed <= 3; seed++) {
       Simulation sim = new Simulation(200 + seed);
       sim.taskRunMs = 25_000;
@@ -26,7 +26,7 @@
             batchJob("wk-00000" + i).tasks(i > 4 ? 9 : 4).team(i > 4 ? "tight" : "free").build());
       }
       sim.runUntil(18_000);
-      assertTrue(sim.checker.startCount > 8, "work is under way");
+      assertTrue(sim.checker.startCount > 8, "tasks have been started");
       assertTrue(combination.inject(sim), combination + " took place, seed " + seed);
       sim.taskRunMs = 3_000;
       sim.checker.faultsEndedMs = sim.nowMs;
--- a/src/test/java/mallowstall/core/DelayedRequestsTest.java
+++ b/src/test/java/mallowstall/core/DelayedRequestsTest.java
@@ -19,22 +19,26 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Requests of users and controllers that are overtaken: by a restart, by a cancellation, or by a
- * newer session.
+ * Guards against stale results of delayed requests of users and controllers. Before the delayed
+ * request completes, a controller restarts, a job is cancelled or a newer session is written.
  */
 class DelayedRequestsTest {
   private static final String CANCELLED_JOB = "wk-000001";
 
-  /** ms. A query to the peers may wait for the one before, and both ways may be slow. */
-  private static final long PEERS_ASKED_WITHIN_MS = 500;
+  /**
+   * Maximum time of an acceptance query in milliseconds. The query may wait for the previous one,
+   * and messages may be slow in both directions.
+   */
+  private static final long PEERS_QUERIED_WITHIN_MS = 500;
 
   /**
-   * A controller's former incarnation asked for its session, without an answer; it is carried out
-   * after the new process has its own, and ends with the former one's lease. The new one must not
-   * go on renewing a lease without a session, as all others would take it for dead.
+   * The former incarnation of a controller sent its session write and received no response. The
+   * state service executes the write after the new process has its own session, and the entry
+   * expires with the former incarnation's lease. The new process must not go on renewing a lease
+   * without a session entry, as all other controllers would consider it dead.
    */
   @Test
-  void delayedSessionWriteReplacesNoNewerSession() {
+  void controllerRestoresSessionReplacedByDelayedWrite() {
     Simulation sim = new Simulation(120);
     sim.runUntil(8_000);
     SimulatedController node = sim.controllers.get("n1");
@@ -45,20 +49,20 @@
       sim.runUntil(sim.nowMs + 10);
     }
     assertTrue(sim.stateService.leases.containsKey(lease), "the former lease hasn't ended yet");
-    // as a former version would have asked for it, compared with nothing
-    PutOperation late =
+    // a former version wrote its session entry without a condition
+    PutOperation delayedWrite =
         new PutOperation(StateKeys.session("n1"), new SessionEntry("n1", former), lease);
-    sim.stateService.transact(new Transaction(List.of(), List.of(late), List.of()));
+    sim.stateService.transact(new Transaction(List.of(), List.of(delayedWrite), List.of()));
     long until = sim.nowMs + 12_000;
-    boolean lost = false;
+    boolean replaced = false;
     while (sim.nowMs < until) {
       sim.runUntil(sim.nowMs + 50);
-      lost |= !sim.stateService.entries.containsKey(StateKeys.session("n1"));
+      replaced |= !sim.stateService.entries.containsKey(StateKeys.session("n1"));
       SimulatedStateService.StoredValue value =
           sim.stateService.entries.get(StateKeys.session("n1"));
-      lost |= value != null && ((SessionEntry) value.value()).incarnation() == former;
+      replaced |= value != null && ((SessionEntry) value.value()).incarnation() == former;
     }
-    assertTrue(lost, "it was replaced");
+    assertTrue(replaced, "the new session entry was replaced");
     SimulatedStateService.StoredValue now = sim.stateService.entries.get(StateKeys.session("n1"));
     assertEquals(node.core.incarnation(), ((SessionEntry) now.value()).incarnation());
     assertTrue(sim.stateService.leases.containsKey(now.leaseId()));
@@ -68,14 +72,17 @@
     assertEquals("done", sim.checker.lastState(CANCELLED_JOB));
   }
 
-  /** What this version asks for is compared with what was read, so the late one fails. */
+  /**
+   * This version writes a session entry on the condition that the entry has the version that was
+   * read, so that a delayed write fails.
+   */
   @Test
   void sessionWriteIsConditionalOnReadVersion() {
     Simulation sim = new Simulation(121);
     sim.runUntil(8_000);
-    List<Transaction> asked = sim.stateService.receivedTransactions;
+    List<Transaction> transactions = sim.stateService.receivedTransactions;
     assertTrue(
-        asked.stream()
+        transactions.stream()
             .filter(
                 transaction ->
                     transaction.puts().stream()
@@ -86,13 +93,14 @@
                         .anyMatch(
                             condition -> condition.key().startsWith(StateKeys.SESSION_PREFIX))));
     assertTrue(
-        asked.stream()
+        transactions.stream()
             .anyMatch(t -> t.puts().stream().anyMatch(p -> p.value() instanceof SessionEntry)));
   }
 
   /**
-   * A submission whose answer comes after the controller stood still must not call pending what
-   * others have called cancelled meanwhile; a repeated submission is never rejected.
+   * A controller receives the state service's response to a submission 3.5 s late. It must not
+   * report the job as pending, as another controller has reported it as cancelled meanwhile. A
+   * repeated submission is never rejected.
    */
   @Test
   void delayedSubmitResponseReportsCurrentState() {
@@ -119,7 +127,10 @@
     assertEquals(200, responses.get(1).status());
   }
 
-  /** Invalid, but accepted all the same, as by another version: its state is reported. */
+  /**
+   * An invalid submission of an accepted job, which another version may have accepted, is answered
+   * with the state of the job.
+   */
   @Test
   void resubmittingAcceptedJobIsNeverRejected() {
     Simulation sim = new Simulation(123);
@@ -130,8 +141,8 @@
     for (SimulatedController node : sim.controllers.values()) {
       for (String id : List.of(CANCELLED_JOB, "wk-000777")) {
         List<ApiResponse> responses = new ArrayList<>();
-        JobSpec never = batchJob(id).tasks(1).cpus(99).build();
-        node.enqueueEvent(() -> node.core.submit(never, responses::add));
+        JobSpec infeasible = batchJob(id).tasks(1).cpus(99).build();
+        node.enqueueEvent(() -> node.core.submit(infeasible, responses::add));
         sim.runUntil(sim.nowMs + 1_000);
         node.enqueueEvent(
             () -> node.core.rejectSubmission(id, "oficio must be batch", responses::add));
@@ -140,7 +151,7 @@
         assertEquals(id.equals(CANCELLED_JOB) ? 200 : 400, responses.get(1).status());
       }
     }
-    // also while the state service can't be asked, once all peers have been
+    // also during an outage of the state service, once all peers have replied
     sim.stateService.outage = true;
     sim.runUntil(sim.nowMs + 5_000);
     List<ApiResponse> responses = new ArrayList<>();
@@ -148,7 +159,7 @@
     controller.enqueueEvent(
         () ->
             controller.core.rejectSubmission("wk-000778", "oficio must be batch", responses::add));
-    sim.runUntil(sim.nowMs + PEERS_ASKED_WITHIN_MS);
+    sim.runUntil(sim.nowMs + PEERS_QUERIED_WITHIN_MS);
     assertEquals(1, responses.size(), "answered once, and at once");
     assertEquals(400, responses.get(0).status());
     controller.enqueueEvent(
@@ -160,11 +171,12 @@
   }
 
   /**
-   * The state service answers slowly while a user asks at one controller and cancels at another:
-   * the question, read before the cancellation, is answered after it was confirmed.
+   * The state service responds slowly to one controller. A user queries the job there and cancels
+   * it at another controller. The read of the query is executed before the cancellation, and the
+   * query is answered after the cancellation was confirmed.
    */
   @Test
-  void queryOvertakenByCancellationReportsNoOlderState() {
+  void queryDelayedPastCancellationReportsNoStaleState() {
     for (long lag : new long[] {300, 600, 900}) {
       Simulation sim = new Simulation(124);
       sim.taskRunMs = 100_000;
@@ -174,30 +186,30 @@
       SimulatedController slow = sim.controllers.get("n0");
       slow.stateDelayMs = lag;
       sim.checker.onCancelRequested(CANCELLED_JOB);
-      List<ApiResponse> asked = new ArrayList<>();
+      List<ApiResponse> queryAnswers = new ArrayList<>();
       List<ApiResponse> cancelled = new ArrayList<>();
-      slow.enqueueEvent(() -> slow.core.query(CANCELLED_JOB, asked::add));
+      slow.enqueueEvent(() -> slow.core.query(CANCELLED_JOB, queryAnswers::add));
       sim.runUntil(sim.nowMs + 30);
       SimulatedController fast = sim.controllers.get("n1");
       fast.enqueueEvent(() -> fast.core.cancel(CANCELLED_JOB, cancelled::add));
       sim.runUntil(sim.nowMs + 150);
       assertEquals("cancelled", cancelled.get(0).state());
-      assertEquals(List.of(), asked, "not answered yet");
+      assertEquals(List.of(), queryAnswers, "not answered yet");
       sim.runUntil(sim.nowMs + 1_500);
       assertTrue(
-          asked.get(0).status() == 503 || asked.get(0).state().equals("cancelled"),
-          lag + ": " + asked.get(0));
+          queryAnswers.get(0).status() == 503 || queryAnswers.get(0).state().equals("cancelled"),
+          lag + ": " + queryAnswers.get(0));
     }
   }
 
   /**
-   * A job is cancelled while its tasks wait for their image: hardly one of them begins after the
-   * confirmation, as the stop does not wait for the next heartbeat.
+   * A job is cancelled while its tasks fetch their image. Fewer than a tenth of them start after
+   * the confirmation, as the stop command does not wait for the next heartbeat.
    */
   @Test
-  void fetchingTasksDoNotStartAfterCancellation() {
-    int waiting = 0;
-    int begun = 0;
+  void fewFetchingTasksStartAfterCancellation() {
+    int fetching = 0;
+    int started = 0;
     for (long seed = 0; seed < 12; seed++) {
       Simulation sim = new Simulation(140 + seed);
       sim.runUntil(8_000);
@@ -212,15 +224,15 @@
       for (SimulatedWorker worker : sim.workers.values()) {
         for (SimulatedTask task : worker.tasks.values()) {
           if (task.state == TaskState.FETCHING) {
-            waiting++;
+            fetching++;
           }
         }
       }
       sim.runUntil(sim.nowMs + 10_000);
-      begun += sim.checker.startsAfterCancelCount;
+      started += sim.checker.startsAfterCancelCount;
       assertEquals(List.of(), sim.checker.violations);
     }
-    assertTrue(waiting > 40, "waited: " + waiting);
-    assertTrue(begun * 10 < waiting, "of " + waiting + " that waited, begun: " + begun);
+    assertTrue(fetching > 40, "fetching: " + fetching);
+    assertTrue(started * 10 < fetching, "of " + fetching + " fetching tasks, started: " + started);
   }
 }
--- a/src/test/java/mallowstall/core/EndedJobAnswersTest.java
+++ b/src/test/java/mallowstall/core/EndedJobAnswersTest.java
@@ -16,32 +16,42 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against an open state that one controller tells after another has told the job's end
- * (went_back): the answer rests on a read that was made before the end and came back slowly.
+ * Guards against an open state that one controller reports after another controller has reported
+ * the job's end (violation "went_back"). The answer rests on a read that the state service executed
+ * before the end and whose response arrived late.
  */
 class EndedJobAnswersTest {
   private static final String JOB = "wk-000001";
 
-  /** What the state service answers the asked controller comes so much later. */
-  private static final long SLOW_ANSWERS_MS = 800;
+  /** Delay of the state service's responses to the queried controller, in milliseconds. */
+  private static final long READ_DELAY_MS = 800;
 
-  /** Between the question and the job's end: enough for the question's read to be made. */
+  /**
+   * Time between a query and the job's end, in milliseconds. The state service executes the read of
+   * the query within this time.
+   */
   private static final long READ_MADE_MS = 30;
 
-  /** One exchange with every peer, slow ones included, beside the transaction or the read. */
+  /**
+   * Maximum time in milliseconds of one exchange with every peer, slow peers included, and of the
+   * transaction or read.
+   */
   private static final long ACKNOWLEDGED_WITHIN_MS = 700;
 
-  /** A read's life, with margins, and the transaction. */
+  /** Time for which a read counts, with margins, and time of the transaction, in milliseconds. */
   private static final long SETTLED_WITHIN_MS = 1_050 + 700;
 
   private static final long RUN_MS = 300_000;
 
-  /** Just late enough for a cancellation to be told before, by other controllers' usual speed. */
+  /**
+   * Returns a delay of a read response in milliseconds. It is just long enough for another
+   * controller of usual speed to report a cancellation before the response arrives.
+   */
   private static long delayPastCancellation(long seed) {
     return READ_MADE_MS + 5 * (seed % 20);
   }
 
-  /** An answer and when it was sent. */
+  /** An answer to a user, and the simulated time at which it was sent, in milliseconds. */
   private record TimedAnswer(ApiResponse response, long atMs) {}
 
   private static Simulation runJob(Simulation sim, long runMs) {
@@ -78,18 +88,21 @@
     return answers;
   }
 
-  /** Both were answered and the rules are kept; ms from the request until the end was told. */
-  private static void assertTold(
-      Simulation sim, List<TimedAnswer> told, String state, long askedMs, long withinMs) {
-    assertEquals(1, told.size(), "answered once");
-    assertEquals(state, told.get(0).response().state());
-    long took = told.get(0).atMs() - askedMs;
-    assertTrue(took <= withinMs, "told after " + took + " ms");
+  /**
+   * Asserts that the request was answered once, with the state, at most {@code withinMs} after it
+   * was sent, and that no invariant was violated.
+   */
+  private static void assertReported(
+      Simulation sim, List<TimedAnswer> answers, String state, long askedMs, long withinMs) {
+    assertEquals(1, answers.size(), "answered once");
+    assertEquals(state, answers.get(0).response().state());
+    long tookMs = answers.get(0).atMs() - askedMs;
+    assertTrue(tookMs <= withinMs, "reported after " + tookMs + " ms");
     assertEquals(List.of(), sim.checker.violations);
   }
 
-  /** A question whose read is made before the cancellation, and answered after. */
-  private static List<TimedAnswer> askSlowly(
+  /** Sends a query and runs until its read is executed; the response comes {@code delayMs} late. */
+  private static List<TimedAnswer> queryWithDelayedRead(
       Simulation sim, SimulatedController asked, long delayMs) {
     asked.stateDelayMs = delayMs;
     List<TimedAnswer> answers = query(sim, asked);
@@ -97,66 +110,72 @@
     return answers;
   }
 
-  /** The job is cancelled after a slow question's read; both are answered, in an allowed order. */
-  private static void assertCancelledAfterSlowQuestion(
+  /**
+   * Cancels the job after the read of a query with a delayed read response. Asserts that both
+   * requests are answered and that the order of the answers violates no invariant.
+   */
+  private static void assertCancelledAfterDelayedQuery(
       Simulation sim, SimulatedController asked, long delayMs, long withinMs) {
-    List<TimedAnswer> slow = askSlowly(sim, asked, delayMs);
+    List<TimedAnswer> slow = queryWithDelayedRead(sim, asked, delayMs);
     long askedMs = sim.nowMs;
     List<TimedAnswer> cancelled = cancel(sim, sim.controllers.get("n2"));
     sim.runUntil(sim.nowMs + 4_000);
-    assertTold(sim, cancelled, "cancelled", askedMs, withinMs);
+    assertReported(sim, cancelled, "cancelled", askedMs, withinMs);
     assertEquals(1, slow.size());
   }
 
   @Test
-  void noOpenStateAfterACancellationIsTold() {
+  void noOpenStateAfterCancellationIsReported() {
     for (long seed = 601; seed <= 640; seed++) {
       Simulation sim = runJob(new Simulation(seed), RUN_MS);
-      assertCancelledAfterSlowQuestion(
+      assertCancelledAfterDelayedQuery(
           sim, sim.controllers.get("n1"), delayPastCancellation(seed), ACKNOWLEDGED_WITHIN_MS);
     }
   }
 
   @Test
-  void noOpenStateAfterDoneIsTold() {
-    int toldBeforeTheSlowAnswer = 0;
+  void noOpenStateAfterCompletionIsReported() {
+    int reportedBeforeDelayedAnswer = 0;
     for (long seed = 641; seed <= 680; seed++) {
       Simulation sim = runJob(new Simulation(seed), 4_000);
       while (sim.checker.remainingTasks(JOB) > 0 && sim.nowMs < 60_000) {
         sim.runUntil(sim.nowMs + 5);
       }
-      // the task has ended, which its leader hasn't recorded yet
-      List<TimedAnswer> slow = askSlowly(sim, sim.controllers.get("n1"), SLOW_ANSWERS_MS);
+      // the task has ended, and the job leader hasn't recorded the end yet
+      List<TimedAnswer> slow = queryWithDelayedRead(sim, sim.controllers.get("n1"), READ_DELAY_MS);
       long end = sim.nowMs + 2_000;
-      List<TimedAnswer> told = List.of();
+      List<TimedAnswer> doneAnswers = List.of();
       while (sim.nowMs < end
-          && (told.isEmpty() || !"done".equals(told.get(0).response().state()))) {
-        told = query(sim, sim.controllers.get("n0"));
+          && (doneAnswers.isEmpty() || !"done".equals(doneAnswers.get(0).response().state()))) {
+        doneAnswers = query(sim, sim.controllers.get("n0"));
         sim.runUntil(sim.nowMs + 100);
       }
-      toldBeforeTheSlowAnswer += slow.isEmpty() && !told.isEmpty() ? 1 : 0;
+      reportedBeforeDelayedAnswer += slow.isEmpty() && !doneAnswers.isEmpty() ? 1 : 0;
       sim.runUntil(sim.nowMs + 3_000);
       assertEquals(List.of(), sim.checker.violations, "seed " + seed);
       assertEquals("done", sim.checker.lastState(JOB));
     }
-    assertTrue(toldBeforeTheSlowAnswer > 0, "the order of events took place in no history");
+    assertTrue(reportedBeforeDelayedAnswer > 0, "no history had this order of events");
   }
 
-  /** A peer that can't be reached answers by its old read until that is too old. */
+  /**
+   * A peer that can't be reached may answer users from a read before the cancellation until the
+   * read is too old. The confirmation waits for that long.
+   */
   @Test
-  void silentPeerIsWaitedForAsLongAsItsReadsLive() {
+  void cancellationWaitsForReadsOfUnreachablePeersToExpire() {
     for (long seed = 681; seed <= 700; seed++) {
       Simulation sim = runJob(new Simulation(seed), RUN_MS);
       sim.partitionDelayMs = 60_000;
       sim.partitionPeers();
-      assertCancelledAfterSlowQuestion(
-          sim, sim.controllers.get("n1"), SLOW_ANSWERS_MS, SETTLED_WITHIN_MS);
+      assertCancelledAfterDelayedQuery(
+          sim, sim.controllers.get("n1"), READ_DELAY_MS, SETTLED_WITHIN_MS);
     }
   }
 
-  /** A peer that stood still answers 503 when it wakes, since its read is too old. */
+  /** A peer that was paused answers 503 after the pause, since its read is too old. */
   @Test
-  void pausedPeerTellsNothingOldWhenItWakes() {
+  void pausedPeerReportsNoStaleStateAfterPause() {
     for (long pauseMs : new long[] {500, 900, 1_100, 1_500, 3_000}) {
       Simulation sim = runJob(new Simulation(701), RUN_MS);
       SimulatedController paused = sim.controllers.get("n1");
@@ -166,14 +185,17 @@
       long askedMs = sim.nowMs;
       List<TimedAnswer> cancelled = cancel(sim, sim.controllers.get("n2"));
       sim.runUntil(sim.nowMs + 6_000);
-      assertTold(sim, cancelled, "cancelled", askedMs, SETTLED_WITHIN_MS);
+      assertReported(sim, cancelled, "cancelled", askedMs, SETTLED_WITHIN_MS);
       assertEquals(1, slow.size());
     }
   }
 
-  /** A controller of the version before neither sends nor gets these messages. */
+  /**
+   * A controller of an older version neither sends nor receives announcements of outcomes and their
+   * acknowledgements.
+   */
   @Test
-  void olderVersionIsWaitedForAsLongAsItsReadsLive() {
+  void cancellationWaitsForReadsOfOlderVersionToExpire() {
     for (int version : new int[] {ProgramVersion.UNKNOWN, ProgramVersion.WITH_SERVICES}) {
       for (long seed = 711; seed <= 740; seed++) {
         Simulation sim = new Simulation(seed);
@@ -181,18 +203,20 @@
         old.installedVersion = version;
         old.crash(100);
         runJob(sim, RUN_MS);
-        assertCancelledAfterSlowQuestion(sim, old, delayPastCancellation(seed), SETTLED_WITHIN_MS);
+        assertCancelledAfterDelayedQuery(sim, old, delayPastCancellation(seed), SETTLED_WITHIN_MS);
       }
     }
   }
 
-  /** Repeated at every controller, the cancellation is confirmed by all, and by none too early. */
+  /**
+   * A cancellation that is repeated at several controllers is confirmed by all, by none too early.
+   */
   @Test
   void repeatedCancellationIsConfirmedEverywhere() {
     for (long seed = 721; seed <= 740; seed++) {
       Simulation sim = runJob(new Simulation(seed), RUN_MS);
       List<TimedAnswer> slow =
-          askSlowly(sim, sim.controllers.get("n1"), delayPastCancellation(seed));
+          queryWithDelayedRead(sim, sim.controllers.get("n1"), delayPastCancellation(seed));
       long askedMs = sim.nowMs;
       List<List<TimedAnswer>> confirmations = new ArrayList<>();
       for (String node : List.of("n2", "n0", "n2")) {
@@ -201,31 +225,31 @@
       }
       sim.runUntil(sim.nowMs + 3_000);
       for (List<TimedAnswer> confirmation : confirmations) {
-        assertTold(sim, confirmation, "cancelled", askedMs, SETTLED_WITHIN_MS);
+        assertReported(sim, confirmation, "cancelled", askedMs, SETTLED_WITHIN_MS);
       }
       assertEquals(1, slow.size());
     }
   }
 
-  /** A state service that is slow for all still lets questions be answered. */
+  /** Some queries are answered with a state while the state service is slow for all controllers. */
   @Test
-  void slowStateServiceStillAnswersQuestions() {
+  void queriesAreAnsweredWhileStateServiceIsSlow() {
     Simulation sim = runJob(new Simulation(751), RUN_MS);
     sim.maxStateDelayMs = 1_400;
     cancel(sim, sim.controllers.get("n2"));
-    int told = 0;
+    int answersWithState = 0;
     for (int i = 0; i < 15; i++) {
       List<TimedAnswer> answers = query(sim, sim.controllers.get("n" + i % 3));
       sim.runUntil(sim.nowMs + 5_000);
-      told += answers.get(0).response().state() == null ? 0 : 1;
+      answersWithState += answers.get(0).response().state() == null ? 0 : 1;
     }
-    assertTrue(told > 0, "answered within 75 s: " + told);
+    assertTrue(answersWithState > 0, "answers with a state within 75 s: " + answersWithState);
     assertEquals(List.of(), sim.checker.violations);
   }
 
-  /** An end that has long been known is told at once, to whoever asks. */
+  /** Every controller reports an outcome that it has known for 5 s at once, even without peers. */
   @Test
-  void knownEndIsToldAtOnce() {
+  void knownOutcomeIsReportedAtOnce() {
     Simulation sim = runJob(new Simulation(752), RUN_MS);
     cancel(sim, sim.controllers.get("n2"));
     sim.runUntil(sim.nowMs + 5_000);
@@ -238,9 +262,11 @@
     }
   }
 
-  /** Messages about a job that isn't known here change nothing and hold nothing back. */
+  /**
+   * Outcome messages for a job that the controller doesn't know change nothing and delay nothing.
+   */
   @Test
-  void messagesAboutUnknownJobsAreHarmless() {
+  void outcomeMessagesForUnknownJobsChangeNothing() {
     Simulation sim = runJob(new Simulation(753), RUN_MS);
     SimulatedController node = sim.controllers.get("n1");
     String unknown = "wk-000099";
@@ -252,11 +278,11 @@
     sim.runUntil(sim.nowMs + 1_000);
     assertNull(node.core.store().job(unknown));
     assertEquals(503, answers.get(0).status(), "a peer knows the job: not 404");
-    assertEquals("running", querySoon(sim, node).response().state());
+    assertEquals("running", queryAndAwait(sim, node).response().state());
     assertEquals(List.of(), sim.checker.violations);
   }
 
-  private static TimedAnswer querySoon(Simulation sim, SimulatedController node) {
+  private static TimedAnswer queryAndAwait(Simulation sim, SimulatedController node) {
     List<TimedAnswer> answers = query(sim, node);
     sim.runUntil(sim.nowMs + 1_000);
     return answers.get(0);
--- a/src/test/java/mallowstall/core/FailoverSafetyTest.java
+++ b/src/test/java/mallowstall/core/FailoverSafetyTest.java
@@ -23,29 +23,32 @@
 import mallowstall.core.model.MachineGroupEntry;
 import org.junit.jupiter.api.Test;
 
-/** Faults that strike while another controller takes the leadership of jobs. */
+/**
+ * Guards against lost jobs and tasks that start twice when faults occur while another controller
+ * takes over the leadership of jobs.
+ */
 class FailoverSafetyTest {
   /**
    * The other machine leaders may read a failover from the state service before the new job leader
-   * has its own answer: their status updates from in between must not count as acknowledged, or a
-   * task starts twice.
+   * receives its own response. Their status updates from the time between must not count as
+   * acknowledged, or a task starts twice.
    */
   @Test
-  void newLeaderWithDelayedWatchMissesNoTask() {
+  void newJobLeaderWithDelayedWatchStartsNoTaskTwice() {
     for (String name : Simulation.NODES) {
       Simulation sim = new Simulation(51);
       sim.taskRunMs = 25_000;
       sim.runUntil(8_000);
       sim.users.submit(batchJob("wk-000001").tasks(14).build());
       sim.runUntil(14_000);
-      SimulatedController claimant = sim.controllers.get(name);
-      if (claimant == leaderOf(sim, "wk-000001")) {
+      SimulatedController newLeader = sim.controllers.get(name);
+      if (newLeader == leaderOf(sim, "wk-000001")) {
         continue;
       }
-      claimant.stateDelayMs = 900;
-      // its failover is executed, the answer is lost, and its watch is late
+      newLeader.stateDelayMs = 900;
+      // the state service executes the failover, the response is lost, and the watch is delayed
       String key = StateKeys.job("wk-000001");
-      JobEntry mine = sim.jobEntry("wk-000001").withLeader(name, claimant.core.incarnation());
+      JobEntry failover = sim.jobEntry("wk-000001").withLeader(name, newLeader.core.incarnation());
       long version = sim.stateService.entries.get(key).version();
       assertEquals(
           ResultCode.OK,
@@ -53,18 +56,18 @@
               .transact(
                   new Transaction(
                       List.of(new Condition(key, version)),
-                      List.of(new PutOperation(key, mine, 0)),
+                      List.of(new PutOperation(key, failover, 0)),
                       List.of()))
               .code());
       sim.runUntil(18_000);
       assertEquals(List.of(), sim.checker.violations);
-      claimant.stateDelayMs = 0;
+      newLeader.stateDelayMs = 0;
       sim.runUntil(200_000);
       assertFinished(sim, "wk-000001");
     }
   }
 
-  /** Runs until the job has another leader than this one; its leader epoch has been raised then. */
+  /** Runs until another controller leads the job, with a higher leader epoch, and returns it. */
   private static SimulatedController awaitFailover(
       Simulation sim, String id, SimulatedController before) {
     while (leaderOf(sim, id) == before) {
@@ -74,7 +77,7 @@
   }
 
   @Test
-  void sessionExpiryBetweenFailoverAndRebuildLosesNoJob() {
+  void sessionExpiryBetweenFailoverAndRecoveryLosesNoJob() {
     Simulation sim = new Simulation(72);
     sim.runUntil(8_000);
     sim.users.submit(batchJob("wk-000001").tasks(40).build());
@@ -86,9 +89,10 @@
     long lease = sim.stateService.entries.get(StateKeys.session(next.name)).leaseId();
     sim.stateService.revokeLease(lease);
     sim.runUntil(sim.nowMs + 75_000);
-    boolean over = sim.jobEntry("wk-000001").outcome() == JobOutcome.DONE;
+    boolean done = sim.jobEntry("wk-000001").outcome() == JobOutcome.DONE;
     assertTrue(
-        over || leaderOf(sim, "wk-000001").core.mayPlace("wk-000001"), "known and looked after");
+        done || leaderOf(sim, "wk-000001").core.mayPlace("wk-000001"),
+        "the job is done or its leader has recovered it");
     sim.runUntil(250_000);
     assertFinished(sim, "wk-000001");
   }
@@ -110,8 +114,9 @@
   }
 
   /**
-   * A controller that has just taken the autoscaler's leadership, a job or machines is restarted
-   * within 150 ms; late copies of heartbeats and of its former incarnation's requests follow.
+   * A controller that has just taken over the leadership of the autoscaler, a job or machines
+   * crashes and restarts within 150 ms. Late copies of heartbeats and of requests of its former
+   * incarnation follow.
    */
   @Test
   void quickRestartDuringFailoverKeepsInvariants() {
@@ -130,29 +135,29 @@
       for (int i = 0; i < 5; i++) {
         sim.controllers.get(Simulation.NODES.get(i % 3)).crash(4_000);
         int from = sim.stateService.changes.size();
-        String claimant = null;
-        while (claimant == null && sim.nowMs < 12_000 + (i + 1) * 15_000L) {
+        String newLeader = null;
+        while (newLeader == null && sim.nowMs < 12_000 + (i + 1) * 15_000L) {
           sim.runUntil(sim.nowMs + 5);
-          for (; from < sim.stateService.changes.size() && claimant == null; from++) {
+          for (; from < sim.stateService.changes.size() && newLeader == null; from++) {
             KeyValue change = sim.stateService.changes.get(from);
             if (!change.key().startsWith(prefix)) {
               continue;
             }
             if (change.value() instanceof AutoscalerLeaderEntry entry) {
-              claimant = entry.node();
+              newLeader = entry.node();
             } else if (change.value() instanceof JobEntry job && job.epoch() > 1) {
-              claimant = job.leader();
+              newLeader = job.leader();
             } else if (change.value() instanceof MachineGroupEntry group) {
-              claimant = group.node();
+              newLeader = group.node();
             } else if (change.value() instanceof MachineEntry machineEntry) {
-              claimant = machineEntry.node();
+              newLeader = machineEntry.node();
             }
           }
         }
-        if (claimant != null
-            && sim.controllers.containsKey(claimant)
-            && sim.controllers.get(claimant).running) {
-          sim.controllers.get(claimant).crash(150);
+        if (newLeader != null
+            && sim.controllers.containsKey(newLeader)
+            && sim.controllers.get(newLeader).running) {
+          sim.controllers.get(newLeader).crash(150);
         }
         sim.runUntil(12_000 + (i + 1) * 15_000L);
       }
--- a/src/test/java/mallowstall/core/FaultSafetyTest.java
+++ b/src/test/java/mallowstall/core/FaultSafetyTest.java
@@ -22,14 +22,14 @@
 import mallowstall.core.model.TeamUsageEntry;
 import org.junit.jupiter.api.Test;
 
-/** One case of what keeps the rules each, on simulated time. */
+/** Tests the safeguards that maintain the invariants, one case for each, on simulated time. */
 class FaultSafetyTest {
   @Test
-  void delayedCommandStartsNothingTwice() {
+  void delayedCommandStartsNoTaskTwice() {
     Simulation sim = new Simulation(31);
     sim.runUntil(6_000);
     sim.delayAllCommands =
-        true; // every direct command is executed up to 20 s late, its answer is lost
+        true; // every direct command is executed up to 20 s late and its response is lost
     sim.users.submit(batchJob("wk-000001").tasks(12).build());
     sim.runUntil(25_000);
     sim.delayAllCommands = false;
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void delayedTransactionUndoesNothing() {
+  void delayedTransactionConflicts() {
     Simulation sim = new Simulation(32);
     sim.runUntil(6_000);
     sim.users.submit(batchJob("wk-000001").tasks(6).team("tight").build());
@@ -108,7 +108,7 @@
   }
 
   @Test
-  void allControllersCrashTogether() {
+  void jobFinishesAfterAllControllersCrash() {
     Simulation sim = new Simulation(38);
     sim.runUntil(6_000);
     sim.users.submit(batchJob("wk-000001").tasks(20).team("tight").build());
@@ -153,9 +153,12 @@
         1e-9);
   }
 
-  /** All controllers crash while the state service is down: jobs stay known and run on. */
+  /**
+   * All controllers crash while the state service is down. The controllers know the jobs after the
+   * outage, and the jobs run to their end.
+   */
   @Test
-  void allControllersCrashInOutage() {
+  void jobsFinishAfterAllControllersCrashInOutage() {
     Simulation sim = new Simulation(66);
     sim.runUntil(8_000);
     submitJobs(sim, 6, 6, "tight");
--- a/src/test/java/mallowstall/core/FourThousandMachinesTest.java
+++ b/src/test/java/mallowstall/core/FourThousandMachinesTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
 
 /**
- * Guards against a bound below 4,000 machines: recovery and returns at that size. Takes more than a
- * minute, so it is played by hand:
+ * Guards against a limit of fewer than 4,000 machines, in the recovery of machines and the removal
+ * of lost ones. The test takes more than a minute and is therefore run by hand:
  *
  * <pre>mvn -q test -Dtest=FourThousandMachinesTest -Dmachines=4000</pre>
  */
@@ -22,7 +22,7 @@
   private static final int MACHINES = 4_000;
   private static final String SERVICE = "wk-000001";
 
-  /** Work on every machine, so that none is idle and returned for that. */
+  /** Runs a replica on every machine, so that no machine is idle and returned in a scale-in. */
   private static Simulation busyFleet(long seed) {
     Simulation sim = new Simulation(seed);
     sim.maxMachines = MACHINES;
@@ -38,7 +38,7 @@
     return sim;
   }
 
-  private static int ledByLiveControllers(Simulation sim) {
+  private static int countLedByLiveControllers(Simulation sim) {
     int led = 0;
     for (String machine : sim.workers.keySet()) {
       MachineEntry entry = sim.controllers.get("n0").core.store().machine(machine);
@@ -51,17 +51,17 @@
   }
 
   @Test
-  void everyControllerEnds() {
+  void machinesAreRecoveredAfterAllControllersCrash() {
     Simulation sim = busyFleet(3_001);
     sim.crashAll(2_000);
     sim.runUntil(sim.nowMs + 30_000);
-    assertEquals(sim.workers.size(), ledByLiveControllers(sim));
+    assertEquals(sim.workers.size(), countLedByLiveControllers(sim));
     assertTrue(sim.checker.runningReplicas(SERVICE) > MACHINES * 9 / 10);
     assertEquals(List.of(), sim.checker.violations);
   }
 
   @Test
-  void aThirdReturnsAtOnce() {
+  void entriesAreRemovedAfterThirdOfMachinesIsLost() {
     Simulation sim = busyFleet(3_002);
     List<String> lost = new ArrayList<>(sim.workers.keySet()).subList(0, MACHINES / 3);
     for (String machine : List.copyOf(lost)) {
--- a/src/test/java/mallowstall/core/HeartbeatSafetyTest.java
+++ b/src/test/java/mallowstall/core/HeartbeatSafetyTest.java
@@ -23,14 +23,17 @@
 import mallowstall.core.model.TaskState;
 import org.junit.jupiter.api.Test;
 
-/** Heartbeats that are late, repeated or lost, and machines that commands do not reach. */
+/**
+ * Guards against the effects of late, repeated or lost heartbeats, and of machines that commands do
+ * not reach.
+ */
 class HeartbeatSafetyTest {
   private static Heartbeat heartbeatCopy(
       SimulatedWorker worker, long session, long sequence, long token) {
     return heartbeatCopy(worker, session, sequence, token, "wk-000001");
   }
 
-  /** A heartbeat of this worker that names a running task of the job. */
+  /** Returns a heartbeat of the worker that reports a running task of the job. */
   private static Heartbeat heartbeatCopy(
       SimulatedWorker worker, long session, long sequence, long token, String job) {
     return new Heartbeat(
@@ -47,10 +50,11 @@
   }
 
   /**
-   * A heartbeat from before the lease expired, delivered after it, must not bring its tasks back.
+   * A heartbeat that was sent before the worker lease expired arrives after the expiry. It must not
+   * bring back its tasks.
    */
   @Test
-  void delayedHeartbeatDoesNotReviveExpiredSession() {
+  void delayedHeartbeatDoesNotRestoreExpiredSession() {
     Simulation sim = new Simulation(42);
     sim.runUntil(6_000);
     SimulatedWorker worker = sim.workers.values().iterator().next();
@@ -69,8 +73,9 @@
   }
 
   /**
-   * Late copies at the machine leader and at any other controller, of a live machine and of one
-   * that was scaled in: the entry stays as it is, no task is revived, and none is answered 200.
+   * Late copies of heartbeats arrive at the machine leader and at all other controllers, from a
+   * live machine and from a machine that was scaled in. The machine entry stays unchanged, no task
+   * is brought back, and no copy is answered 200.
    */
   @Test
   void duplicateHeartbeatsChangeNothing() {
@@ -85,7 +90,7 @@
       sim.runUntil(sim.nowMs + 100);
       assertEquals(503, responses.get(0).status(), node.name);
     }
-    // newer than any that the leader has published: redirected to the leader, which is alive
+    // newer than the heartbeats that the leader has published: redirected to the running leader
     for (SimulatedController controller : sim.controllers.values()) {
       if (controller.name.equals(before.node())) {
         continue;
@@ -105,7 +110,7 @@
     for (SimulatedController peer : sim.controllers.values()) {
       assertEquals(List.of(), peer.core.view().machine(worker.id).status().tasks());
     }
-    // scaled in: at the cloud and in the state service
+    // the machine is scaled in, in the cloud and in the state service
     sim.killMachine(worker.id);
     sim.stateService.transact(
         new Transaction(
@@ -129,9 +134,9 @@
   }
 
   /**
-   * A machine recovered from the former incarnation is dead, and a late copy of one of its
-   * heartbeats comes to the new one: its lease expires all the same, or every job that fails over
-   * waits for it.
+   * A restarted controller recovers a machine of its former incarnation that is dead, and receives
+   * a late copy of one of the machine's heartbeats. The worker lease must expire nevertheless, or
+   * every job that fails over waits for the machine.
    */
   @Test
   void duplicateHeartbeatDoesNotDelayLeaseExpiry() {
@@ -147,16 +152,17 @@
     awaitRecovery(sim, node, worker.id);
     List<HeartbeatResponse> responses = new ArrayList<>();
     node.enqueueEvent(() -> node.core.handleHeartbeat(late, responses::add));
-    assertEquals(200, responses.get(0).status(), "taken for the worker's own");
+    assertEquals(200, responses.get(0).status(), "accepted as the worker's own heartbeat");
     sim.runUntil(sim.nowMs + Simulation.LEASE_MS + 4_000);
     MachineView machineView = node.core.view().machine(worker.id);
     assertTrue(machineView == null || machineView.status().leaseExpired());
   }
 
   /**
-   * A machine reaches no controller, direct commands reach it. Its next session is known from a
-   * command's answer alone, and its lease counts from then, not from the former session's last
-   * heartbeat (seeds 3745 and 3818: tasks started twice).
+   * A machine reaches no controller, but direct commands reach it. The machine leader knows the
+   * next worker session only from the response to a command. The worker lease counts from that
+   * response. When it counted from the last heartbeat of the former session, tasks started twice
+   * (seeds 3745 and 3818).
    */
   @Test
   void sessionKnownOnlyFromCommandHasFullLease() {
@@ -172,7 +178,7 @@
       }
     }
     assertNotNull(worker);
-    SimulatedWorker mute = worker;
+    SimulatedWorker blockedWorker = worker;
     SimulatedController node = sim.controllers.get(sim.machineEntry(worker.id).node());
     List<StopRequest> stops = new ArrayList<>();
     for (SimulatedTask task : worker.tasks.values()) {
@@ -181,36 +187,40 @@
     worker.outboundBlocked = true;
     long from = worker.leaseStartMs;
     for (int i = 0; i < 4; i++) {
-      // the last one comes in the next session, which the answer names
+      // the last command arrives in the next session, which its response names
       sim.runUntil(i < 3 ? from + 3_000L * (i + 1) : from + Simulation.LEASE_MS + 150);
       StopRequest stop = stops.get(i);
       node.enqueueEvent(() -> node.core.sendStop(node.name, stop));
       if (i == 1) {
-        MachineView machineView = node.core.view().machine(mute.id);
+        MachineView machineView = node.core.view().machine(blockedWorker.id);
         assertFalse(
-            machineView.isSchedulable(), "it answers commands, but loses its tasks each lease");
+            machineView.isSchedulable(),
+            "the machine answers commands, but loses its tasks with each lease");
         assertFalse(machineView.status().unresponsive());
       }
     }
     sim.runUntil(sim.nowMs + 400);
     assertEquals(2, worker.epoch);
     MachineView machineView = node.core.view().machine(worker.id);
-    assertEquals(2, machineView.status().session(), "known from the answer");
-    long known = sim.nowMs;
-    while (sim.nowMs < known + Simulation.LEASE_MS - 600) {
+    assertEquals(2, machineView.status().session(), "known from the command's response");
+    long knownSinceMs = sim.nowMs;
+    while (sim.nowMs < knownSinceMs + Simulation.LEASE_MS - 600) {
       sim.runUntil(sim.nowMs + 200);
       assertFalse(
-          node.core.view().machine(worker.id).status().leaseExpired(), "at " + (sim.nowMs - known));
+          node.core.view().machine(worker.id).status().leaseExpired(),
+          "at " + (sim.nowMs - knownSinceMs));
     }
-    sim.runUntil(known + Simulation.LEASE_MS + 4_000);
+    sim.runUntil(knownSinceMs + Simulation.LEASE_MS + 4_000);
     machineView = node.core.view().machine(worker.id);
-    assertTrue(machineView == null || machineView.status().leaseExpired(), "and not a longer one");
+    assertTrue(
+        machineView == null || machineView.status().leaseExpired(),
+        "the lease has expired after its full time");
   }
 
   /**
-   * Heartbeats arrive, answers and commands don't: the tasks are accounted for by the machine's
-   * next session and run elsewhere, nothing is started there, and it is used again once it is
-   * reachable.
+   * The heartbeats of a machine arrive, but responses and commands don't reach the machine. The
+   * next session of the worker shows that its tasks have ended, and they run on other machines. No
+   * task is started on the machine until it is reachable again.
    */
   @Test
   void unreachableMachineGetsNoTasksAndItsTasksAreRescheduled() {
@@ -237,16 +247,19 @@
     }
     sim.runUntil(75_000);
     assertFinished(sim, "wk-000001");
-    // whether it was replaced meanwhile or not, a machine that is reachable again runs tasks again
+    // whether the machine was replaced or not, a machine that is reachable again runs tasks again
     worker.inboundBlocked = false;
     sim.users.submit(batchJob("wk-000002").tasks(30).build());
     sim.runUntil(200_000);
     assertFinished(sim, "wk-000002");
   }
 
-  /** The same with a cancellation: it holds on a machine that never receives it. */
+  /**
+   * Heartbeats of all machines arrive, but responses and commands don't reach the machines. A
+   * cancellation takes effect on them nevertheless.
+   */
   @Test
-  void cancellationHoldsOnUnreachableMachine() {
+  void cancellationStopsTasksOnUnreachableMachines() {
     Simulation sim = new Simulation(62);
     sim.taskRunMs = 100_000;
     sim.runUntil(8_000);
--- a/src/test/java/mallowstall/core/HistoryDigestTest.java
+++ b/src/test/java/mallowstall/core/HistoryDigestTest.java
@@ -19,23 +19,25 @@
 import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
 
 /**
- * The random histories go exactly as recorded, to the byte and the millisecond: see {@link
- * HistoryDigest}. A change of the program that is to preserve its behaviour changes none of the
- * digests in {@code history-digests.txt}. Every build plays a few of the histories; this plays all
- * of them, and prints their digests:
+ * Guards against unintended changes of behaviour: the random histories must match their recorded
+ * digests, to the byte and the millisecond (see {@link HistoryDigest}). A change of the program
+ * that is to preserve its behaviour changes none of the digests in {@code history-digests.txt}.
+ * Every build replays a few of the histories. This command replays all of them and prints their
+ * digests:
  *
  * <pre>mvn -q test -Dtest=HistoryDigestTest#allRecordedHistories -Dhistories=all</pre>
  *
- * <p>To find what differs first, play one history with the program before and after the change, let
- * both write what they record, and compare the files:
+ * <p>To find the first difference, replay one history with the program before and after the change,
+ * write the records of both to files, and compare the files:
  *
  * <pre>mvn -q test -Dtest=HistoryDigestTest#allRecordedHistories -Dhistories=plain-20000 \
  *     -Dhistory.dump=before</pre>
  *
- * <p>{@code histories} may name several, separated by commas; the directory is made if need be, and
- * gets one file for each, such as {@code before/plain-20000.txt}. Where a change of behaviour is
- * intended, the printed lines of all histories become the new {@code history-digests.txt}. The
- * digests are those of Java 17: other versions may write floating-point numbers differently.
+ * <p>{@code histories} may name several histories, separated by commas. The directory is created if
+ * it is missing, and receives one file for each history, for example {@code
+ * before/plain-20000.txt}. If a change of behaviour is intended, the printed lines of all histories
+ * become the new {@code history-digests.txt}. The digests are those of Java 17: other versions may
+ * write floating-point numbers differently.
  */
 class HistoryDigestTest {
   private static final String FILE = "/history-digests.txt";
@@ -45,7 +47,7 @@
   private static final List<String> IN_EVERY_BUILD =
       List.of("plain 20000", "plain 20001", "plain 20002", "upgrade 20100", "upgrade 20101");
 
-  /** The digest of each recorded history. */
+  /** Returns the recorded digests by the name of the history. */
   private static Map<String, String> recorded() throws IOException {
     Map<String, String> digests = new TreeMap<>();
     try (InputStream in = HistoryDigestTest.class.getResourceAsStream(FILE)) {
@@ -58,73 +60,76 @@
   }
 
   @Test
-  void someHistoriesGoAsRecorded() throws Exception {
+  void selectedHistoriesMatchRecordedDigests() throws Exception {
     Map<String, String> recorded = recorded();
     assertEquals(RECORDED, recorded.size(), "recorded histories");
     assertTrue(recorded.keySet().containsAll(IN_EVERY_BUILD), recorded.keySet().toString());
-    assertAsRecorded(recorded, play(IN_EVERY_BUILD, 2, null));
+    assertAsRecorded(recorded, replay(IN_EVERY_BUILD, 2, null));
   }
 
   @Test
   @EnabledIfSystemProperty(named = "histories", matches = ".+")
   void allRecordedHistories() throws Exception {
     Map<String, String> recorded = recorded();
-    String asked = System.getProperty("histories");
+    String requested = System.getProperty("histories");
     List<String> histories =
-        asked.equals("all")
+        requested.equals("all")
             ? List.copyOf(recorded.keySet())
-            : List.of(asked.replace('-', ' ').split(","));
+            : List.of(requested.replace('-', ' ').split(","));
     String directory = System.getProperty("history.dump");
     Path dumpTo = directory == null ? null : Files.createDirectories(Path.of(directory));
-    Map<String, String> played = play(histories, THREADS, dumpTo);
-    played.forEach((history, digest) -> System.out.println(history + " " + digest));
-    assertAsRecorded(recorded, played);
+    Map<String, String> replayed = replay(histories, THREADS, dumpTo);
+    replayed.forEach((history, digest) -> System.out.println(history + " " + digest));
+    assertAsRecorded(recorded, replayed);
   }
 
-  /** Every history differs, so every digest does. */
+  /** All histories differ, so that all digests must differ. */
   @Test
-  void noTwoRecordedHistoriesAreAlike() throws IOException {
+  void recordedDigestsAreDistinct() throws IOException {
     Map<String, String> recorded = recorded();
     assertEquals(recorded.size(), recorded.values().stream().distinct().count());
   }
 
-  private static void assertAsRecorded(Map<String, String> recorded, Map<String, String> played) {
+  private static void assertAsRecorded(Map<String, String> recorded, Map<String, String> replayed) {
     List<String> different = new ArrayList<>();
-    played.forEach(
+    replayed.forEach(
         (history, digest) -> {
           if (!digest.equals(recorded.get(history))) {
             different.add(history);
           }
         });
-    assertEquals(List.of(), different, "histories that went otherwise than recorded");
+    assertEquals(List.of(), different, "histories that differ from their recorded digests");
   }
 
-  /** Plays the histories, which share nothing, on so many threads; the digest of each. */
-  private static Map<String, String> play(List<String> histories, int threads, Path dumpTo)
+  /**
+   * Replays the histories, which share no data, on {@code threads} threads. Returns the digests by
+   * the name of the history.
+   */
+  private static Map<String, String> replay(List<String> histories, int threads, Path dumpTo)
       throws InterruptedException {
-    Queue<String> waiting = new ConcurrentLinkedQueue<>(histories);
+    Queue<String> pending = new ConcurrentLinkedQueue<>(histories);
     Map<String, String> digests = new ConcurrentSkipListMap<>();
     Map<String, Throwable> failed = new ConcurrentSkipListMap<>();
-    List<Thread> players = new ArrayList<>();
+    List<Thread> replayThreads = new ArrayList<>();
     for (int i = 0; i < threads; i++) {
-      Thread player = new Thread(() -> playAll(waiting, dumpTo, digests, failed));
-      players.add(player);
-      player.start();
+      Thread thread = new Thread(() -> replayAll(pending, dumpTo, digests, failed));
+      replayThreads.add(thread);
+      thread.start();
     }
-    for (Thread player : players) {
-      player.join();
+    for (Thread thread : replayThreads) {
+      thread.join();
     }
     assertEquals(Map.of(), failed);
-    assertEquals(histories.size(), digests.size(), "histories played");
+    assertEquals(histories.size(), digests.size(), "histories replayed");
     return digests;
   }
 
-  private static void playAll(
-      Queue<String> waiting,
+  private static void replayAll(
+      Queue<String> pending,
       Path dumpTo,
       Map<String, String> digests,
       Map<String, Throwable> failed) {
-    for (String history = waiting.poll(); history != null; history = waiting.poll()) {
+    for (String history = pending.poll(); history != null; history = pending.poll()) {
       try {
         digests.put(history, HistoryDigest.of(history, dumpTo));
       } catch (Throwable failure) {
--- a/src/test/java/mallowstall/core/IdleWorkloadTest.java
+++ b/src/test/java/mallowstall/core/IdleWorkloadTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Work that must follow what changes, not how much there is: counted, since the machines that
- * controllers run on have a few hundredths of a processor.
+ * Guards against work that grows with the number of machines instead of the number of changes. The
+ * work is counted, since the machines that controllers run on have a few hundredths of a processor.
  */
 class IdleWorkloadTest {
   private static final int MACHINES = 40;
@@ -33,9 +33,12 @@
     return sum(sim, count) - before;
   }
 
-  /** Heartbeats without news cause few status updates (once five a second to every peer). */
+  /**
+   * Heartbeats that report no change cause few status updates. A former version sent five status
+   * updates a second to every peer.
+   */
   @Test
-  void unchangedHeartbeatsSendNoStatusUpdates() {
+  void unchangedHeartbeatsCauseFewStatusUpdates() {
     int few = countWhileIdle(startIdle(701, 0), node -> node.statusUpdatesSent);
     int many = countWhileIdle(startIdle(701, MACHINES), node -> node.statusUpdatesSent);
     int links = Simulation.NODES.size() * (Simulation.NODES.size() - 1);
@@ -43,25 +46,27 @@
     assertTrue(many <= few * 5 / 4, "status updates: " + many + " instead of " + few);
   }
 
-  /** An unchanged machine is published again every few seconds, to each peer, and no more often. */
+  /**
+   * The status of an unchanged machine is sent to each peer every few seconds, and no more often.
+   */
   @Test
   void unchangedMachineStatusesAreSentRarely() {
     Simulation sim = startIdle(702, MACHINES);
     int machines = sim.workers.size();
     int statusesSent = countWhileIdle(sim, node -> node.machineStatusesSent);
     int peers = Simulation.NODES.size() - 1;
-    long restatements = 1 + IDLE_PERIOD_S * 1_000 / Constants.MACHINE_STATUS_REFRESH_MS;
-    // each is in two status updates at most before the peer has acknowledged it
-    assertTrue(
-        statusesSent <= 2L * peers * machines * restatements, statusesSent + " of " + machines);
+    long refreshes = 1 + IDLE_PERIOD_S * 1_000 / Constants.MACHINE_STATUS_REFRESH_MS;
+    // a status is sent in at most two status updates before the peer has acknowledged it
+    assertTrue(statusesSent <= 2L * peers * machines * refreshes, statusesSent + " of " + machines);
   }
 
   /**
-   * A restarted controller recovers the machines of its former incarnation a few at a time: all at
-   * once they used up the state service's rate, and no machine that came back could be taken over.
+   * A restarted controller recovers the machines of its former incarnation a few at a time. When it
+   * recovered all at once, the recoveries used up the request rate of the state service, and no
+   * machine that came back could be taken over.
    */
   @Test
-  void recoveredMachinesAreRegisteredInBatches() {
+  void recoveredMachinesAreRegisteredWithLimitedConcurrency() {
     Simulation sim = startIdle(703, MACHINES);
     List.copyOf(sim.workers.values()).forEach(worker -> worker.outboundBlocked = true);
     sim.crashAll(1_000);
