--- a/src/test/java/mallowstall/core/cluster/MachineViewTest.java
+++ b/src/test/java/mallowstall/core/cluster/MachineViewTest.java
@@ -6,29 +6,29 @@
 import mallowstall.core.model.MachineStatusBuilder;
 import org.junit.jupiter.api.Test;
 
-/** What follows from the published status of a machine. */
+/** Tests what a controller derives from the published status of a machine. */
 class MachineViewTest {
-  private static MachineView machineView(double noticeS, boolean replace) {
+  private static MachineView machineView(double interruptionNoticeS, boolean needsReplacement) {
     MachineView machineView = new MachineView("m-000001");
     machineView.applyStatus(
         "n0",
         1,
         MachineStatusBuilder.statusOf("m-000001")
-            .interruptionNoticeS(noticeS)
-            .needsReplacement(replace)
+            .interruptionNoticeS(interruptionNoticeS)
+            .needsReplacement(needsReplacement)
             .build(),
         0);
     return machineView;
   }
 
   @Test
-  void machineLeavesOnNoticeOrReplacement() {
+  void machineIsDepartingOnNoticeOrPendingReplacement() {
     assertFalse(machineView(-1, false).isDeparting());
     assertTrue(machineView(0, false).isDeparting());
     assertTrue(machineView(12, false).isDeparting());
     assertTrue(machineView(-1, true).isDeparting());
     MachineView withoutLeader = machineView(12, false);
     withoutLeader.clearLeader();
-    assertFalse(withoutLeader.isDeparting(), "nobody could be asked to stop its replicas");
+    assertFalse(withoutLeader.isDeparting(), "no machine leader could stop its replicas");
   }
 }
--- a/src/test/java/mallowstall/core/jobs/CompletedTasksTest.java
+++ b/src/test/java/mallowstall/core/jobs/CompletedTasksTest.java
@@ -10,7 +10,7 @@
 import mallowstall.Constants;
 import org.junit.jupiter.api.Test;
 
-/** Which completions count and which are still to be recorded. */
+/** Tests which tasks count as completed and which pieces of the bitmap are still to be written. */
 class CompletedTasksTest {
   private final CompletedTasks completed = new CompletedTasks();
 
--- a/src/test/java/mallowstall/core/jobs/JobWritesTest.java
+++ b/src/test/java/mallowstall/core/jobs/JobWritesTest.java
@@ -7,7 +7,7 @@
 import mallowstall.core.kernel.ResultCode;
 import org.junit.jupiter.api.Test;
 
-/** When a led job's entry may be written, for completions and for quota. */
+/** Tests when a job leader may write the job's entry, for completions and for quota. */
 class JobWritesTest {
   private static final long NOW_MS = 1_000_000;
 
@@ -29,17 +29,17 @@
   }
 
   @Test
-  void completionWritesKeepAGapUntilTheLast() {
+  void completionWritesKeepMinimumIntervalUntilAllTasksAreCompleted() {
     writes.beginCompletionWrite(NOW_MS);
     writes.endCompletionWrite(NOW_MS, ResultCode.OK);
-    long gapMs = JobWrites.JOB_WRITE_INTERVAL_MIN_MS;
-    assertFalse(writes.mayWriteCompletions(false, NOW_MS + gapMs - 1));
-    assertTrue(writes.mayWriteCompletions(true, NOW_MS + gapMs - 1));
-    assertTrue(writes.mayWriteCompletions(false, NOW_MS + gapMs));
+    long intervalMs = JobWrites.JOB_WRITE_INTERVAL_MIN_MS;
+    assertFalse(writes.mayWriteCompletions(false, NOW_MS + intervalMs - 1));
+    assertTrue(writes.mayWriteCompletions(true, NOW_MS + intervalMs - 1));
+    assertTrue(writes.mayWriteCompletions(false, NOW_MS + intervalMs));
   }
 
   @Test
-  void unknownOutcomeHoldsQuotaBackUntilANewerEntryIsRead() {
+  void unknownOutcomeBlocksQuotaWritesUntilNewerEntryIsRead() {
     writes.beginCompletionWrite(NOW_MS);
     writes.endCompletionWrite(NOW_MS, ResultCode.OUTCOME_UNKNOWN);
     assertTrue(writes.outcomeUnknown());
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void nothingIsWrittenWhileTheEntryIsRead() {
+  void entryIsNotWrittenWhileItIsBeingRead() {
     writes.beginRead();
     assertFalse(writes.mayWriteCompletions(true, NOW_MS));
     assertFalse(writes.mayWriteQuota(NOW_MS));
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void rejectedQuotaWriteDelaysTheTeamAndInvalidOneTheJob() {
+  void invalidButNotRejectedQuotaWriteDelaysJob() {
     writes.beginQuotaWrite();
     writes.endQuotaWrite(NOW_MS, ResultCode.REJECTED);
     assertTrue(writes.mayWriteQuota(NOW_MS));
--- a/src/test/java/mallowstall/core/jobs/ReplicaRestartsTest.java
+++ b/src/test/java/mallowstall/core/jobs/ReplicaRestartsTest.java
@@ -9,14 +9,14 @@
 import mallowstall.Constants;
 import org.junit.jupiter.api.Test;
 
-/** How soon a replica that has ended may start again. */
+/** Tests the backoff after which an exited replica may start again. */
 class ReplicaRestartsTest {
   private final ReplicaRestarts restarts = new ReplicaRestarts();
 
   private List<Integer> releasedReplicas(long now) {
-    List<Integer> out = new ArrayList<>();
-    restarts.releaseDue(now, out::add);
-    return out;
+    List<Integer> released = new ArrayList<>();
+    restarts.releaseDue(now, released::add);
+    return released;
   }
 
   @Test
@@ -25,22 +25,24 @@
     assertEquals(0, restarts.waitingCount());
   }
 
-  /** A worker keeps the result of a task that is done, so each start of it ends at once. */
+  /**
+   * A worker keeps the result of a completed task, so each further start of the task ends at once.
+   */
   @Test
   void repeatedExitsBackOffWithoutGivingUp() {
     long now = 1_000;
     restarts.recordExit(3, 0, now);
-    long wait = Constants.BACKOFF_INITIAL_MS;
+    long backoffMs = Constants.BACKOFF_INITIAL_MS;
     for (int i = 0; i < 20; i++) {
-      assertFalse(restarts.recordExit(3, 0, now), "end " + i);
+      assertFalse(restarts.recordExit(3, 0, now), "exit " + i);
       assertEquals(1, restarts.waitingCount());
-      assertEquals(List.of(), releasedReplicas(now + wait - 1));
-      assertEquals(List.of(3), releasedReplicas(now + wait), "end " + i);
+      assertEquals(List.of(), releasedReplicas(now + backoffMs - 1));
+      assertEquals(List.of(3), releasedReplicas(now + backoffMs), "exit " + i);
       assertEquals(0, restarts.waitingCount());
-      now += wait;
-      wait = Math.min(Constants.BACKOFF_MAX_MS, wait * 2);
+      now += backoffMs;
+      backoffMs = Math.min(Constants.BACKOFF_MAX_MS, backoffMs * 2);
     }
-    assertEquals(Constants.BACKOFF_MAX_MS, wait);
+    assertEquals(Constants.BACKOFF_MAX_MS, backoffMs);
   }
 
   @Test
--- a/src/test/java/mallowstall/core/kernel/EventLoopLagTest.java
+++ b/src/test/java/mallowstall/core/kernel/EventLoopLagTest.java
@@ -6,29 +6,29 @@
 import mallowstall.Constants;
 import org.junit.jupiter.api.Test;
 
-/** Gaps that grow while a process runs behind its timers. */
+/** Tests how gaps between batches of work grow while the event loop lags behind its timers. */
 class EventLoopLagTest {
   private static final long GAP_MS = 100;
 
   private final EventLoopLag lag = new EventLoopLag();
   private long nowMs = 5_000;
 
-  private void tick(int times, long late) {
+  private void tick(int times, long lateMs) {
     for (int i = 0; i < times; i++) {
-      nowMs += Constants.TICK_MS + late;
+      nowMs += Constants.TICK_MS + lateMs;
       lag.onTick(nowMs);
     }
   }
 
   @Test
-  void withoutLagGapsStayAsTheyAre() {
+  void gapIsUnchangedWithoutLag() {
     assertEquals(GAP_MS, lag.stretchedGapMs(GAP_MS));
     tick(100, 0);
     assertEquals(GAP_MS, lag.stretchedGapMs(GAP_MS));
   }
 
   @Test
-  void gapsFollowLagAndRecovery() {
+  void gapGrowsWithLagAndShrinksAfterwards() {
     tick(50, 20);
     long gap = lag.stretchedGapMs(GAP_MS);
     assertTrue(gap > GAP_MS + 40 && gap <= GAP_MS + 60, "gap " + gap);
@@ -37,19 +37,19 @@
   }
 
   @Test
-  void noLagStretchesBeyondTheBound() {
+  void stretchIsBounded() {
     tick(200, 100_000);
     assertEquals(GAP_MS + EventLoopLag.LAG_GAP_MAX_MS, lag.stretchedGapMs(GAP_MS));
   }
 
-  /** One long stop, as of a machine that stood still, says little of the load. */
+  /** A single long pause, as when the machine was stopped, does not indicate overload. */
   @Test
-  void oneLateTickStretchesLittle() {
+  void singleLateTickStretchesGapOnlySlightly() {
     tick(20, 0);
     tick(1, 60_000);
-    long most =
+    long maxStretchMs =
         Math.round(
             EventLoopLag.LAG_SAMPLE_MAX_MS * EventLoopLag.LAG_WEIGHT * EventLoopLag.LAG_GAP_FACTOR);
-    assertEquals(GAP_MS + most, lag.stretchedGapMs(GAP_MS));
+    assertEquals(GAP_MS + maxStretchMs, lag.stretchedGapMs(GAP_MS));
   }
 }
--- a/src/test/java/mallowstall/core/kv/JobBitmapsTest.java
+++ b/src/test/java/mallowstall/core/kv/JobBitmapsTest.java
@@ -25,27 +25,27 @@
 import mallowstall.state.StoredEntries;
 import org.junit.jupiter.api.Test;
 
-/** What is stored for jobs and their done bits, in both layouts and on the way between them. */
+/** Tests what is stored for jobs and completion bits in both layouts and while a job migrates. */
 class JobBitmapsTest {
   private static final String JOB = "wk-000001";
   private static final int MANY_TASKS = 100_000;
 
   private final Map<String, StoredValue> storedEntries = new HashMap<>();
-  private boolean allVersionsReadPieces = true;
-  private long version;
+  private boolean compactLayoutReadable = true;
+  private long revision;
 
   private static int encodedSize(StoredEntry value) {
     return StoredEntries.encode(value).length;
   }
 
-  private JobBitmaps entries(int valueBytes, int txnOps) {
+  private JobBitmaps bitmaps(int valueBytes, int txnOps) {
     CoreSettings settings =
         CoreSettingsBuilder.settingsOf("n0")
             .peers(List.of("n1", "controller-with-a-long-name"))
             .stateLimits(txnOps, valueBytes)
             .build();
     return new JobBitmaps(
-        settings, JobBitmapsTest::encodedSize, () -> allVersionsReadPieces, storedEntries::get);
+        settings, JobBitmapsTest::encodedSize, () -> compactLayoutReadable, storedEntries::get);
   }
 
   private static JobSpec spec(int tasks, String name) {
@@ -71,9 +71,9 @@
   }
 
   private void store(List<PutOperation> puts) {
-    version++;
+    revision++;
     for (PutOperation put : puts) {
-      storedEntries.put(put.key(), new StoredValue(put.value(), version));
+      storedEntries.put(put.key(), new StoredValue(put.value(), revision));
     }
   }
 
@@ -81,11 +81,11 @@
     return (JobEntry) storedEntries.get(JobBitmaps.jobKey(JOB)).value();
   }
 
-  private long entryVersion() {
+  private long entryRevision() {
     return storedEntries.get(JobBitmaps.jobKey(JOB)).modRevision();
   }
 
-  /** Carries a change out as the state service would. */
+  /** Checks and applies a write as the state service does. */
   private void apply(JobBitmaps.Write write, int valueBytes, int txnOps) {
     assertTrue(write.puts().size() <= txnOps, "operations: " + write.puts().size());
     assertTrue(write.conditions().size() <= 4 * txnOps, "conditions: " + write.conditions().size());
@@ -100,7 +100,7 @@
     store(write.puts());
   }
 
-  /** All bits of the job as the version in production stores them. */
+  /** Stores all completion bits of the job as the version in production does. */
   private void storeInFirstLayout(BitSet done) {
     JobEntry job = accepted(MANY_TASKS);
     int chunk = Constants.BITS_PER_CHUNK;
@@ -121,10 +121,10 @@
   @Test
   void jobThatFitsUsesFirstLayout() {
     for (int tasks : new int[] {1, 2_048, MANY_TASKS}) {
-      JobBitmaps entries = entries(8_192, 24);
+      JobBitmaps bitmaps = bitmaps(8_192, 24);
       JobEntry job = accepted(tasks);
       BitSet done = bits(0, tasks / 2, tasks - 1);
-      JobBitmaps.Write write = entries.writeRecordingCompletions(job, 0, done, pieceIndexes(done));
+      JobBitmaps.Write write = bitmaps.writeRecordingCompletions(job, 0, done, pieceIndexes(done));
       PutOperation last = write.puts().get(write.puts().size() - 1);
       assertEquals(JobBitmaps.jobKey(JOB), last.key());
       int first = Math.min(tasks, Constants.BITS_PER_CHUNK);
@@ -138,18 +138,18 @@
   }
 
   @Test
-  void firstLayoutIsWrittenUntilAllVersionsReadPieces() {
-    allVersionsReadPieces = false;
-    JobBitmaps entries = entries(2_048, 8);
+  void firstLayoutIsWrittenUntilAllControllersReadCompactLayout() {
+    compactLayoutReadable = false;
+    JobBitmaps bitmaps = bitmaps(2_048, 8);
     BitSet done = bits(20_000, 99_999);
     List<PutOperation> puts =
-        entries.writeRecordingCompletions(accepted(MANY_TASKS), 0, done, pieceIndexes(done)).puts();
+        bitmaps.writeRecordingCompletions(accepted(MANY_TASKS), 0, done, pieceIndexes(done)).puts();
     assertEquals(
         List.of(JobBitmaps.chunkKey(JOB, 1), JobBitmaps.chunkKey(JOB, 6), JobBitmaps.jobKey(JOB)),
         puts.stream().map(PutOperation::key).toList());
   }
 
-  /** Every kind of change takes the bits along, within the limits, and loses none. */
+  /** Every kind of write migrates the bits within the limits and loses none. */
   @Test
   void oversizedFirstLayoutEntryMigratesOnNextWrite() {
     for (int txnOps : new int[] {2, 3, 8, 24}) {
@@ -157,36 +157,39 @@
       done.set(0, 40_000);
       done.clear(777);
       storeInFirstLayout(done);
-      JobBitmaps entries = entries(2_048, txnOps);
-      assertEquals(done, entries.completedTasks(entry()));
-      assertTrue(entries.needsLayoutMigration(entry()));
+      JobBitmaps bitmaps = bitmaps(2_048, txnOps);
+      assertEquals(done, bitmaps.completedTasks(entry()));
+      assertTrue(bitmaps.needsLayoutMigration(entry()));
       JobBitmaps.Write claim =
-          entries.writePreservingBits(entry().withLeader("n1", 9), entryVersion());
+          bitmaps.writePreservingBits(entry().withLeader("n1", 9), entryRevision());
       apply(claim, 2_048, txnOps);
       assertEquals("n1", entry().leader());
-      assertEquals(done, entries.completedTasks(entry()));
-      while (entries.needsLayoutMigration(entry())) {
+      assertEquals(done, bitmaps.completedTasks(entry()));
+      while (bitmaps.needsLayoutMigration(entry())) {
         apply(
-            entries.writeRecordingCompletions(entry(), entryVersion(), done, Set.of()),
+            bitmaps.writeRecordingCompletions(entry(), entryRevision(), done, Set.of()),
             2_048,
             txnOps);
-        assertEquals(done, entries.completedTasks(entry()));
+        assertEquals(done, bitmaps.completedTasks(entry()));
       }
       assertEquals(0, entry().completionBits().length);
-      assertFalse(entries.isRecordedCompleted(entry(), 777));
+      assertFalse(bitmaps.isRecordedCompleted(entry(), 777));
       assertTrue(
-          entries.isRecordedCompleted(entry(), 778)
-              && entries.isRecordedCompleted(entry(), 39_999));
-      assertFalse(entries.isRecordedCompleted(entry(), 40_000));
+          bitmaps.isRecordedCompleted(entry(), 778)
+              && bitmaps.isRecordedCompleted(entry(), 39_999));
+      assertFalse(bitmaps.isRecordedCompleted(entry(), 40_000));
       assertEquals(done.cardinality(), entry().completedTaskCount());
       storedEntries.clear();
     }
   }
 
-  /** All bits at once, with few operations: count and end wait for the last of them. */
+  /**
+   * Records all bits with few operations per transaction. The count of completed tasks and the
+   * outcome are written with the last transaction only.
+   */
   @Test
   void oversizedWriteIsSplitIntoTransactions() {
-    JobBitmaps entries = entries(2_048, 8);
+    JobBitmaps bitmaps = bitmaps(2_048, 8);
     store(List.of(new PutOperation(JobBitmaps.jobKey(JOB), accepted(MANY_TASKS), 0)));
     BitSet done = new BitSet();
     done.set(0, MANY_TASKS);
@@ -194,7 +197,7 @@
     int writes = 0;
     while (!dirty.isEmpty()) {
       JobBitmaps.Write write =
-          entries.writeRecordingCompletions(entry(), entryVersion(), done, dirty);
+          bitmaps.writeRecordingCompletions(entry(), entryRevision(), done, dirty);
       apply(write, 2_048, 8);
       dirty.removeAll(write.pieces());
       writes++;
@@ -202,55 +205,62 @@
       assertEquals(dirty.isEmpty() ? MANY_TASKS : 0, entry().completedTaskCount());
     }
     assertEquals(2, writes);
-    assertEquals(done, entries.completedTasks(entry()));
+    assertEquals(done, bitmaps.completedTasks(entry()));
   }
 
-  /** A piece that grew since it was seen here would be put back by somebody who claims the job. */
+  /**
+   * Guards against lost completion bits: a controller that takes over a job with an outdated copy
+   * of a piece would overwrite the newer piece. Its write therefore compares revisions of the
+   * pieces.
+   */
   @Test
   void concurrentlyChangedPiecesAreNotOverwritten() {
     BitSet done = bits(1, 2, 9_000);
     storeInFirstLayout(done);
-    JobBitmaps entries = entries(2_048, 8);
+    JobBitmaps bitmaps = bitmaps(2_048, 8);
     JobBitmaps.Write claim =
-        entries.writePreservingBits(entry().withLeader("n1", 9), entryVersion());
+        bitmaps.writePreservingBits(entry().withLeader("n1", 9), entryRevision());
     assertEquals(
         List.of(JobBitmaps.jobKey(JOB), JobBitmaps.pieceKey(JOB, 0), JobBitmaps.pieceKey(JOB, 1)),
         claim.conditions().stream().map(Condition::key).toList());
   }
 
-  /** A controller was set back to the version in production: it must find all bits. */
+  /**
+   * Guards against lost completion bits after a controller was downgraded to the version in
+   * production, which reads the first layout only.
+   */
   @Test
   void piecesMergeBackIntoFirstLayout() {
-    JobBitmaps entries = entries(2_048, 24);
+    JobBitmaps bitmaps = bitmaps(2_048, 24);
     store(List.of(new PutOperation(JobBitmaps.jobKey(JOB), accepted(MANY_TASKS), 0)));
     BitSet done = bits(5, 20_000, 99_000);
     store(
-        entries
-            .writeRecordingCompletions(entry(), entryVersion(), done, pieceIndexes(done))
+        bitmaps
+            .writeRecordingCompletions(entry(), entryRevision(), done, pieceIndexes(done))
             .puts());
     assertEquals(0, entry().completionBits().length);
-    assertFalse(entries.needsLayoutMigration(entry()));
-    allVersionsReadPieces = false;
-    assertTrue(entries.needsLayoutMigration(entry()));
-    store(entries.writeRecordingCompletions(entry(), entryVersion(), done, Set.of()).puts());
-    assertFalse(entries.needsLayoutMigration(entry()));
+    assertFalse(bitmaps.needsLayoutMigration(entry()));
+    compactLayoutReadable = false;
+    assertTrue(bitmaps.needsLayoutMigration(entry()));
+    store(bitmaps.writeRecordingCompletions(entry(), entryRevision(), done, Set.of()).puts());
+    assertFalse(bitmaps.needsLayoutMigration(entry()));
     storedEntries.keySet().removeIf(key -> key.contains("/p"));
-    assertEquals(done, entries.completedTasks(entry()));
+    assertEquals(done, bitmaps.completedTasks(entry()));
   }
 
-  /** No value grows beyond the limit that the job was accepted under. */
+  /** No value of an accepted job ever exceeds the size limit that applied at acceptance. */
   @Test
   void acceptedJobAlwaysFitsLimits() {
-    JobBitmaps entries = entries(2_048, 8);
+    JobBitmaps bitmaps = bitmaps(2_048, 8);
     for (int tasks : new int[] {1, 2_048, 2_049, 16_384, MANY_TASKS}) {
       int longest = 0;
       for (int n = 1; n < 900; n++) {
         JobSpec spec = spec(tasks, "x".repeat(n));
-        if (entries.fitsAtLargest(JobEntry.newlyAccepted(spec, 1_700_000_000_000L, "n0", 3))) {
+        if (bitmaps.fitsAtLargest(JobEntry.newlyAccepted(spec, 1_700_000_000_000L, "n0", 3))) {
           longest = n;
         }
       }
-      assertTrue(longest > 200, "names of " + longest);
+      assertTrue(longest > 200, "longest fitting name: " + longest);
       JobSpec spec = spec(tasks, "x".repeat(longest));
       BitSet done = new BitSet();
       done.set(0, tasks);
@@ -265,18 +275,18 @@
               0,
               tasks,
               JobOutcome.NONE);
-      List<PutOperation> puts = entries.writeRecordingCompletions(old, 0, done, List.of(0)).puts();
+      List<PutOperation> puts = bitmaps.writeRecordingCompletions(old, 0, done, List.of(0)).puts();
       for (PutOperation put : puts) {
         assertTrue(encodedSize(put.value()) <= 2_048, put.key());
       }
     }
     assertFalse(
-        entries.fitsAtLargest(JobEntry.newlyAccepted(spec(10, "x".repeat(1_000)), 0, "n0", 3)));
+        bitmaps.fitsAtLargest(JobEntry.newlyAccepted(spec(10, "x".repeat(1_000)), 0, "n0", 3)));
   }
 
-  /** What is reported of a job that is over never changes, also when its bits move. */
+  /** The reported state of a finished job never changes, even when its completion bits migrate. */
   @Test
-  void cancelledJobKeepsDoneCount() {
+  void cancelledJobKeepsCompletedTaskCount() {
     BitSet done = new BitSet();
     done.set(0, 16_000);
     storeInFirstLayout(done);
@@ -284,8 +294,8 @@
     store(List.of(new PutOperation(JobBitmaps.jobKey(JOB), cancelled, 0)));
     BitSet more = (BitSet) done.clone();
     more.set(16_001);
-    JobBitmaps entries = entries(2_048, 8);
-    apply(entries.writeRecordingCompletions(entry(), entryVersion(), more, Set.of()), 2_048, 8);
+    JobBitmaps bitmaps = bitmaps(2_048, 8);
+    apply(bitmaps.writeRecordingCompletions(entry(), entryRevision(), more, Set.of()), 2_048, 8);
     assertEquals(16_000, entry().completedTaskCount());
     assertEquals(JobOutcome.CANCELLED, entry().outcome());
   }
--- a/src/test/java/mallowstall/core/kv/ReplicaSyncTest.java
+++ b/src/test/java/mallowstall/core/kv/ReplicaSyncTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The replica is listed in pages while keys change, and then watched. */
+/** Tests that a state replica is complete after a listing in pages during which keys change. */
 class ReplicaSyncTest {
   private static final String MACHINE = "m-000001";
   private static final String FORMER_GROUP = "c/g/9-1";
@@ -33,15 +33,15 @@
   private static final long RELISTED_AT_MS = 5_000;
 
   private final EventClock clock = new EventClock();
-  private final List<Consumer<ListResult>> lists = new ArrayList<>();
-  private final List<Consumer<WatchResult>> watches = new ArrayList<>();
-  private final List<String> returned = new ArrayList<>();
-  private final List<Long> syncedAt = new ArrayList<>();
+  private final List<Consumer<ListResult>> pendingLists = new ArrayList<>();
+  private final List<Consumer<WatchResult>> pendingWatches = new ArrayList<>();
+  private final List<String> returnedMachines = new ArrayList<>();
+  private final List<Long> syncedRevisions = new ArrayList<>();
   private StateReplica replica;
   private ReplicaSync sync;
 
   @BeforeEach
-  void listenToReplica() {
+  void createReplica() {
     CoreSettings settings = CoreSettingsBuilder.settingsOf("n0").peers(List.of("n1")).build();
     replica = new StateReplica("c/n/n0", session -> {});
     replica.subscribe(
@@ -51,7 +51,7 @@
 
           @Override
           public void machineReturned(String machine) {
-            returned.add(machine);
+            returnedMachines.add(machine);
           }
 
           @Override
@@ -62,33 +62,33 @@
 
           @Override
           public void replicaSynced(long revision) {
-            syncedAt.add(revision);
+            syncedRevisions.add(revision);
           }
         });
     RequestQueue queue = new RequestQueue(clock, settings);
     sync =
         new ReplicaSync(
-            clock, new StateRequests(clock, listsAndWatches(), queue, replica), replica);
+            clock, new StateRequests(clock, listAndWatchEffects(), queue, replica), replica);
   }
 
-  /** Keeps the callbacks of listings and watches; nothing else is asked for. */
+  /** Returns effects that keep the callbacks of list and watch requests and reject all others. */
   @SuppressWarnings("unchecked")
-  private Effects listsAndWatches() {
+  private Effects listAndWatchEffects() {
     return (Effects)
         Proxy.newProxyInstance(
             Effects.class.getClassLoader(),
             new Class<?>[] {Effects.class},
             (proxy, method, arguments) -> {
               switch (method.getName()) {
-                case "list" -> lists.add((Consumer<ListResult>) arguments[1]);
-                case "watch" -> watches.add((Consumer<WatchResult>) arguments[2]);
+                case "list" -> pendingLists.add((Consumer<ListResult>) arguments[1]);
+                case "watch" -> pendingWatches.add((Consumer<WatchResult>) arguments[2]);
                 default -> throw new UnsupportedOperationException(method.getName());
               }
               return null;
             });
   }
 
-  /** A group of another machine. */
+  /** Returns a group that holds another machine. */
   private static KeyValue otherGroup(String key, long revision) {
     MachineGroupMember other = new MachineGroupMember("m-000002", "t8", "a", false);
     return new KeyValue(key, new MachineGroupEntry("n1", 3, List.of(other)), revision);
@@ -99,79 +99,88 @@
     return new KeyValue(key, new MachineGroupEntry(node, 3, members), revision);
   }
 
-  private void page(List<KeyValue> items, boolean hasMore, long revision) {
-    lists.remove(0).accept(new ListResult(ResultCode.OK, items, hasMore, revision));
+  private void answerList(List<KeyValue> items, boolean hasMore, long revision) {
+    pendingLists.remove(0).accept(new ListResult(ResultCode.OK, items, hasMore, revision));
   }
 
-  private void watchAnswer(ResultCode code, List<KeyValue> events, long revision) {
-    watches.remove(0).accept(new WatchResult(code, events, revision));
+  private void answerWatch(ResultCode code, List<KeyValue> events, long revision) {
+    pendingWatches.remove(0).accept(new WatchResult(code, events, revision));
   }
 
-  /** The replica holds the machine by its former group, and its watch has had a gap. */
-  private void listAnewAfterGap() {
+  /** Syncs a replica that holds the machine in its former group, then lets its watch expire. */
+  private void relistAfterExpiredWatch() {
     sync.start();
-    page(List.of(group(FORMER_GROUP, "n1", 50)), false, 60);
+    answerList(List.of(group(FORMER_GROUP, "n1", 50)), false, 60);
     assertTrue(sync.synced());
     clock.advance(RELISTED_AT_MS, 0);
-    watchAnswer(ResultCode.EXPIRED, List.of(), 0);
+    answerWatch(ResultCode.EXPIRED, List.of(), 0);
     assertFalse(sync.synced());
   }
 
-  /** Guards against a living machine that counts as returned while groups are listed in pages. */
+  /**
+   * Guards against a machine in use that counts as returned: while groups are listed in pages, the
+   * machine moves from a group on a later page to one that belongs on a page already read.
+   */
   @Test
-  void machineThatTurnsToAnEarlierListedGroupIsNotReturned() {
-    listAnewAfterGap();
-    page(List.of(otherGroup("c/g/2-1", 40)), true, 100);
-    // the machine turns to a group that belongs on the page just read; its former group goes
-    page(List.of(), false, 103);
-    assertEquals(List.of(), returned);
-    assertEquals(0, sync.revision(), "what changed while the pages were read isn't known yet");
-    assertEquals(0, sync.freshAtMs(), "nor is the replica known to be fresh");
-    watchAnswer(
+  void machineThatMovesToAlreadyListedGroupIsNotReturned() {
+    relistAfterExpiredWatch();
+    answerList(List.of(otherGroup("c/g/2-1", 40)), true, 100);
+    // the machine moves to a group that belongs on the page just read; its former group is deleted
+    answerList(List.of(), false, 103);
+    assertEquals(List.of(), returnedMachines);
+    assertEquals(0, sync.revision(), "changes made while the pages were read are still unknown");
+    assertEquals(0, sync.freshAtMs(), "the replica is not known to be fresh again");
+    answerWatch(
         ResultCode.OK,
         List.of(group(NEW_GROUP, "n2", 101), new KeyValue(FORMER_GROUP, null, 102)),
         103);
     assertEquals(103, sync.revision());
     assertEquals(RELISTED_AT_MS, sync.freshAtMs());
     assertEquals("n2", replica.machine(MACHINE).node());
-    assertEquals(List.of(), returned);
-    assertEquals(List.of(60L, 100L), syncedAt);
+    assertEquals(List.of(), returnedMachines);
+    assertEquals(List.of(60L, 100L), syncedRevisions);
   }
 
-  /** A machine that was returned while no watch ran is on no page, and nothing brings it back. */
+  /** A machine that was returned while no watch ran is on no page and not among later changes. */
   @Test
-  void machineReturnedDuringTheGapIsRemoved() {
-    listAnewAfterGap();
-    page(List.of(otherGroup("c/g/2-1", 40)), true, 100);
-    page(List.of(), false, 103);
-    watchAnswer(ResultCode.OK, List.of(), 103);
+  void machineReturnedWhileUnwatchedIsRemoved() {
+    relistAfterExpiredWatch();
+    answerList(List.of(otherGroup("c/g/2-1", 40)), true, 100);
+    answerList(List.of(), false, 103);
+    answerWatch(ResultCode.OK, List.of(), 103);
     assertNull(replica.machine(MACHINE));
-    assertEquals(List.of(MACHINE), returned);
+    assertEquals(List.of(MACHINE), returnedMachines);
   }
 
-  /** A watch that is refused leaves the replica incomplete; one that expired lists once more. */
+  /**
+   * The replica stays incomplete while its watch is rejected. It is listed again if the watch
+   * expires before it has caught up.
+   */
   @Test
-  void replicaStaysIncompleteUntilTheWatchHasCaughtUp() {
-    listAnewAfterGap();
-    page(List.of(otherGroup("c/g/2-1", 40)), true, 100);
-    page(List.of(), false, 103);
-    watchAnswer(ResultCode.EXPIRED, List.of(), 0);
+  void replicaIsRelistedIfWatchExpiresBeforeCatchingUp() {
+    relistAfterExpiredWatch();
+    answerList(List.of(otherGroup("c/g/2-1", 40)), true, 100);
+    answerList(List.of(), false, 103);
+    answerWatch(ResultCode.EXPIRED, List.of(), 0);
     assertFalse(sync.synced());
-    assertEquals(1, lists.size(), "listed once more");
-    page(List.of(otherGroup("c/g/2-1", 40), group(NEW_GROUP, "n2", 101)), false, 110);
+    assertEquals(1, pendingLists.size(), "relisted");
+    answerList(List.of(otherGroup("c/g/2-1", 40), group(NEW_GROUP, "n2", 101)), false, 110);
     assertTrue(sync.synced());
     assertEquals("n2", replica.machine(MACHINE).node());
-    assertEquals(List.of(), returned);
+    assertEquals(List.of(), returnedMachines);
   }
 
-  /** Guards against a return that is not heard of since a late registration is known already. */
+  /**
+   * Guards against a missed return of a machine: the replica already holds a late registration with
+   * a higher revision when the deletion of the machine's entry arrives.
+   */
   @Test
-  void returnIsHeardOfAlthoughALaterEntryIsKnown() {
+  void machineReturnIsNotifiedAlthoughLaterEntryIsKnown() {
     sync.start();
-    page(List.of(), false, 60);
+    answerList(List.of(), false, 60);
     replica.apply(group(NEW_GROUP, "n0", 80));
-    watchAnswer(ResultCode.OK, List.of(new KeyValue("c/m/" + MACHINE, null, 70)), 70);
-    assertEquals(List.of(MACHINE), returned);
+    answerWatch(ResultCode.OK, List.of(new KeyValue("c/m/" + MACHINE, null, 70)), 70);
+    assertEquals(List.of(MACHINE), returnedMachines);
     assertEquals("n0", replica.machine(MACHINE).node());
   }
 }
--- a/src/test/java/mallowstall/core/kv/ValueSizeTest.java
+++ b/src/test/java/mallowstall/core/kv/ValueSizeTest.java
@@ -13,7 +13,9 @@
 import mallowstall.state.StoredEntries;
 import org.junit.jupiter.api.Test;
 
-/** Lists are cut by the size of the encoded value, whatever the names in them. */
+/**
+ * Tests that lists are cut to fit the maximum size of an encoded value, for names of any length.
+ */
 class ValueSizeTest {
   private static final int LIMIT_BYTES = 2_048;
 
@@ -34,35 +36,35 @@
   void digestFillsAtLeastHalfTheLimit() {
     for (int nameLength : new int[] {8, 40, 200}) {
       List<FreeCapacity> all = capacities(200, nameLength);
-      List<FreeCapacity> some =
+      List<FreeCapacity> prefix =
           ValueSize.longestFittingPrefix(
               all, r -> encodedSize(new DigestEntry(Long.MAX_VALUE, r, 1e17)), LIMIT_BYTES);
-      int bytes = encodedSize(new DigestEntry(Long.MAX_VALUE, some, 1e17));
+      int bytes = encodedSize(new DigestEntry(Long.MAX_VALUE, prefix, 1e17));
       assertTrue(bytes <= LIMIT_BYTES, "bytes: " + bytes);
       assertTrue(bytes > LIMIT_BYTES / 2, "bytes: " + bytes);
-      assertEquals(all.subList(0, some.size()), some);
+      assertEquals(all.subList(0, prefix.size()), prefix);
     }
   }
 
   @Test
-  void groupFitsForAnyNames() {
+  void machineGroupFitsForNamesOfAnyLength() {
     for (int nameLength : new int[] {8, 40, 200}) {
       String name = "t".repeat(nameLength);
       List<MachineGroupMember> all = new ArrayList<>();
-      for (FreeCapacity room : capacities(100, nameLength)) {
-        all.add(new MachineGroupMember(room.machine(), name, name, false));
+      for (FreeCapacity capacity : capacities(100, nameLength)) {
+        all.add(new MachineGroupMember(capacity.machine(), name, name, false));
       }
-      List<MachineGroupMember> some =
+      List<MachineGroupMember> prefix =
           ValueSize.longestFittingPrefix(
               all, g -> encodedSize(new MachineGroupEntry(name, Long.MAX_VALUE, g)), LIMIT_BYTES);
-      int bytes = encodedSize(new MachineGroupEntry(name, Long.MAX_VALUE, some));
+      int bytes = encodedSize(new MachineGroupEntry(name, Long.MAX_VALUE, prefix));
       assertTrue(bytes <= LIMIT_BYTES, "bytes: " + bytes);
       assertTrue(bytes > LIMIT_BYTES / 2, "bytes: " + bytes);
     }
   }
 
   @Test
-  void valuesThatFitAreUnchanged() {
+  void listThatFitsIsNotCut() {
     List<FreeCapacity> all = capacities(3, 8);
     assertEquals(
         all,
--- a/src/test/java/mallowstall/core/machines/MachineIdlenessTest.java
+++ b/src/test/java/mallowstall/core/machines/MachineIdlenessTest.java
@@ -33,8 +33,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against a machine's idleness that is told seconds late: each way by which the last
- * reservation or task goes shows in the next status update.
+ * Guards against idleness of a machine that is published seconds late. The next status update must
+ * show the machine as idle, in whichever way its last reservation or task has ended.
  */
 class MachineIdlenessTest {
   private static final String MACHINE = "m-000001";
@@ -42,7 +42,7 @@
   private static final long TOKEN = 5;
   private static final long ATTEMPT = 7;
   private static final long WALL_MS = 1_700_000_000_000L;
-  private static final long START_LIFE_MS = 8_000;
+  private static final long START_REQUEST_LIFETIME_MS = 8_000;
   private static final long HEARTBEAT_MS = 1_000;
   private static final MachineType TYPE =
       new MachineType("t8", 8, 0, 32, 20, 1, 1.0, 0.3, 8, List.of("a", "b"));
@@ -60,14 +60,14 @@
   private HeartbeatHandler handler;
   private ManagedMachine machine;
   private long nowMs = 1_000;
-  private long heartbeats;
-  private long updates;
+  private long heartbeatSequence;
+  private long updateNumber;
   private final JobEntry job =
       JobEntry.newlyAccepted(batchJob(JOB).tasks(1).cpus(1).build(), WALL_MS, "n0", 1);
 
   @BeforeEach
-  void leadIdleMachine() {
-    Effects effects = unanswered();
+  void registerIdleMachine() {
+    Effects effects = effectsWithoutAnswers();
     store = new StateStore(clock, settings, effects);
     CancellationExchange cancellations = new CancellationExchange(store, id -> {});
     store.subscribe(
@@ -87,7 +87,7 @@
         new StatusUpdateSequence(settings, store, cancellations, machines, statuses);
     StatusPublisher publisher =
         new StatusPublisher(
-            clock, new EventLoopLag(), settings, effects, uncounted(), view, sequence, u -> {});
+            clock, new EventLoopLag(), settings, effects, noOpMetrics(), view, sequence, u -> {});
     FencingTokens tokens =
         new FencingTokens(machines, new MachineEntryWriter(settings, effects, store), publisher);
     applier =
@@ -99,14 +99,14 @@
             applier,
             new HeartbeatResponder(clock, store, bitmaps, cancellations, machines, publisher));
     storeJob(job, 3);
-    pass(0);
+    advanceTime(0);
     machine = machines.add(MACHINE, TYPE, "a", false, TOKEN);
     handler.handle(machine, heartbeat());
     publish();
   }
 
-  /** The outside answers nothing. */
-  private static Effects unanswered() {
+  /** Returns effects that never answer. */
+  private static Effects effectsWithoutAnswers() {
     return (Effects)
         Proxy.newProxyInstance(
             Effects.class.getClassLoader(),
@@ -114,7 +114,7 @@
             (proxy, method, arguments) -> null);
   }
 
-  private static Metrics uncounted() {
+  private static Metrics noOpMetrics() {
     return new Metrics() {
       @Override
       public void increment(String what) {}
@@ -128,14 +128,14 @@
     store.applyChange(new KeyValue(StateKeys.job(JOB), entry, revision));
   }
 
-  private void pass(long ms) {
+  private void advanceTime(long ms) {
     nowMs += ms;
     clock.advance(nowMs, WALL_MS + nowMs);
   }
 
   private Heartbeat heartbeat(TaskReport... tasks) {
     return new Heartbeat(
-        MACHINE, "addr", "t8", "a", false, 1, ++heartbeats, TOKEN, null, List.of(tasks));
+        MACHINE, "addr", "t8", "a", false, 1, ++heartbeatSequence, TOKEN, null, List.of(tasks));
   }
 
   private static TaskReport running() {
@@ -143,122 +143,131 @@
   }
 
   private void publish() {
-    statuses.publishChanges(++updates, nowMs);
+    statuses.publishChanges(++updateNumber, nowMs);
   }
 
-  /** A start is accepted and told, and waits for the next heartbeat. */
-  private void reserve() {
+  /** Reserves a start, publishes it, and advances the time to the next heartbeat. */
+  private void reserveStart() {
     StartRequest start =
         new StartRequest(
-            MACHINE, JOB, 0, ATTEMPT, 1, clock.wallClockMs() + START_LIFE_MS, List.of());
+            MACHINE,
+            JOB,
+            0,
+            ATTEMPT,
+            1,
+            clock.wallClockMs() + START_REQUEST_LIFETIME_MS,
+            List.of());
     machine.tasks().reserve(new Reservation(start, job.spec()), clock.now());
     publish();
-    assertEquals(0, machine.published().status().idleMs(), "told as busy");
-    pass(HEARTBEAT_MS);
+    assertEquals(0, machine.published().status().idleMs(), "published as busy");
+    advanceTime(HEARTBEAT_MS);
   }
 
-  /** A task is listed as running and told. */
-  private void run() {
+  /** Reports a running task, publishes it, and advances the time to the next heartbeat. */
+  private void runTask() {
     handler.handle(machine, heartbeat(running()));
     publish();
-    assertEquals(0, machine.published().status().idleMs(), "told as busy");
-    pass(HEARTBEAT_MS);
+    assertEquals(0, machine.published().status().idleMs(), "published as busy");
+    advanceTime(HEARTBEAT_MS);
   }
 
-  private void assertIdlenessTold(long idleMs) {
+  private void assertIdlenessPublished(long idleMs) {
     assertEquals(List.of(), statuses.unpublishedChanges());
     publish();
     assertEquals(idleMs, machine.published().status().idleMs());
   }
 
   @Test
-  void reservationThatIsNoLongerNeeded() {
-    reserve();
+  void machineIsIdleAfterJobOfReservationIsCancelled() {
+    reserveStart();
     storeJob(job.withOutcome(JobOutcome.CANCELLED), 4);
     handler.handle(machine, heartbeat());
     assertTrue(machine.tasks().isEmpty());
-    pass(500);
-    assertIdlenessTold(500);
+    advanceTime(500);
+    assertIdlenessPublished(500);
   }
 
   @Test
-  void reservationThatIsToBeStopped() {
-    reserve();
+  void machineIsIdleAfterReservedStartIsStopped() {
+    reserveStart();
     machine.tasks().requestStop(new StopRequest(MACHINE, JOB, 0, ATTEMPT, 0));
     handler.handle(machine, heartbeat());
     assertTrue(machine.tasks().isEmpty());
-    pass(500);
-    assertIdlenessTold(500);
+    advanceTime(500);
+    assertIdlenessPublished(500);
   }
 
   @Test
-  void reservationThatIsTooLate() {
-    reserve();
-    pass(START_LIFE_MS);
+  void machineIsIdleAfterReservationExpires() {
+    reserveStart();
+    advanceTime(START_REQUEST_LIFETIME_MS);
     handler.handle(machine, heartbeat());
     assertTrue(machine.tasks().isEmpty());
-    pass(500);
-    assertIdlenessTold(500);
+    advanceTime(500);
+    assertIdlenessPublished(500);
   }
 
   @Test
-  void reservationThatTheWorkerRejects() {
-    reserve();
+  void machineIsIdleAfterWorkerRejectsStart() {
+    reserveStart();
     TaskReport rejected =
         new TaskReport(JOB, 0, ATTEMPT, TaskState.EXITED, ExitReason.INSUFFICIENT_CAPACITY, false);
     handler.handle(machine, heartbeat(rejected));
     handler.handle(machine, heartbeat());
     assertTrue(machine.tasks().isEmpty());
-    pass(500);
-    assertIdlenessTold(500);
+    advanceTime(500);
+    assertIdlenessPublished(500);
   }
 
   @Test
-  void taskThatHasEnded() {
-    run();
+  void machineIsIdleAfterTaskHasEnded() {
+    runTask();
     handler.handle(machine, heartbeat());
-    pass(500);
-    assertIdlenessTold(500);
+    advanceTime(500);
+    assertIdlenessPublished(500);
   }
 
   @Test
-  void taskThatADirectCommandHasStopped() {
-    run();
+  void machineIsIdleAfterDirectCommandStoppedTask() {
+    runTask();
     applier.apply(machine, heartbeat(), false);
-    pass(500);
-    assertIdlenessTold(500);
+    advanceTime(500);
+    assertIdlenessPublished(500);
   }
 
   @Test
-  void taskWhoseLeaseHasExpired() {
-    run();
+  void machineIsIdleAfterWorkerLeaseExpired() {
+    runTask();
     machine.expireLease(clock.now());
     handler.handle(machine, heartbeat());
-    pass(500);
-    assertIdlenessTold(500);
+    advanceTime(500);
+    assertIdlenessPublished(500);
   }
 
-  /** Handed to another leader and back, the machine is told as its new leadership finds it. */
+  /**
+   * A controller that leads a machine again, after another leader, publishes the machine's present
+   * state.
+   */
   @Test
-  void machineThatChangesItsLeader() {
-    run();
+  void machineIsIdleAfterLeadershipReturns() {
+    runTask();
     machines.remove(MACHINE);
     assertEquals(List.of(), statuses.unpublishedChanges());
-    pass(HEARTBEAT_MS);
+    advanceTime(HEARTBEAT_MS);
     machine = machines.add(MACHINE, TYPE, "a", false, TOKEN);
     handler.handle(machine, heartbeat());
-    pass(500);
-    assertIdlenessTold(500);
+    advanceTime(500);
+    assertIdlenessPublished(500);
   }
 
-  /** Idleness isn't told as busy by a heartbeat that changes nothing. */
+  /** A heartbeat without changes leaves an idle machine idle and a reserved one busy. */
   @Test
-  void idleMachineStaysIdle() {
-    pass(HEARTBEAT_MS);
+  void heartbeatWithoutChangesKeepsIdleness() {
+    advanceTime(HEARTBEAT_MS);
     handler.handle(machine, heartbeat());
     assertEquals(List.of(), statuses.unpublishedChanges());
     assertTrue(machine.published().status().idleMs() > 0);
-    reserve();
+    reserveStart();
     handler.handle(machine, heartbeat());
     assertEquals(List.of(), statuses.unpublishedChanges());
     assertEquals(0, machine.published().status().idleMs());
--- a/src/test/java/mallowstall/core/model/CoreSettingsBuilder.java
+++ b/src/test/java/mallowstall/core/model/CoreSettingsBuilder.java
@@ -4,8 +4,9 @@
 import java.util.Map;
 
 /**
- * Builds a core's settings for tests. What no test sets is the same for all: a heartbeat each
- * second, leases of 10 s, cancellations within 35 s, and no teams, zones or peers.
+ * Builds the settings of a controller core for tests. By default workers send a heartbeat each
+ * second, worker leases last 10 s, cancellations take at most 35 s, and there are no teams, zones
+ * or peers.
  */
 public final class CoreSettingsBuilder {
   private final String node;
@@ -27,30 +28,30 @@
     this.node = node;
   }
 
-  /** The settings of the controller of this name. */
+  /** Returns a builder for the settings of the controller with this name. */
   public static CoreSettingsBuilder settingsOf(String node) {
     return new CoreSettingsBuilder(node);
   }
 
-  /** The names of the other controllers. */
+  /** Sets the names of the other controllers. */
   public CoreSettingsBuilder peers(List<String> value) {
     peers = value;
     return this;
   }
 
-  /** The zone of each controller. */
+  /** Sets the zone of each controller, by its name. */
   public CoreSettingsBuilder nodeZones(Map<String, String> value) {
     nodeZones = value;
     return this;
   }
 
-  /** The teams with their quotas, by name. */
+  /** Sets the teams with their quotas, by name. */
   public CoreSettingsBuilder teams(Map<String, Team> value) {
     teams = value;
     return this;
   }
 
-  /** How often workers send heartbeats, how long their leases last, how soon jobs are cancelled. */
+  /** Sets the heartbeat interval, the worker lease and the maximum duration of a cancellation. */
   public CoreSettingsBuilder timesMs(long heartbeatInterval, long workerLease, long cancellation) {
     heartbeatIntervalMs = heartbeatInterval;
     workerLeaseMs = workerLease;
@@ -58,34 +59,34 @@
     return this;
   }
 
-  /** Requests to the state service, and writes among them, in a second. */
+  /** Sets the maximum requests to the state service per second, and the writes among them. */
   public CoreSettingsBuilder stateRates(double requestsPerS, double writesPerS) {
     stateRequestsPerS = requestsPerS;
     stateWritesPerS = writesPerS;
     return this;
   }
 
-  /** What the state service takes in one transaction, and in one value. */
+  /** Sets the maximum operations of a transaction and the maximum bytes of a value. */
   public CoreSettingsBuilder stateLimits(int transactionOps, int valueBytes) {
     maxTransactionOps = transactionOps;
     maxValueBytes = valueBytes;
     return this;
   }
 
-  /** How often the cloud may be asked, and how late its inventory may be. */
+  /** Sets the maximum requests to the cloud per second and the maximum lag of its inventory. */
   public CoreSettingsBuilder cloud(double requestsPerS, long lagMs) {
     cloudRequestsPerS = requestsPerS;
     inventoryLagMs = lagMs;
     return this;
   }
 
-  /** The program version that the controller shows to its peers. */
+  /** Sets the program version that the controller publishes to its peers. */
   public CoreSettingsBuilder programVersion(int value) {
     programVersion = value;
     return this;
   }
 
-  /** The settings as set so far. */
+  /** Returns the settings with the values set so far. */
   public CoreSettings build() {
     return new CoreSettings(
         node,
--- a/src/test/java/mallowstall/core/model/JobSpecBuilder.java
+++ b/src/test/java/mallowstall/core/model/JobSpecBuilder.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * Builds descriptions of jobs for tests. Unless set otherwise a job has one task of 2 cpus, normal
- * priority, the team {@code free}, an image of its own, and may run on any machine.
+ * Builds job specifications for tests. By default a job has one task of 2 cpus, normal priority,
+ * the team {@code free} and an image of its own, and it may run on any machine.
  */
 public final class JobSpecBuilder {
-  /** The class of a job of each priority; spelt out, so as to depend on no name in the program. */
+  /** The default job classes by priority, as literals that depend on no name in the program. */
   private static final List<String> CLASSES =
       List.of("c-LOW", "c-NORMAL", "c-HIGH", "c-PRODUCTION");
 
@@ -38,22 +38,22 @@
     image = id;
   }
 
-  /** A batch job that is estimated to run for 4 s and due after 60 s. */
+  /** Returns a builder for a batch job with an estimated run time of 4 s and a deadline of 60 s. */
   public static JobSpecBuilder batchJob(String id) {
     return new JobSpecBuilder(id, JobKind.BATCH).estimatedRunS(4).deadlineS(60.0);
   }
 
-  /** A service: its tasks are replicas, which run until it is cancelled. */
+  /** Returns a builder for a service, whose replicas run until the service is cancelled. */
   public static JobSpecBuilder service(String id) {
     return new JobSpecBuilder(id, JobKind.SERVICE);
   }
 
-  /** The same job as this one in all that isn't set afterwards. */
+  /** Returns a builder that starts with the values of this job. */
   public static JobSpecBuilder copyOf(JobSpec spec) {
     return copyOf(spec, spec.kind());
   }
 
-  /** The same job as this one, but of this kind. */
+  /** Returns a builder that starts with the values of this job except its kind. */
   public static JobSpecBuilder copyOf(JobSpec spec, JobKind kind) {
     JobSpecBuilder copy = new JobSpecBuilder(spec.id(), kind);
     copy.jobClass = spec.jobClass();
@@ -77,85 +77,85 @@
     return copy;
   }
 
-  /** Its class; by default one for each priority. */
+  /** Sets the job class; by default it depends on the priority. */
   public JobSpecBuilder jobClass(String value) {
     jobClass = value;
     return this;
   }
 
-  /** The team whose quota it counts against. */
+  /** Sets the team whose quota the job counts against. */
   public JobSpecBuilder team(String value) {
     team = value;
     return this;
   }
 
-  /** Its priority; normal unless set. */
+  /** Sets the priority; normal by default. */
   public JobSpecBuilder priority(Priority value) {
     priority = value;
     return this;
   }
 
-  /** The number of its tasks, or of its replicas. */
+  /** Sets the number of tasks, or of replicas of a service. */
   public JobSpecBuilder tasks(int value) {
     tasks = value;
     return this;
   }
 
-  /** What each of its tasks takes. */
+  /** Sets the number of cpus of each task. */
   public JobSpecBuilder cpus(double value) {
     cpus = value;
     return this;
   }
 
-  /** The image of its tasks; by default one of its own. */
+  /** Sets the image of the tasks; by default it is named like the job. */
   public JobSpecBuilder image(String value) {
     image = value;
     return this;
   }
 
-  /** The only machine types that it may run on; null: any. */
+  /** Sets the allowed machine types; null allows all. */
   public JobSpecBuilder machineTypes(List<String> value) {
     machineTypes = value;
     return this;
   }
 
-  /** The only zone that it may run in; null: any. */
+  /** Sets the required zone; null allows any. */
   public JobSpecBuilder zone(String value) {
     zone = value;
     return this;
   }
 
-  /** Whether all its tasks must run in one zone. */
+  /** Sets whether all tasks must run in one zone. */
   public JobSpecBuilder singleZone(boolean value) {
     singleZone = value;
     return this;
   }
 
-  /** Whether at most half of its tasks may run in one zone. */
+  /** Sets whether at most half of the tasks may run in one zone. */
   public JobSpecBuilder spread(boolean value) {
     spread = value;
     return this;
   }
 
-  /** Whether it may run on spot machines. */
+  /** Sets whether the job may run on spot machines. */
   public JobSpecBuilder spot(boolean value) {
     spot = value;
     return this;
   }
 
-  /** How long a task runs, as its user estimates, in seconds. */
+  /** Sets the user's estimate of the run time of a task in seconds. */
   public JobSpecBuilder estimatedRunS(double value) {
     estimatedRunS = value;
     return this;
   }
 
-  /** Its deadline in seconds; null: none. */
+  /** Sets the deadline in seconds after submission; null if the job has none. */
   public JobSpecBuilder deadlineS(Double value) {
     deadlineS = value;
     return this;
   }
 
-  /** The description as set so far. */
+  /** Returns the job specification with the values set so far. */
   public JobSpec build() {
     return new JobSpec(
         id,
--- a/src/test/java/mallowstall/core/model/MachineStatusBuilder.java
+++ b/src/test/java/mallowstall/core/model/MachineStatusBuilder.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * Builds what machine leaders publish of a machine, for tests. Unless set otherwise it is an empty,
- * usable on-demand machine of 8 cpus in zone {@code a}, which no notice ends.
+ * Builds machine statuses, as machine leaders publish them, for tests. By default the machine is
+ * empty, usable and on demand, has 8 cpus, is in zone {@code a}, and has no interruption notice.
  */
 public final class MachineStatusBuilder {
   private final String id;
@@ -16,30 +16,33 @@
     this.id = id;
   }
 
-  /** The status of the machine of this name. */
+  /** Returns a builder for the status of the machine with this id. */
   public static MachineStatusBuilder statusOf(String id) {
     return new MachineStatusBuilder(id);
   }
 
-  /** Whether its leader wants it replaced. */
+  /** Sets whether the machine leader marks the machine as faulty and to be replaced. */
   public MachineStatusBuilder needsReplacement(boolean value) {
     needsReplacement = value;
     return this;
   }
 
-  /** Seconds until the cloud takes it away; negative: it has given no notice. */
+  /** Sets the seconds until the cloud interrupts the machine; negative if it gave no notice. */
   public MachineStatusBuilder interruptionNoticeS(double value) {
     interruptionNoticeS = value;
     return this;
   }
 
-  /** The tasks on it. */
+  /** Sets the tasks on the machine. */
   public MachineStatusBuilder tasks(List<TaskStatus> value) {
     tasks = value;
     return this;
   }
 
-  /** The status as set so far, newer than any that a simulated controller publishes. */
+  /**
+   * Returns the status with the values set so far. It is newer than any status that a simulated
+   * controller publishes.
+   */
   public MachineStatus build() {
     return new MachineStatus(
         id,
--- a/src/test/java/mallowstall/core/placement/PreemptionOrderTest.java
+++ b/src/test/java/mallowstall/core/placement/PreemptionOrderTest.java
@@ -21,7 +21,7 @@
 import mallowstall.core.quota.GuaranteedShares;
 import org.junit.jupiter.api.Test;
 
-/** Guards against chains of preemption that lead back to where they began. */
+/** Guards against preemption cycles, in which a preempted job in turn displaces its preemptor. */
 class PreemptionOrderTest {
   private static final int DRAWS = 3_000;
   private static final int JOBS = 8;
@@ -40,7 +40,7 @@
           openJobs);
   private final PreemptionOrder order = new PreemptionOrder(shares);
 
-  private JobSpec open(String id, String team, Priority priority, int cpus, long submittedMs) {
+  private JobSpec openJob(String id, String team, Priority priority, int cpus, long submittedMs) {
     JobSpec spec = batchJob(id).team(team).priority(priority).cpus(cpus).build();
     openJobs.jobChanged(null, JobEntry.newlyAccepted(spec, submittedMs, "n1", 1));
     shares.recompute();
@@ -52,7 +52,7 @@
     for (int i = 0; i < JOBS; i++) {
       String team = TEAMS.get(random.nextInt(TEAMS.size()));
       Priority priority = Priority.values()[random.nextInt(Priority.values().length)];
-      jobs.add(open("wk-" + i, team, priority, 1 + random.nextInt(8), random.nextInt(100)));
+      jobs.add(openJob("wk-" + i, team, priority, 1 + random.nextInt(8), random.nextInt(100)));
     }
     return jobs;
   }
@@ -61,7 +61,7 @@
     return order.ground(preemptor, true, victim).isPresent();
   }
 
-  /** All jobs that the first may push out, by itself or by others that it pushes out. */
+  /** Returns the ids of all jobs that the first one may preempt, directly or through a chain. */
   private Set<String> reachable(JobSpec first, List<JobSpec> jobs) {
     Set<String> reached = new HashSet<>();
     List<JobSpec> next = new ArrayList<>(List.of(first));
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void noChainLeadsBack() {
+  void preemptionHasNoCycles() {
     SplittableRandom random = new SplittableRandom(17);
     int pairs = 0;
     for (int draw = 0; draw < DRAWS; draw++) {
@@ -88,21 +88,27 @@
         assertFalse(reached.contains(job.id()), "draw " + draw + ": " + jobs);
       }
     }
-    assertTrue(pairs > DRAWS, "pairs of which one may push out the other: " + pairs);
+    assertTrue(pairs > DRAWS, "pairs of preemptor and victim: " + pairs);
   }
 
   @Test
-  void groundsAreNamed() {
-    JobSpec covered = open("wk-1", "one", Priority.LOW, 8, 1);
-    JobSpec production = open("wk-2", "three", Priority.PRODUCTION, 8, 2);
-    JobSpec normal = open("wk-3", "three", Priority.NORMAL, 8, 3);
+  void groundIsGuaranteedShareOrPriority() {
+    JobSpec covered = openJob("wk-1", "one", Priority.LOW, 8, 1);
+    JobSpec production = openJob("wk-2", "three", Priority.PRODUCTION, 8, 2);
+    JobSpec normal = openJob("wk-3", "three", Priority.NORMAL, 8, 3);
     assertEquals(
         Optional.of(PreemptionOrder.Ground.GUARANTEED_SHARE),
         order.ground(covered, true, production));
-    assertEquals(Optional.empty(), order.ground(covered, false, production), "not yet");
+    assertEquals(
+        Optional.empty(),
+        order.ground(covered, false, production),
+        "the share may not be claimed yet");
     assertEquals(
         Optional.of(PreemptionOrder.Ground.PRIORITY), order.ground(production, true, normal));
-    assertEquals(Optional.empty(), order.ground(production, true, covered), "would lose it again");
+    assertEquals(
+        Optional.empty(),
+        order.ground(production, true, covered),
+        "the victim's share would take the machine back");
     assertEquals(Optional.empty(), order.ground(normal, true, normal));
   }
 }
--- a/src/test/java/mallowstall/peers/GoldenMessagesTest.java
+++ b/src/test/java/mallowstall/peers/GoldenMessagesTest.java
@@ -32,9 +32,11 @@
 import mallowstall.core.model.TaskStatus;
 import org.junit.jupiter.api.Test;
 
-/** Every message between controllers is written to the same bytes as ever, and read from them. */
+/**
+ * Tests that each peer message is encoded to the bytes of its golden file and decoded from them.
+ */
 class GoldenMessagesTest {
-  /** A machine whose seven flags are the bits of a number, in the order of the record. */
+  /** Returns a machine whose seven flags are the bits of a number, in the order of the record. */
   private static MachineStatus machine(String id, String addr, int flags) {
     return new MachineStatus(
         id,
@@ -64,7 +66,7 @@
             new TaskStatus("wk-3", 1, 52, TaskState.EXITED, ExitReason.BUSY)));
   }
 
-  private static StatusUpdate roster(long since, List<MachineStatus> machines) {
+  private static StatusUpdate statusUpdate(long since, List<MachineStatus> machines) {
     return new StatusUpdate(
         "n3",
         12,
@@ -90,8 +92,8 @@
     for (int bit = 1; bit < 128; bit *= 2) {
       full.add(machine("m-" + bit, "10.0.0.1:9000", bit));
     }
-    all.put("roster-full", roster(0, full));
-    all.put("roster-incremental", roster(20, List.of(machine("m-1", "10.0.0.1:9000", 3))));
+    all.put("roster-full", statusUpdate(0, full));
+    all.put("roster-incremental", statusUpdate(20, List.of(machine("m-1", "10.0.0.1:9000", 3))));
     all.put(
         "roster-empty",
         new StatusUpdate(
@@ -135,27 +137,27 @@
   }
 
   @Test
-  void messagesAreWrittenAsEver() throws IOException {
-    for (Map.Entry<String, PeerMessage> each : messages().entrySet()) {
+  void messagesAreEncodedToGoldenBytes() throws IOException {
+    for (Map.Entry<String, PeerMessage> entry : messages().entrySet()) {
       Fixtures.assertSame(
-          "messages/" + each.getKey() + ".hex",
-          HexFormat.of().formatHex(PeerCodec.encode(each.getValue())));
+          "messages/" + entry.getKey() + ".hex",
+          HexFormat.of().formatHex(PeerCodec.encode(entry.getValue())));
     }
   }
 
   @Test
-  void messagesAreReadAsEver() throws IOException {
-    for (Map.Entry<String, PeerMessage> each : messages().entrySet()) {
-      byte[] sent = HexFormat.of().parseHex(Fixtures.text("messages/" + each.getKey() + ".hex"));
-      assertEquals(each.getValue(), PeerCodec.decode(sent), each.getKey());
+  void goldenBytesAreDecodedToMessages() throws IOException {
+    for (Map.Entry<String, PeerMessage> entry : messages().entrySet()) {
+      byte[] sent = HexFormat.of().parseHex(Fixtures.text("messages/" + entry.getKey() + ".hex"));
+      assertEquals(entry.getValue(), PeerCodec.decode(sent), entry.getKey());
     }
   }
 
   @Test
-  void statesAndReasonsKeepTheirNumbers() throws IOException {
+  void taskStatesAndExitReasonsKeepTheirEncoding() throws IOException {
     StringBuilder written = new StringBuilder();
     for (TaskState state : TaskState.values()) {
-      for (ExitReason why : ExitReason.values()) {
+      for (ExitReason exitReason : ExitReason.values()) {
         MachineStatus machine =
             new MachineStatus(
                 "m",
@@ -179,8 +181,8 @@
                 0,
                 0,
                 List.of(),
-                List.of(new TaskStatus("j", 0, 0, state, why)));
-        byte[] bytes = PeerCodec.encode(roster(0, List.of(machine)));
+                List.of(new TaskStatus("j", 0, 0, state, exitReason)));
+        byte[] bytes = PeerCodec.encode(statusUpdate(0, List.of(machine)));
         written.append(HexFormat.of().formatHex(bytes)).append('\n');
       }
     }
@@ -188,9 +190,9 @@
   }
 
   @Test
-  void everyKindOfMessageIsAmongThem() {
-    Set<Class<?>> fixed =
+  void everyMessageTypeIsCovered() {
+    Set<Class<?>> covered =
         messages().values().stream().map(PeerMessage::getClass).collect(Collectors.toSet());
-    assertEquals(Set.copyOf(Arrays.asList(PeerMessage.class.getPermittedSubclasses())), fixed);
+    assertEquals(Set.copyOf(Arrays.asList(PeerMessage.class.getPermittedSubclasses())), covered);
   }
 }
--- a/src/test/java/mallowstall/peers/PeerCodecTest.java
+++ b/src/test/java/mallowstall/peers/PeerCodecTest.java
@@ -33,9 +33,9 @@
 import org.apache.avro.io.DecoderFactory;
 import org.junit.jupiter.api.Test;
 
-/** Messages between controllers, read back with Avro's own reader. */
+/** Tests that peer messages are decoded to equal messages and follow the published schema. */
 class PeerCodecTest {
-  static final StatusUpdate ROSTER =
+  static final StatusUpdate STATUS_UPDATE =
       new StatusUpdate(
           "n1",
           3,
@@ -80,7 +80,7 @@
           List.of(new StartRejection("m-000007", "wk-000002", 0, 8, "no room")));
 
   @Test
-  void everyMessageSurvivesTheWire() throws IOException {
+  void everyMessageIsDecodedUnchanged() throws IOException {
     StartBatch startBatch =
         new StartBatch(
             "n1",
@@ -102,39 +102,47 @@
     OutcomeAnnouncement done = new OutcomeAnnouncement("n1", "wk-000002", JobOutcome.DONE);
     OutcomeAnnouncement cancelled =
         new OutcomeAnnouncement("n1", "wk-000003", JobOutcome.CANCELLED);
-    OutcomeAcknowledgement heard = new OutcomeAcknowledgement("n2", "wk-000002");
+    OutcomeAcknowledgement acknowledgement = new OutcomeAcknowledgement("n2", "wk-000002");
     AcceptanceQuery query = new AcceptanceQuery("n1", 3, 8, List.of("wk-000004", "wk-000005"));
     AcceptanceReply reply = new AcceptanceReply("n2", 3, 8, List.of("wk-000005"));
     AcceptanceQueryEnd queryEnd = new AcceptanceQueryEnd("n1", 3, 8);
     for (PeerMessage message :
-        List.of(ROSTER, startBatch, stopBatch, done, cancelled, heard, query, reply, queryEnd)) {
+        List.of(
+            STATUS_UPDATE,
+            startBatch,
+            stopBatch,
+            done,
+            cancelled,
+            acknowledgement,
+            query,
+            reply,
+            queryEnd)) {
       assertEquals(message, PeerCodec.decode(PeerCodec.encode(message)));
     }
   }
 
-  /**
-   * The hand-ordered fields must stay what the published schema says: Avro's own reader decides.
-   */
+  /** The hand-ordered fields must match the published schema. Avro's own reader checks this. */
   @Test
-  void theBytesFollowTheSchema() throws IOException {
+  void statusUpdateFollowsTheSchema() throws IOException {
     Schema all;
     try (InputStream in = PeerCodec.class.getResourceAsStream("/mallowstall/peers.avsc")) {
       all = new Schema.Parser().parse(in);
     }
-    byte[] b = PeerCodec.encode(ROSTER);
+    byte[] bytes = PeerCodec.encode(STATUS_UPDATE);
     GenericRecord message =
         new GenericDatumReader<GenericRecord>(all)
-            .read(null, DecoderFactory.get().binaryDecoder(b, null));
-    GenericRecord r = (GenericRecord) message.get("body");
-    assertEquals("n1", r.get("node").toString());
-    assertEquals("[wk-000009, wk-000010]", r.get("cancelled").toString());
-    GenericRecord m = (GenericRecord) ((List<?>) r.get("machines")).get(0);
-    assertEquals(12.25, m.get("freeMemoryGb"));
-    GenericRecord t = (GenericRecord) ((List<?>) m.get("tasks")).get(0);
-    assertEquals("EXITED", t.get("state").toString());
-    assertEquals("DONE", t.get("why").toString());
+            .read(null, DecoderFactory.get().binaryDecoder(bytes, null));
+    GenericRecord update = (GenericRecord) message.get("body");
+    assertEquals("n1", update.get("node").toString());
+    assertEquals("[wk-000009, wk-000010]", update.get("cancelled").toString());
+    GenericRecord machine = (GenericRecord) ((List<?>) update.get("machines")).get(0);
+    assertEquals(12.25, machine.get("freeMemoryGb"));
+    GenericRecord task = (GenericRecord) ((List<?>) machine.get("tasks")).get(0);
+    assertEquals("EXITED", task.get("state").toString());
+    assertEquals("DONE", task.get("why").toString());
     assertEquals(
-        "no room", ((GenericRecord) ((List<?>) r.get("refusals")).get(0)).get("reason").toString());
+        "no room",
+        ((GenericRecord) ((List<?>) update.get("refusals")).get(0)).get("reason").toString());
   }
 
   @Test
@@ -144,11 +152,11 @@
       all = new Schema.Parser().parse(in);
     }
     PeerMessage announcement = new OutcomeAnnouncement("n1", "wk-000003", JobOutcome.CANCELLED);
-    PeerMessage heard = new OutcomeAcknowledgement("n2", "wk-000003");
+    PeerMessage acknowledgement = new OutcomeAcknowledgement("n2", "wk-000003");
     assertEquals(
         "{\"node\": \"n1\", \"job\": \"wk-000003\", \"outcome\": \"CANCELLED\"}",
         bodyBySchema(all, announcement));
-    assertEquals("{\"node\": \"n2\", \"job\": \"wk-000003\"}", bodyBySchema(all, heard));
+    assertEquals("{\"node\": \"n2\", \"job\": \"wk-000003\"}", bodyBySchema(all, acknowledgement));
   }
 
   @Test
@@ -176,9 +184,9 @@
         .toString();
   }
 
-  /** An outcome or a kind of message of a later version is refused in one clear line. */
+  /** An outcome or a message kind of a later version is rejected with a clear one-line message. */
   @Test
-  void unknownOutcomesAndKindsAreRefused() {
+  void unknownOutcomesAndKindsAreRejected() {
     byte[] bytes = PeerCodec.encode(new OutcomeAnnouncement("n1", "wk-1", JobOutcome.CANCELLED));
     bytes[bytes.length - 1] = 4;
     IOException outcome = assertThrows(IOException.class, () -> PeerCodec.decode(bytes));
@@ -186,35 +194,37 @@
     bytes[0] = 16;
     IOException kind = assertThrows(IOException.class, () -> PeerCodec.decode(bytes));
     assertEquals("message kind is 8: expected 0 to 7", kind.getMessage());
-    byte[] cut = PeerCodec.encode(new OutcomeAcknowledgement("n1", "wk-1"));
-    assertThrows(IOException.class, () -> PeerCodec.decode(Arrays.copyOf(cut, cut.length - 2)));
+    byte[] complete = PeerCodec.encode(new OutcomeAcknowledgement("n1", "wk-1"));
+    assertThrows(
+        IOException.class, () -> PeerCodec.decode(Arrays.copyOf(complete, complete.length - 2)));
   }
 
   @Test
-  void cutOffBytesAreRefused() {
-    byte[] b = PeerCodec.encode(ROSTER);
-    assertThrows(IOException.class, () -> PeerCodec.decode(Arrays.copyOf(b, b.length / 2)));
+  void truncatedBytesAreRejected() {
+    byte[] bytes = PeerCodec.encode(STATUS_UPDATE);
+    assertThrows(IOException.class, () -> PeerCodec.decode(Arrays.copyOf(bytes, bytes.length / 2)));
   }
 
   /**
-   * Bytes of any kind give a message or an exception that is handled; never more memory than that.
+   * Corrupted bytes are decoded to a message or rejected with an IOException. They cause no other
+   * exception and no excessive use of memory.
    */
   @Test
-  void anyBytesAreAMessageOrRefused() {
-    SplittableRandom rnd = new SplittableRandom(5);
-    byte[] good = PeerCodec.encode(ROSTER);
-    int refused = 0;
+  void corruptedBytesAreDecodedOrRejected() {
+    SplittableRandom random = new SplittableRandom(5);
+    byte[] valid = PeerCodec.encode(STATUS_UPDATE);
+    int rejected = 0;
     for (int i = 0; i < 20_000; i++) {
-      byte[] b = good.clone();
-      for (int n = rnd.nextInt(6); n >= 0; n--) {
-        b[rnd.nextInt(b.length)] = (byte) rnd.nextInt(256);
+      byte[] bytes = valid.clone();
+      for (int n = random.nextInt(6); n >= 0; n--) {
+        bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
       }
       try {
-        PeerCodec.decode(b);
+        PeerCodec.decode(bytes);
       } catch (IOException failure) {
-        refused++;
+        rejected++;
       }
     }
-    assertTrue(refused > 5_000, "refused " + refused);
+    assertTrue(rejected > 5_000, "rejected " + rejected);
   }
 }
--- a/src/test/java/mallowstall/peers/StatusUpdateSizeTest.java
+++ b/src/test/java/mallowstall/peers/StatusUpdateSizeTest.java
@@ -12,11 +12,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against a full status update that no peer takes: one larger than a frame closes the
- * connection, and the next one is as large (docs/capacity.md).
+ * Guards against full status updates that no peer can receive. An update that is larger than a
+ * frame closes the connection, and the next full update is as large (docs/capacity.md).
  */
 class StatusUpdateSizeTest {
-  /** One controller leads all machines of a large fleet, as after the end of the others. */
+  /** One controller leads all machines of a large fleet, as after all other controllers ended. */
   private static final int MACHINES = 4_000;
 
   private static final int TASKS_PER_MACHINE = 32;
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void fullUpdateOfTheLargestFleetFitsAFrame() {
+  void fullStatusUpdateOfLargestFleetFitsInFrame() {
     List<MachineStatus> machines = new ArrayList<>();
     for (int i = 0; i < MACHINES; i++) {
       machines.add(machine(i));
--- a/src/test/java/mallowstall/state/GoldenEntriesTest.java
+++ b/src/test/java/mallowstall/state/GoldenEntriesTest.java
@@ -31,12 +31,13 @@
 import mallowstall.json.JsonReader;
 import org.junit.jupiter.api.Test;
 
-/** Every kind of stored entry is written to the same bytes as ever, and read back from them. */
+/** Tests that each kind of stored entry is encoded to the bytes of its golden file and back. */
 class GoldenEntriesTest {
-  /** An entry and a key that it would stand under. */
+  /** An entry and a key under which it may be stored. */
   private record Stored(String key, StoredEntry entry) {}
 
-  private static JobEntry job(Priority priority, JobKind kind, byte[] done, JobOutcome fin) {
+  private static JobEntry job(
+      Priority priority, JobKind kind, byte[] completionBits, JobOutcome outcome) {
     JobSpec spec =
         new JobSpec(
             "wk-000999",
@@ -59,7 +60,7 @@
             4.5,
             kind == JobKind.BATCH ? 3600.5 : null,
             kind);
-    return new JobEntry(spec, 1_700_000_000_123L, "n3", 12, 7, done, 2, 5, fin);
+    return new JobEntry(spec, 1_700_000_000_123L, "n3", 12, 7, completionBits, 2, 5, outcome);
   }
 
   private static Map<String, Stored> entries() {
@@ -112,14 +113,14 @@
   }
 
   @Test
-  void entriesAreWrittenAsEver() throws IOException {
+  void entriesAreEncodedToGoldenBytes() throws IOException {
     for (Map.Entry<String, Stored> each : entries().entrySet()) {
       Fixtures.assertSame("entries/" + each.getKey() + ".json", encoded(each.getValue().entry()));
     }
   }
 
   @Test
-  void entriesAreReadBackAndWrittenTheSame() throws IOException {
+  void goldenBytesAreDecodedAndEncodedUnchanged() throws IOException {
     for (Map.Entry<String, Stored> each : entries().entrySet()) {
       String written = Fixtures.text("entries/" + each.getKey() + ".json");
       Stored stored = each.getValue();
@@ -134,11 +135,11 @@
   }
 
   @Test
-  void everyKindOfEntryIsAmongThem() {
-    Set<Class<?>> fixed =
+  void everyEntryTypeIsCovered() {
+    Set<Class<?>> covered =
         entries().values().stream()
             .map(stored -> stored.entry().getClass())
             .collect(Collectors.toSet());
-    assertEquals(Set.copyOf(Arrays.asList(StoredEntry.class.getPermittedSubclasses())), fixed);
+    assertEquals(Set.copyOf(Arrays.asList(StoredEntry.class.getPermittedSubclasses())), covered);
   }
 }
--- a/src/test/java/mallowstall/state/ProductionFixturesTest.java
+++ b/src/test/java/mallowstall/state/ProductionFixturesTest.java
@@ -25,11 +25,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Values and messages as the version in production writes them: this version reads each, and writes
- * each that both must understand byte for byte the same.
+ * Tests that this version reads the values and messages which the version in production writes, and
+ * writes those that both versions must read with identical bytes.
  */
 class ProductionFixturesTest {
-  /** The files, and a key under which each value would stand. */
+  /** Files by name, each with a key under which its value may be stored. */
   private static final Map<String, String> VALUES =
       new TreeMap<>(
           Map.ofEntries(
@@ -73,15 +73,15 @@
   }
 
   @Test
-  void valuesAreReadAndWrittenByteForByteTheSame() throws IOException {
+  void valuesAreDecodedAndEncodedToIdenticalBytes() throws IOException {
     for (String file : VALUES.keySet()) {
-      String again = new String(StoredEntries.encode(value(file)), StandardCharsets.UTF_8);
-      assertEquals(text(file), again, file);
+      String encoded = new String(StoredEntries.encode(value(file)), StandardCharsets.UTF_8);
+      assertEquals(text(file), encoded, file);
     }
   }
 
   @Test
-  void whatTheValuesSayIsUnderstood() throws IOException {
+  void valuesAreDecodedToExpectedFields() throws IOException {
     JobEntry open = job("job-open.json");
     assertEquals(JobOutcome.NONE, open.outcome());
     assertEquals(JobKind.BATCH, open.spec().kind());
@@ -95,7 +95,7 @@
   }
 
   @Test
-  void messagesBetweenControllersAreReadAndWrittenByteForByteTheSame() throws IOException {
+  void peerMessagesAreDecodedAndEncodedToIdenticalBytes() throws IOException {
     for (Map.Entry<String, Class<? extends PeerMessage>> entry : MESSAGES.entrySet()) {
       byte[] sent = HexFormat.of().parseHex(text(entry.getKey()));
       PeerMessage message = PeerCodec.decode(sent);
--- a/src/test/java/mallowstall/users/Examples.java
+++ b/src/test/java/mallowstall/users/Examples.java
@@ -1,6 +1,6 @@
 package mallowstall.users;
 
-/** A submission as the protocol shows it. */
+/** Provides the example submission of the protocol to tests of other packages. */
 public final class Examples {
   public static final String JOB = SubmissionTest.GOOD;
 
--- a/src/test/java/mallowstall/users/GoldenAnswersTest.java
+++ b/src/test/java/mallowstall/users/GoldenAnswersTest.java
@@ -13,18 +13,18 @@
 import mallowstall.state.StoredEntries;
 import org.junit.jupiter.api.Test;
 
-/** What users are answered: status, seconds to wait before asking again, and the exact body. */
+/** Tests responses to users: status, seconds to wait before a retry, and the exact body. */
 class GoldenAnswersTest {
   private static final MachineType TYPE =
       new MachineType("g8", 32, 8, 256, 400, 1.5, 12, 4, 90, List.of("a", "b"));
 
-  private final StringBuilder answers = new StringBuilder();
+  private final StringBuilder responses = new StringBuilder();
   private OneController controller = new OneController(List.of(), List.of(TYPE));
 
-  private Responder note(String what) {
+  private Responder recordResponse(String label) {
     return (status, json, retryAfterS) ->
-        answers
-            .append(what)
+        responses
+            .append(label)
             .append(": ")
             .append(status)
             .append(" retry ")
@@ -38,28 +38,28 @@
     return new UserApiHandler(controller.core());
   }
 
-  private void submit(String what, String job) {
+  private void submit(String label, String job) {
     byte[] body = job.getBytes(StandardCharsets.UTF_8);
-    users().submit(new Request("POST", "/submissions", body), note(what));
+    users().submit(new Request("POST", "/submissions", body), recordResponse(label));
     controller.pass(100);
   }
 
-  private void query(String what, String id) {
-    users().query(id, note(what));
+  private void query(String label, String id) {
+    users().query(id, recordResponse(label));
     controller.pass(100);
   }
 
-  private void cancel(String what, String id) {
-    users().cancel(id, note(what));
+  private void cancel(String label, String id) {
+    users().cancel(id, recordResponse(label));
     controller.pass(100);
   }
 
-  private void assertAnswers(String file) throws IOException {
-    Fixtures.assertSame(file, answers.toString().stripTrailing());
+  private void assertResponses(String file) throws IOException {
+    Fixtures.assertSame(file, responses.toString().stripTrailing());
   }
 
   @Test
-  void aJobsStatesAreTold() throws IOException {
+  void jobStatesAreReturned() throws IOException {
     String service =
         SubmissionTest.GOOD
             .replace("wk-000412", "wk-000413")
@@ -88,13 +88,13 @@
     query("no name of a job", "job-1");
     cancel("cancelled no name of a job", "job-1");
 
-    assertAnswers("users-states.txt");
+    assertResponses("users-states.txt");
   }
 
   @Test
-  void whatNeverRunsIsRefused() throws IOException {
+  void submissionsThatCanNeverRunAreRejected() throws IOException {
     String good = SubmissionTest.GOOD;
-    String daemon = good.replace("\"batch\"", "\"daemon\"");
+    String service = good.replace("\"batch\"", "\"daemon\"");
     controller.pass(2_000);
 
     submit("team", good.replace("\"vision\"", "\"\u00e9 \\\"x\\\"\""));
@@ -102,17 +102,18 @@
     submit("zone", good.replace("\"patio\":null", "\"patio\":\"z\""));
     submit("memory", good.replace("\"mem_gb\":64.0", "\"mem_gb\":257"));
     submit("gpus", good.replace("\"gpus\":1.0", "\"gpus\":5"));
-    submit("replicas' cpus", daemon);
-    submit("replicas' gpus", daemon.replace("\"vcpus\":8.0", "\"vcpus\":1"));
+    submit("replicas' cpus", service);
+    submit("replicas' gpus", service.replace("\"vcpus\":8.0", "\"vcpus\":1"));
     submit("size", good.replace("[\"g8\"]", "[\"g8\"" + ",\"x\"".repeat(8_000) + "]"));
 
-    assertAnswers("users-refused.txt");
+    assertResponses("users-refused.txt");
   }
 
   @Test
-  void malformedSubmissionsAreRefused() throws IOException {
+  void malformedSubmissionsAreRejected() throws IOException {
     String good = SubmissionTest.GOOD;
-    // no job is accepted meanwhile, whose state would be told instead
+    // no job is accepted without the state service; its state would be returned in place of the
+    // error
     controller.stateServiceAnswers(false);
     controller.pass(2_000);
 
@@ -132,11 +133,11 @@
     submit("no cpus", good.replace("\"vcpus\":8.0", "\"vcpus\":0"));
     submit("tasks", good.replace("\"piezas\":16", "\"piezas\":100001"));
 
-    assertAnswers("users-malformed.txt");
+    assertResponses("users-malformed.txt");
   }
 
   @Test
-  void whatCannotBeDecidedIsPutOff() throws IOException {
+  void requestsThatCannotBeDecidedYetAreToBeRetried() throws IOException {
     controller = new OneController(List.of(), List.of());
     controller.pass(2_000);
     submit("no types", SubmissionTest.GOOD);
@@ -156,6 +157,6 @@
     query("not read", "wk-000412");
     cancel("not read, cancelled", "wk-000412");
 
-    assertAnswers("users-later.txt");
+    assertResponses("users-later.txt");
   }
 }
--- a/src/test/java/mallowstall/users/MalformedRepetitionTest.java
+++ b/src/test/java/mallowstall/users/MalformedRepetitionTest.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Guards against a 400 to the repetition of an accepted job (forgotten), however it is wrong. */
+/**
+ * Guards against an accepted job whose repeated submission is answered with status 400 because the
+ * repetition is malformed (violation "forgotten").
+ */
 class MalformedRepetitionTest {
   private static final MachineType TYPE =
       new MachineType("g8", 128, 8, 1_024, 400, 1.5, 12, 4, 90, List.of("a", "b"));
@@ -34,9 +37,9 @@
     return statuses.get(0);
   }
 
-  /** A field of the wrong type, before or after the job's id, doesn't hide which job it is. */
+  /** The job's id is read although a field before or after the id has the wrong type. */
   @Test
-  void wrongTypesAreReadAsARepetition() {
+  void repetitionWithWrongFieldTypesIsRecognized() {
     assertEquals(201, statusOf(Examples.JOB));
     String wrongTasks = Examples.JOB.replaceFirst("\"piezas\":[0-9]+", "\"piezas\":\"x\"");
     assertEquals(200, statusOf(wrongTasks));
@@ -45,9 +48,9 @@
     assertEquals(400, statusOf(unknown));
   }
 
-  /** Without a readable id nothing can be looked up. */
+  /** Without a readable id no job can be looked up, so the response is 400. */
   @Test
-  void bodiesWithoutAnIdAreRefused() {
+  void bodiesWithoutReadableIdAreRejected() {
     assertEquals(201, statusOf(Examples.JOB));
     assertEquals(400, statusOf(Examples.JOB.replaceFirst("\"wk-[0-9]+\"", "[1]")));
     assertEquals(400, statusOf(Examples.JOB.substring(0, Examples.JOB.lastIndexOf('}'))));
--- a/src/test/java/mallowstall/users/SubmissionTest.java
+++ b/src/test/java/mallowstall/users/SubmissionTest.java
@@ -11,7 +11,7 @@
 import mallowstall.core.model.Priority;
 import org.junit.jupiter.api.Test;
 
-/** Submissions: which are taken, and what is said of those that are wrong. */
+/** Tests which submissions are parsed and which messages malformed ones are rejected with. */
 class SubmissionTest {
   static final String GOOD =
       """
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void aSubmissionIsRead() throws MalformedSubmissionException {
+  void batchSubmissionIsParsed() throws MalformedSubmissionException {
     JobSpec spec = parse(GOOD);
     assertEquals(16, spec.tasks());
     assertEquals(Priority.HIGH, spec.priority());
@@ -35,28 +35,28 @@
     assertNull(parse(GOOD.replace("\"calibres\":[\"g8\"],", "")).machineTypes());
   }
 
-  /** A service has no run time to estimate, so 0 is right and no deadline needed. */
+  /** A service has no run time to estimate, so the estimate may be 0 and the deadline null. */
   @Test
-  void aServiceIsRead() throws MalformedSubmissionException {
-    String daemon =
+  void serviceSubmissionIsParsed() throws MalformedSubmissionException {
+    String service =
         GOOD.replace("\"batch\"", "\"daemon\"")
             .replace("\"aserrado_s\":240.0", "\"aserrado_s\":0")
             .replace("\"despacho_s\":900.0", "\"despacho_s\":null");
-    JobSpec spec = parse(daemon);
+    JobSpec spec = parse(service);
     assertEquals(JobKind.SERVICE, spec.kind());
     assertEquals(0, spec.estimatedRunS());
     assertNull(spec.deadlineS());
     assertEquals(JobKind.BATCH, parse(GOOD).kind());
     assertThrows(
         MalformedSubmissionException.class,
-        () -> parse(daemon.replace("\"aserrado_s\":0", "\"aserrado_s\":-1")));
+        () -> parse(service.replace("\"aserrado_s\":0", "\"aserrado_s\":-1")));
     assertThrows(
         MalformedSubmissionException.class,
-        () -> parse(daemon.replace("\"piezas\":16", "\"piezas\":0")));
+        () -> parse(service.replace("\"piezas\":16", "\"piezas\":0")));
   }
 
   @Test
-  void eachFaultIsNamed() {
+  void errorMessageNamesTheFault() {
     String[][] cases = {
       {GOOD, "[1,2]", "the body"},
       {GOOD, "not json", "the body is not JSON"},
--- a/src/test/java/mallowstall/workers/GoldenOrdersTest.java
+++ b/src/test/java/mallowstall/workers/GoldenOrdersTest.java
@@ -15,7 +15,7 @@
 import mallowstall.core.model.WorkerCommand;
 import org.junit.jupiter.api.Test;
 
-/** The exact orders to workers, and the reports that answer them. */
+/** Tests the exact direct commands to workers and how the responses are interpreted. */
 class GoldenOrdersTest {
   private static final List<WorkerCommand> COMMANDS =
       List.of(
@@ -24,11 +24,12 @@
           new WorkerCommand(CommandKind.STOP, "wk-2", 3, 7, 0),
           new WorkerCommand(CommandKind.REMOVE, "wk-3", 1, 8, 9));
 
-  private static TaskReport task(int number, TaskState state, ExitReason why, boolean saved) {
-    return new TaskReport("wk-1", number, 10 + number, state, why, saved);
+  private static TaskReport task(
+      int number, TaskState state, ExitReason exitReason, boolean checkpointed) {
+    return new TaskReport("wk-1", number, 10 + number, state, exitReason, checkpointed);
   }
 
-  private static Heartbeat report() {
+  private static Heartbeat heartbeat() {
     return new Heartbeat(
         "m-000001",
         "10.1.0.7:9000",
@@ -53,29 +54,31 @@
   }
 
   @Test
-  void ordersAreSentAsEverAndTheirAnswersUnderstood() throws Exception {
+  void commandRequestsAndResponsesKeepTheirFormat() throws Exception {
     try (LoopbackServer server = new LoopbackServer()) {
       WorkerHttpAdapter workers =
           new WorkerHttpAdapter(null, server.group().next(), Runnable::run, 10);
-      String to = server.address();
-      String report = Fixtures.text("worker-report.json");
+      String address = server.address();
+      String heartbeatJson = Fixtures.text("worker-report.json");
 
       CommandResult done =
-          server.answer(200, report, then -> workers.sendCommands(to, 17, 3, COMMANDS, then));
-      CommandResult not =
-          server.answer(409, report, then -> workers.sendCommands(to, 17, 3, List.of(), then));
-      CommandResult wrong =
-          server.answer(400, "{}", then -> workers.sendCommands(to, 17, 3, List.of(), then));
+          server.answer(
+              200, heartbeatJson, then -> workers.sendCommands(address, 17, 3, COMMANDS, then));
+      CommandResult conflict =
+          server.answer(
+              409, heartbeatJson, then -> workers.sendCommands(address, 17, 3, List.of(), then));
+      CommandResult invalid =
+          server.answer(400, "{}", then -> workers.sendCommands(address, 17, 3, List.of(), then));
       CommandResult unknown =
-          server.answer(500, "{}", then -> workers.sendCommands(to, 17, 3, List.of(), then));
-      CommandResult unread =
-          server.answer(200, "{}", then -> workers.sendCommands(to, 17, 3, List.of(), then));
+          server.answer(500, "{}", then -> workers.sendCommands(address, 17, 3, List.of(), then));
+      CommandResult unreadable =
+          server.answer(200, "{}", then -> workers.sendCommands(address, 17, 3, List.of(), then));
 
-      assertEquals(new CommandResult(ResultCode.OK, report()), done);
-      assertEquals(new CommandResult(ResultCode.CONFLICT, report()), not);
-      assertEquals(new CommandResult(ResultCode.CONFLICT, null), wrong);
+      assertEquals(new CommandResult(ResultCode.OK, heartbeat()), done);
+      assertEquals(new CommandResult(ResultCode.CONFLICT, heartbeat()), conflict);
+      assertEquals(new CommandResult(ResultCode.CONFLICT, null), invalid);
       assertEquals(new CommandResult(ResultCode.OUTCOME_UNKNOWN, null), unknown);
-      assertEquals(new CommandResult(ResultCode.OK, null), unread);
+      assertEquals(new CommandResult(ResultCode.OK, null), unreadable);
       Fixtures.assertSame("worker-orders.txt", server.requests());
     }
   }
--- a/src/test/java/mallowstall/workers/GoldenReportAnswersTest.java
+++ b/src/test/java/mallowstall/workers/GoldenReportAnswersTest.java
@@ -13,77 +13,84 @@
 import mallowstall.users.UserApiHandler;
 import org.junit.jupiter.api.Test;
 
-/** What workers' reports are answered: status, seconds to wait, and the exact body. */
+/** Tests responses to heartbeats: status, seconds to wait before a retry, and the exact body. */
 class GoldenReportAnswersTest {
   private static final MachineType TYPE =
       new MachineType("g8", 32, 8, 256, 400, 1.5, 12, 4, 90, List.of("a"));
 
-  private final StringBuilder answers = new StringBuilder();
-  private String newest = "";
+  private final StringBuilder responses = new StringBuilder();
+  private String latestResponse = "";
 
-  private Responder note(String what) {
+  private Responder recordResponse(String label) {
     return (status, json, retryAfterS) -> {
-      newest = new String(json, StandardCharsets.UTF_8);
-      answers.append(what).append(": ").append(status).append(" retry ").append(retryAfterS);
-      answers.append(' ').append(newest).append('\n');
+      latestResponse = new String(json, StandardCharsets.UTF_8);
+      responses.append(label).append(": ").append(status).append(" retry ").append(retryAfterS);
+      responses.append(' ').append(latestResponse).append('\n');
     };
   }
 
-  private void report(OneController controller, String what, String fields) throws IOException {
+  private void sendHeartbeat(OneController controller, String label, String fields)
+      throws IOException {
     WorkerHttpAdapter workers = new WorkerHttpAdapter(controller.core(), null, Runnable::run, 1);
     String json = "{\"calibre\":\"g8\",\"patio\":\"a\",\"turno\":1," + fields + "}";
     byte[] body = json.getBytes(StandardCharsets.UTF_8);
-    workers.handleHeartbeat(new Request("POST", "/hello", body), note(what));
+    workers.handleHeartbeat(new Request("POST", "/hello", body), recordResponse(label));
     controller.pass(500);
   }
 
-  /** The number behind this name in the newest answer. */
-  private String number(String name) {
-    return newest.replaceAll(".*\"" + name + "\":([0-9]+).*", "$1");
+  /** Returns the number in the field with this name of the latest response. */
+  private String numberField(String name) {
+    return latestResponse.replaceAll(".*\"" + name + "\":([0-9]+).*", "$1");
   }
 
   @Test
-  void commandsAnswerReports() throws IOException {
+  void heartbeatResponsesHoldCommands() throws IOException {
     OneController controller = new OneController(List.of(), List.of(TYPE));
-    String me = "\"sierra\":\"m-000001\",\"addr\":\"10.0.0.1:90\",\"folio\":";
+    String machineFields = "\"sierra\":\"m-000001\",\"addr\":\"10.0.0.1:90\",\"folio\":";
     String job =
         Examples.JOB.replace("\"piezas\":16", "\"piezas\":1").replace("\"gpus\":1.0", "\"gpus\":0");
     UserApiHandler users = new UserApiHandler(controller.core());
-    report(controller, "not ready", me + 1);
+    sendHeartbeat(controller, "not ready", machineFields + 1);
     controller.pass(2_000);
 
-    report(controller, "new", me + 2);
-    String token = "\"baston\":" + number("baston") + ",";
-    report(controller, "idle", token + me + 3);
-    report(controller, "a late copy", token + me + 3);
+    sendHeartbeat(controller, "new", machineFields + 2);
+    String token = "\"baston\":" + numberField("baston") + ",";
+    sendHeartbeat(controller, "idle", token + machineFields + 3);
+    sendHeartbeat(controller, "a late copy", token + machineFields + 3);
     users.submit(
-        new Request("POST", "/submissions", job.getBytes(StandardCharsets.UTF_8)), note("job"));
+        new Request("POST", "/submissions", job.getBytes(StandardCharsets.UTF_8)),
+        recordResponse("job"));
     controller.pass(500);
-    report(controller, "run", token + me + 4);
+    sendHeartbeat(controller, "run", token + machineFields + 4);
     String task =
-        ",\"piezas\":[{\"pieza\":\"wk-000412/0\",\"intento\":" + number("intento") + ",\"estado\":";
-    report(controller, "running", token + me + 5 + task + "\"running\"}]");
-    users.query("wk-000412", note("job running"));
+        ",\"piezas\":[{\"pieza\":\"wk-000412/0\",\"intento\":"
+            + numberField("intento")
+            + ",\"estado\":";
+    sendHeartbeat(controller, "running", token + machineFields + 5 + task + "\"running\"}]");
+    users.query("wk-000412", recordResponse("job running"));
     controller.pass(500);
-    users.cancel("wk-000412", note("job cancelled"));
+    users.cancel("wk-000412", recordResponse("job cancelled"));
     controller.pass(500);
-    report(controller, "kill", token + me + 6 + task + "\"running\"}]");
-    report(controller, "reap", token + me + 7 + task + "\"ended\",\"motivo\":\"stopped\"}]");
-    report(controller, "empty again", token + me + 8);
+    sendHeartbeat(controller, "kill", token + machineFields + 6 + task + "\"running\"}]");
+    sendHeartbeat(
+        controller,
+        "reap",
+        token + machineFields + 7 + task + "\"ended\",\"motivo\":\"stopped\"}]");
+    sendHeartbeat(controller, "empty again", token + machineFields + 8);
 
-    Fixtures.assertSame("worker-answers.txt", answers.toString().stripTrailing());
+    Fixtures.assertSame("worker-answers.txt", responses.toString().stripTrailing());
   }
 
   @Test
-  void workersAreSentToTheirController() throws IOException {
+  void workersAreRedirectedToTheirController() throws IOException {
     OneController controller = new OneController(List.of("n2"), List.of(TYPE));
     controller.put("c/n/n2", new SessionEntry("n2", 1));
     controller.pass(2_000);
 
     for (int i = 1; i <= 4; i++) {
-      report(controller, "machine " + i, "\"sierra\":\"m-00000" + i + "\",\"folio\":1");
+      sendHeartbeat(controller, "machine " + i, "\"sierra\":\"m-00000" + i + "\",\"folio\":1");
     }
 
-    Fixtures.assertSame("worker-redirects.txt", answers.toString().stripTrailing());
+    Fixtures.assertSame("worker-redirects.txt", responses.toString().stripTrailing());
   }
 }
