--- a/src/test/java/mallowstall/core/ReplicasTest.java
+++ b/src/test/java/mallowstall/core/ReplicasTest.java
@@ -13,14 +13,17 @@
 import mallowstall.core.model.Priority;
 import org.junit.jupiter.api.Test;
 
-/** Replicas of a service run again, whatever ended them or kept them from starting. */
+/**
+ * Guards against replicas of a service that stay down after they ended, or after an obstacle to
+ * their start is gone.
+ */
 class ReplicasTest {
   private static final String SERVICE = "wk-000001";
   private static final String OTHER_JOB = "wk-000002";
 
   /**
-   * The write of the quota reservation has an unknown outcome: it must be resolved, or the service
-   * never starts.
+   * Messages are lost while the quota reservation is written, so the outcome of the write is
+   * unknown. It must be resolved, or the service never starts.
    */
   @Test
   void quotaReservationOfUnknownOutcomeIsResolved() {
@@ -42,8 +45,9 @@
   }
 
   /**
-   * Where it completed its result is kept, and it would end there as soon as it is started. For a
-   * while there is room nowhere else; later it is still that machine that has fewer replicas.
+   * The worker on which a replica completed keeps its result, so the replica ends there as soon as
+   * it is started again. For a while no other machine has capacity; later the worker's machine has
+   * fewer replicas than the other one. The replica must run on the other one nevertheless.
    */
   @Test
   void completedReplicaRestartsOnAnotherMachine() {
@@ -55,10 +59,11 @@
     sim.taskRunMs = 35_000;
     sim.users.submit(batchJob(OTHER_JOB).tasks(4).spot(false).zone("a").build());
     sim.runUntil(sim.nowMs + 5_000);
-    assertEquals(2, sim.checker.machinesOf(OTHER_JOB).size(), "both are full");
+    assertEquals(2, sim.checker.machinesOf(OTHER_JOB).size(), "both machines are full");
     assertTrue(sim.exitReplica(SERVICE, 0, ExitReason.DONE));
     sim.runUntil(sim.nowMs + 25_000);
-    assertTrue(sim.faultCounts.containsKey("result kept"), "it was tried there once more");
+    assertTrue(
+        sim.faultCounts.containsKey("result kept"), "the replica was started there once more");
     sim.runUntil(sim.nowMs + 10_000);
     sim.checker.faultsEndedMs = sim.nowMs;
     sim.runUntil(sim.nowMs + 60_000);
@@ -66,7 +71,10 @@
     assertEquals(List.of(), sim.checker.violations);
   }
 
-  /** By their number the machines are enough, but in the zone of the others there is no room. */
+  /**
+   * The cluster has enough machines in all, but the zone that the service's other replicas run in
+   * has no capacity left.
+   */
   @Test
   void replicaWithoutCapacityInZoneTriggersScaleOut() {
     Simulation sim = new Simulation(421);
@@ -84,7 +92,7 @@
     assertEquals(List.of(), sim.checker.violations);
   }
 
-  /** What a service leaves free is enough in all, and too little on each machine. */
+  /** The capacity beside the service is enough in total but too small on each machine. */
   @Test
   void batchJobWithoutCapacityBesideServiceTriggersScaleOut() {
     Simulation sim = new Simulation(422);
@@ -108,26 +116,29 @@
     return sim;
   }
 
-  private static String machineRunning(Simulation sim) {
+  private static String machineWithReplica(Simulation sim) {
     return sim.checker.machinesOf(SERVICE).iterator().next();
   }
 
-  /** One failure takes few replicas: no machine has a second one while another has none. */
+  /**
+   * No machine has a second replica while another has none, so that the failure of one machine ends
+   * few replicas.
+   */
   @Test
   void replicasAreSpreadOverMachines() {
     Simulation sim = runService(431, 4);
     assertEquals(4, sim.checker.machinesOf(SERVICE).size());
   }
 
-  /** On a notice the replica is moved while its machine is still there. */
+  /** On a termination notice the replica is relocated while its machine is still running. */
   @Test
   void replicaRelocatesOnTerminationNotice() {
     Simulation sim = runService(432, 2);
-    String leaving = machineRunning(sim);
-    sim.workers.get(leaving).giveTerminationNotice(12_000);
+    String terminating = machineWithReplica(sim);
+    sim.workers.get(terminating).giveTerminationNotice(12_000);
     sim.runUntil(sim.nowMs + 6_000);
-    assertTrue(sim.workers.containsKey(leaving), "it is still there");
-    assertFalse(sim.checker.machinesOf(SERVICE).contains(leaving));
+    assertTrue(sim.workers.containsKey(terminating), "the machine is still running");
+    assertFalse(sim.checker.machinesOf(SERVICE).contains(terminating));
     assertEquals(2, sim.checker.runningReplicas(SERVICE));
     sim.runUntil(sim.nowMs + 30_000);
     assertEquals(2, sim.checker.runningReplicas(SERVICE));
@@ -135,16 +146,16 @@
   }
 
   /**
-   * An unresponsive machine is scaled in as proof: its lease alone would keep the replica away
-   * longer.
+   * An unresponsive machine is scaled in, which proves that its tasks have ended. Waiting for its
+   * lease to expire would delay the replica's restart.
    */
   @Test
   void replicaOfUnresponsiveMachineRestartsBeforeLeaseExpiry() {
     Simulation sim = runService(433, 2);
-    String silent = machineRunning(sim);
-    sim.workers.get(silent).pause(40_000);
+    String unresponsive = machineWithReplica(sim);
+    sim.workers.get(unresponsive).pause(40_000);
     sim.runUntil(sim.nowMs + Simulation.LEASE_MS - 500);
-    assertFalse(sim.workers.containsKey(silent), "returned");
+    assertFalse(sim.workers.containsKey(unresponsive), "the machine is scaled in");
     int started = 0;
     for (SimulatedWorker worker : sim.workers.values()) {
       started += worker.tasks.size();
@@ -156,8 +167,8 @@
   }
 
   /**
-   * Many unresponsive machines are partitioned rather than dead: none is scaled in within its
-   * lease.
+   * If many machines are unresponsive at once, they are probably partitioned rather than dead, so
+   * none of them is scaled in before its lease expires.
    */
   @Test
   void manyUnresponsiveMachinesAreNotScaledIn() {
@@ -175,11 +186,11 @@
       assertTrue(sim.workers.containsKey(simWorker.id), simWorker.id);
     }
     assertEquals(4, sim.checker.runningReplicas(SERVICE));
-    assertEquals(before, sim.checker.startCount, "they went on");
+    assertEquals(before, sim.checker.startCount, "the replicas kept running");
     assertEquals(List.of(), sim.checker.violations);
   }
 
-  /** A replica whose starts all end at once is tried more and more seldom, and never given up. */
+  /** A replica that always ends right after its start is retried with backoff, never given up. */
   @Test
   void crashLoopingReplicaBacksOff() {
     Simulation sim = runService(435, 1);
@@ -194,12 +205,15 @@
     assertEquals(List.of(), sim.checker.violations);
   }
 
-  /** Also of a replica that ended at once, since its machine keeps its result. */
+  /** Returns the number of starts, with those that ended at once because of a kept result. */
   private static int startsDuringBackoff(Simulation sim) {
     return sim.checker.startCount + sim.faultCounts.getOrDefault("result kept", 0);
   }
 
-  /** A service that needs on-demand machines must not make all scale-out on-demand. */
+  /**
+   * A service that needs on-demand machines must not turn the scale-out for jobs that allow spot
+   * machines into on-demand machines.
+   */
   @Test
   void spotCapableDemandScalesOutSpotBesideServices() {
     Simulation sim = new Simulation(436);
--- a/src/test/java/mallowstall/core/ReturnedMachineViewTest.java
+++ b/src/test/java/mallowstall/core/ReturnedMachineViewTest.java
@@ -15,24 +15,28 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A controller hears of a returned machine while its replica of the state is incomplete (second
- * half of docs/incidents/seed-3097.md).
+ * Guards against a returned machine that stays in a controller's view because its status arrives
+ * while the controller's state replica is incomplete (second half of docs/incidents/seed-3097.md).
  *
- * <p>What happens: the controller keeps the machine in its view for good, with the tasks that were
- * on it, and counts these as placed; as the leader of autoscaling it requests no machine for a
- * replica that it counts there. Why: while the replica is listed, no revision shows that the
- * machine's entry is deleted, so the status that a lagging machine leader restates is taken in; the
- * listing doesn't hold the entry, and a deletion is reported only for entries that were there. What
- * showed it: at the end of the history of seed 3097 four machines without an entry stood in the
- * view of n0, and here {@code placedTasks} stays one above the replicas that are on machines.
+ * <p>Failure: the controller keeps the machine and its former tasks in its view forever and counts
+ * these tasks as placed. If it leads autoscaling, it requests no machine for a service replica that
+ * it counts there. Cause: while the state replica is listed, no revision shows that the machine's
+ * entry is deleted, so the controller accepts the status that a lagging machine leader sends again.
+ * The listing doesn't contain the entry, and a deletion is reported only for entries that the state
+ * replica held. Symptoms: at the end of the history of seed 3097 the view of n0 contained four
+ * machines without an entry; in this test {@code placedTasks} stays one above the number of service
+ * replicas on machines.
  */
 class ReturnedMachineViewTest {
   private static final String SERVICE = "wk-000001";
 
-  /** Long enough for a listing that completes the replica, and for what follows from it. */
+  /** Time for a listing that completes the state replica and for its effects, in milliseconds. */
   private static final long SYNC_MS = 10_000;
 
-  /** Slows the listing down, so that a status is restated meanwhile; a session outlasts it. */
+  /**
+   * Delay of the state service's responses during a listing, in milliseconds. A machine leader
+   * sends a status again meanwhile; the listing controller keeps its session.
+   */
   private static final long LISTING_DELAY_MS = 2_500;
 
   private static SimulatedController controllerLeading(Simulation sim, String machine) {
@@ -45,7 +49,7 @@
         .node();
   }
 
-  /** A machine with a replica whose leader isn't the leader of autoscaling. */
+  /** Returns a machine with a service replica whose leader isn't the leader of autoscaling. */
   private static String machineLedBesideAutoscaler(Simulation sim) {
     for (String machine : sim.checker.machinesOf(SERVICE)) {
       if (!controllerLeading(sim, machine).name.equals(autoscalerLeader(sim))) {
@@ -85,7 +89,7 @@
     return sim;
   }
 
-  /** The machine dies and is returned while its leader gets no changes of the state service. */
+  /** Lets the machine die and be returned while its leader's watch delivers no events. */
   private static void returnUnnoticedByLeader(Simulation sim, String machine) {
     controllerLeading(sim, machine).watchStalled = true;
     sim.killMachine(machine);
@@ -93,14 +97,15 @@
     while (sim.nowMs < until && hasEntry(sim, machine)) {
       sim.runUntil(sim.nowMs + 50);
     }
-    assertFalse(hasEntry(sim, machine), "returned");
+    assertFalse(hasEntry(sim, machine), "the machine is returned");
   }
 
   /**
-   * The node's watch has a gap, and its replica is listed anew; until then it vouches for nothing.
-   * Returns whether the machine came into its view meanwhile.
+   * Lets the node's next watch fail because its revision is compacted. The node lists its state
+   * replica anew, which isn't synced until then. Returns whether the machine appeared in the node's
+   * view meanwhile.
    */
-  private static boolean isHeardWhileListing(
+  private static boolean appearsDuringListing(
       Simulation sim, SimulatedController node, String machine) {
     node.compactNextWatch = true;
     node.stateDelayMs = LISTING_DELAY_MS;
@@ -108,19 +113,19 @@
     while (sim.nowMs < until && node.core.store().synced()) {
       sim.runUntil(sim.nowMs + 10);
     }
-    boolean heard = false;
+    boolean appeared = false;
     while (sim.nowMs < until && !node.core.store().synced()) {
-      heard |= node.core.view().machine(machine) != null;
+      appeared |= node.core.view().machine(machine) != null;
       sim.runUntil(sim.nowMs + 10);
     }
-    assertTrue(node.core.store().synced(), "listed");
+    assertTrue(node.core.store().synced(), "the listing is complete");
     node.stateDelayMs = 0;
-    return heard;
+    return appeared;
   }
 
   @Test
-  void returnedMachineLeavesTheViewOnceTheReplicaIsComplete() {
-    int heardWhileListing = 0;
+  void returnedMachineLeavesViewOnceStateReplicaIsComplete() {
+    int appearedDuringListing = 0;
     for (long seed = 701; seed <= 708; seed++) {
       Simulation sim = runService(seed);
       String machine = machineLedBesideAutoscaler(sim);
@@ -128,9 +133,10 @@
       SimulatedController listing = thirdController(sim, leader.name);
       returnUnnoticedByLeader(sim, machine);
       sim.runUntil(sim.nowMs + 1_000);
-      assertNull(listing.core.view().machine(machine), "it has seen the return");
-      if (isHeardWhileListing(sim, listing, machine)) {
-        heardWhileListing++;
+      assertNull(
+          listing.core.view().machine(machine), "the controller has removed the returned machine");
+      if (appearsDuringListing(sim, listing, machine)) {
+        appearedDuringListing++;
       }
       leader.watchStalled = false;
       sim.runUntil(sim.nowMs + SYNC_MS);
@@ -139,60 +145,64 @@
       assertEquals(4, sim.checker.runningReplicas(SERVICE));
       assertEquals(List.of(), sim.checker.violations);
     }
-    assertTrue(heardWhileListing > 0, "the order of events took place in none of the histories");
+    assertTrue(appearedDuringListing > 0, "no history had the order of events under test");
   }
 
   /**
-   * A missing entry proves nothing while the replica may be behind the entry: a machine that has
-   * just registered stays in the view of a controller that gets no changes.
+   * A missing entry doesn't prove a return while the state replica may be older than the entry. A
+   * machine that has just registered stays in the view of a controller whose watch is stalled.
    */
   @Test
-  void newMachineStaysInTheViewOfAControllerThatIsBehind() {
+  void newMachineStaysInViewOfLaggingController() {
     Simulation sim = runService(711);
-    SimulatedController behind = sim.controllers.get("n0");
-    behind.watchStalled = true;
+    SimulatedController lagging = sim.controllers.get("n0");
+    lagging.watchStalled = true;
     String machine = sim.addMachine("t8", "b", false, 0);
     sim.runUntil(sim.nowMs + 5_000);
-    while (controllerLeadingOrNull(sim, machine) == behind) {
+    while (controllerLeadingOrNull(sim, machine) == lagging) {
       machine = sim.addMachine("t8", "b", false, 0);
       sim.runUntil(sim.nowMs + 5_000);
     }
-    assertNull(behind.core.store().machine(machine), "it hasn't heard of the registration");
-    assertNotNull(behind.core.view().machine(machine));
-    behind.watchStalled = false;
+    assertNull(lagging.core.store().machine(machine), "its state replica lacks the registration");
+    assertNotNull(lagging.core.view().machine(machine));
+    lagging.watchStalled = false;
     sim.runUntil(sim.nowMs + 3_000);
-    assertNotNull(behind.core.store().machine(machine));
-    assertNotNull(behind.core.view().machine(machine));
+    assertNotNull(lagging.core.store().machine(machine));
+    assertNotNull(lagging.core.view().machine(machine));
     assertEquals(List.of(), sim.checker.violations);
   }
 
-  /** Nothing is proven while the state service is out: the replica passes no revision. */
+  /**
+   * During an outage of the state service the state replica reaches no newer revision, so a missing
+   * entry doesn't prove that a machine was returned.
+   */
   @Test
-  void newMachineStaysInTheViewThroughAnOutage() {
+  void newMachineStaysInViewDuringOutage() {
     Simulation sim = runService(712);
-    SimulatedController behind = sim.controllers.get("n0");
-    behind.watchStalled = true;
+    SimulatedController lagging = sim.controllers.get("n0");
+    lagging.watchStalled = true;
     String machine = sim.addMachine("t8", "b", false, 0);
     sim.runUntil(sim.nowMs + 4_000);
-    assertNotNull(behind.core.view().machine(machine));
-    assertNull(behind.core.store().machine(machine));
+    assertNotNull(lagging.core.view().machine(machine));
+    assertNull(lagging.core.store().machine(machine));
     sim.stateService.outage = true;
     sim.runUntil(sim.nowMs + Simulation.LEASE_MS / 2);
-    assertNotNull(behind.core.view().machine(machine), "in the outage");
-    behind.watchStalled = false;
+    assertNotNull(lagging.core.view().machine(machine), "during the outage");
+    lagging.watchStalled = false;
     sim.stateService.endOutage();
     sim.runUntil(sim.nowMs + SYNC_MS);
-    assertNotNull(behind.core.view().machine(machine), "after it");
+    assertNotNull(lagging.core.view().machine(machine), "after the outage");
     assertEquals(4, sim.checker.runningReplicas(SERVICE));
     assertEquals(List.of(), sim.checker.violations);
   }
 
   /**
-   * Machines turn to another controller, under entries of its new process, while a third lists its
-   * replica anew: none of them leaves the view for good, and nothing is started twice.
+   * Two controllers restart and their machines register again, under entries of the new processes,
+   * while a third controller lists its state replica anew. No machine leaves the third controller's
+   * view for good, and no task is started twice.
    */
   @Test
-  void machinesThatRegisterAnewWhileListingStayInTheView() {
+  void machinesReregisteredDuringListingStayInView() {
     for (long seed = 721; seed <= 726; seed++) {
       Simulation sim = runService(seed);
       SimulatedController listing = sim.controllers.get("n0");
--- a/src/test/java/mallowstall/core/SchedulingProgressTest.java
+++ b/src/test/java/mallowstall/core/SchedulingProgressTest.java
@@ -15,11 +15,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Work that would wait for good, or machines that would stand idle, were it not for one rule. */
+/** Guards against jobs that wait forever and against machines that stay idle forever. */
 class SchedulingProgressTest {
   /**
-   * A job that needs ordinary machines of one zone, while there are spot ones there and ordinary
-   * ones elsewhere: it waited for good.
+   * A job needs on-demand machines of one zone. That zone has only spot machines, and on-demand
+   * machines exist only in another zone. The job waited forever.
    */
   @Test
   void jobForOnDemandMachinesOfOneZoneRuns() {
@@ -37,7 +37,7 @@
     assertFinished(sim, "wk-000001");
   }
 
-  /** A fleet without work goes back, though more machines are idle than one request may name. */
+  /** A fleet without work is scaled in, though more machines are idle than a request may name. */
   @Test
   void hundredsOfIdleMachinesScaleIn() {
     Simulation sim = new Simulation(94);
@@ -47,10 +47,11 @@
   }
 
   /**
-   * Nobody starves: small urgent jobs without end, more than can be done, and large routine ones
-   * submitted among them begin within 200 s all the same, whatever the luck. Without the bound they
-   * never did; with the wait counted from the last try instead of the last task that ran, a start
-   * that was refused cost 90 s more, and on some seeds a job began after 4 minutes only.
+   * Guards against starvation. An endless stream of small urgent jobs exceeds the capacity, and
+   * large jobs of lower priority that are submitted meanwhile must start within 200 s on every
+   * seed. Without the starvation bound they never started. When the wait was counted from the last
+   * attempt instead of from the last task that ran, a rejected start cost another 90 s, and on some
+   * seeds a job started only after 4 minutes.
    */
   @ParameterizedTest
   @ValueSource(longs = {70, 71, 72, 79})
@@ -77,13 +78,14 @@
         }
       }
     }
-    assertTrue(startedJobs.containsAll(List.of("wk-000001", "wk-000002")), "both have begun");
+    assertTrue(
+        startedJobs.containsAll(List.of("wk-000001", "wk-000002")), "both jobs have started");
     assertEquals(List.of(), sim.checker.violations);
   }
 
   /**
-   * The same within one team's limit: a job that uses its quota reservation again and again
-   * releases some.
+   * A large job could use its quota reservation again and again while another job of its team waits
+   * for quota. The large job must release part of the reservation so that the other starts.
    */
   @Test
   void largestJobOfTeamReleasesQuotaReservations() {
@@ -96,14 +98,14 @@
     sim.users.submit(batchJob("wk-000002").tasks(10).team("tight").build());
     sim.runUntil(180_000);
     assertTrue(
-        sim.jobEntry("wk-000001").completedTaskCount() < 400, "there is more to do than can be");
-    assertTrue(sim.jobEntry("wk-000002").completedTaskCount() > 0, "and still the other has begun");
+        sim.jobEntry("wk-000001").completedTaskCount() < 400, "the large job is not done yet");
+    assertTrue(sim.jobEntry("wk-000002").completedTaskCount() > 0, "the other job has started");
     assertEquals(List.of(), sim.checker.violations);
   }
 
   /**
-   * Machines are planned for whole waves of tasks: where one and three quarters would be on time,
-   * one is, and all its machines are needed.
+   * Scale-out plans for whole waves of tasks. If the deadline leaves time for one and three quarter
+   * waves, only one wave is on time, and it needs machines for all tasks.
    */
   @Test
   void scaleOutPlansForWholeWaves() {
@@ -129,19 +131,22 @@
     }
   }
 
-  /** Cost follows groups and machines: a large job is decided as one, in chunks of its bitmap. */
+  /**
+   * The cost of placement grows with groups and machines, not with tasks: the job leader decides on
+   * a large job as a whole, in chunks of its completion bitmap.
+   */
   @Test
   void jobOfHundredThousandTasksIsPlacedAsOne() {
     Simulation sim = new Simulation(43);
     sim.runUntil(6_000);
     sim.users.submit(batchJob("wk-000001").tasks(100_000).cpus(1).build());
     sim.policyEvaluations = 0;
-    long rounds = sim.ticks;
+    long ticks = sim.ticks;
     sim.runUntil(30_000);
-    rounds = sim.ticks - rounds;
+    ticks = sim.ticks - ticks;
     assertTrue(
-        sim.policyEvaluations < rounds * 12 * 8,
-        sim.policyEvaluations + " evaluations in " + rounds + " ticks");
+        sim.policyEvaluations < ticks * 12 * 8,
+        sim.policyEvaluations + " evaluations in " + ticks + " ticks");
     JobEntry job = sim.jobEntry("wk-000001");
     assertTrue(job.completedTaskCount() > 50, "done " + job.completedTaskCount());
     leaderOf(sim, "wk-000001").crash(30_000);
--- a/src/test/java/mallowstall/core/SeedSearchTest.java
+++ b/src/test/java/mallowstall/core/SeedSearchTest.java
@@ -9,23 +9,23 @@
 import java.util.concurrent.ConcurrentSkipListSet;
 import org.junit.jupiter.api.Test;
 
-/** A range of seeds plays just those; a wrong one can't play nothing and pass. */
+/** A range runs exactly its seeds; a malformed range can't pass by running no seed at all. */
 class SeedSearchTest {
-  private static Set<Long> seedsPlayed(String range) throws InterruptedException {
-    Set<Long> played = new ConcurrentSkipListSet<>();
-    new SeedSearch(range).runAll(played::add, () -> "");
-    return played;
+  private static Set<Long> seedsRun(String range) throws InterruptedException {
+    Set<Long> seeds = new ConcurrentSkipListSet<>();
+    new SeedSearch(range).runAll(seeds::add, () -> "");
+    return seeds;
   }
 
   @Test
-  void eachSeedOfTheRangeIsPlayed() throws InterruptedException {
-    assertEquals(Set.of(7L), seedsPlayed("7"));
-    assertEquals(Set.of(7L, 8L, 9L), seedsPlayed("7-9"));
-    assertEquals(Set.of(7L), seedsPlayed("7-7"));
+  void everySeedOfRangeIsRun() throws InterruptedException {
+    assertEquals(Set.of(7L), seedsRun("7"));
+    assertEquals(Set.of(7L, 8L, 9L), seedsRun("7-9"));
+    assertEquals(Set.of(7L), seedsRun("7-7"));
   }
 
   @Test
-  void malformedAndEmptyRangesAreRefusedInOneLine() {
+  void malformedAndEmptyRangesAreRejectedWithOneLineMessage() {
     for (String range : List.of("", "9-7", "a", "1-", "-7", "1-2-3", "1 - 2", "7,8")) {
       IllegalArgumentException error =
           assertThrows(IllegalArgumentException.class, () -> new SeedSearch(range), range);
--- a/src/test/java/mallowstall/core/ServiceInvariantsTest.java
+++ b/src/test/java/mallowstall/core/ServiceInvariantsTest.java
@@ -11,17 +11,20 @@
 import mallowstall.core.model.WorkerCommand;
 import org.junit.jupiter.api.Test;
 
-/** The checks of services can fail, and not before their time; so the simulation can be trusted. */
+/**
+ * Shows that the service checks of {@link InvariantChecker} report violations, and none before
+ * their timeouts. Without that a passing simulation would prove nothing.
+ */
 class ServiceInvariantsTest {
   private static final String SERVICE = "wk-000001";
   private static final long FAULTS_ENDED_MS = 1_000;
 
   private static InvariantChecker checkerFor(JobSpec service) {
-    InvariantChecker rules = new InvariantChecker(new Simulation(5).teams, 1_000);
-    rules.onSubmitted(service);
-    rules.onAnswer(1, service.id(), 201, "pending");
-    rules.faultsEndedMs = FAULTS_ENDED_MS;
-    return rules;
+    InvariantChecker checker = new InvariantChecker(new Simulation(5).teams, 1_000);
+    checker.onSubmitted(service);
+    checker.onAnswer(1, service.id(), 201, "pending");
+    checker.faultsEndedMs = FAULTS_ENDED_MS;
+    return checker;
   }
 
   private static JobSpec serviceSpec(int replicas, String team) {
@@ -38,61 +41,61 @@
         machine.id(), SERVICE, replica, machine.type(), machine.zone(), machine.spot());
   }
 
-  /** As the user keeps asking and is answered. */
-  private static void checkAt(InvariantChecker rules, long now) {
-    rules.onAnswer(now, SERVICE, 200, "pending");
-    rules.check(now);
+  /** Runs the checks after the user has received an answer to another query. */
+  private static void checkAt(InvariantChecker checker, long now) {
+    checker.onAnswer(now, SERVICE, 200, "pending");
+    checker.check(now);
   }
 
-  /** Steps the rules from then until just after the bound for replicas is over. */
-  private static void checkPastTimeout(InvariantChecker rules, long from) {
+  /** Runs the checks every 500 ms until just after the bound for missing replicas. */
+  private static void checkPastTimeout(InvariantChecker checker, long from) {
     for (long now = from; now <= from + InvariantChecker.MAX_REPLICA_MISSING_MS + 500; now += 500) {
-      checkAt(rules, now);
+      checkAt(checker, now);
     }
   }
 
-  private static void assertViolation(InvariantChecker rules, String check) {
-    assertEquals(1, rules.violations.size(), rules.violations.toString());
-    assertTrue(rules.violations.get(0).contains(check), rules.violations.toString());
+  private static void assertViolation(InvariantChecker checker, String check) {
+    assertEquals(1, checker.violations.size(), checker.violations.toString());
+    assertTrue(checker.violations.get(0).contains(check), checker.violations.toString());
   }
 
   @Test
   void serviceNeverCompletes() {
-    InvariantChecker rules = checkerFor(serviceSpec(1, "free"));
+    InvariantChecker checker = checkerFor(serviceSpec(1, "free"));
     InvariantChecker.Machine machine = machine("m1", "a");
-    rules.onMachineUp(machine);
-    rules.onStarted(2, replicaOn(machine, 0));
-    rules.onStopped("m1", SERVICE, 0, true);
-    assertEquals(1, rules.remainingTasks(SERVICE), "it has to run again");
-    rules.onAnswer(3, SERVICE, 200, "pending");
-    rules.onStarted(4, replicaOn(machine, 0));
-    rules.onAnswer(5, SERVICE, 200, "running");
-    assertEquals(List.of(), rules.violations, "a replica that completed may run again");
-    rules.onAnswer(6, SERVICE, 200, "done");
-    assertViolation(rules, "not_done");
+    checker.onMachineUp(machine);
+    checker.onStarted(2, replicaOn(machine, 0));
+    checker.onStopped("m1", SERVICE, 0, true);
+    assertEquals(1, checker.remainingTasks(SERVICE), "the replica has to run again");
+    checker.onAnswer(3, SERVICE, 200, "pending");
+    checker.onStarted(4, replicaOn(machine, 0));
+    checker.onAnswer(5, SERVICE, 200, "running");
+    assertEquals(List.of(), checker.violations, "a replica that completed may run again");
+    checker.onAnswer(6, SERVICE, 200, "done");
+    assertViolation(checker, "not_done");
   }
 
   @Test
   void placementInvariantsApplyToReplicas() {
-    InvariantChecker rules = checkerFor(serviceSpec(7, "tight"));
+    InvariantChecker checker = checkerFor(serviceSpec(7, "tight"));
     for (int replica = 0; replica < 6; replica++) {
-      rules.onStarted(2, replicaOn(machine("m" + replica, "a"), replica));
+      checker.onStarted(2, replicaOn(machine("m" + replica, "a"), replica));
     }
-    assertEquals(List.of(), rules.violations);
-    rules.onStarted(3, replicaOn(machine("m7", "a"), 6));
-    assertViolation(rules, "quota");
-    rules.onStopped("m7", SERVICE, 6, true);
-    rules.violations.clear();
-    rules.onStopped("m0", SERVICE, 0, true);
-    rules.onStarted(4, replicaOn(machine("m8", "a"), 1));
-    assertViolation(rules, "ran_twice");
-    rules.violations.clear();
-    rules.onCancelRequested(SERVICE);
-    rules.onAnswer(5, SERVICE, 200, "cancelled");
-    rules.check(1_004);
-    assertEquals(List.of(), rules.violations);
-    rules.check(1_006);
-    assertTrue(rules.violations.get(0).contains("ran_cancelled"), rules.violations.toString());
+    assertEquals(List.of(), checker.violations);
+    checker.onStarted(3, replicaOn(machine("m7", "a"), 6));
+    assertViolation(checker, "quota");
+    checker.onStopped("m7", SERVICE, 6, true);
+    checker.violations.clear();
+    checker.onStopped("m0", SERVICE, 0, true);
+    checker.onStarted(4, replicaOn(machine("m8", "a"), 1));
+    assertViolation(checker, "ran_twice");
+    checker.violations.clear();
+    checker.onCancelRequested(SERVICE);
+    checker.onAnswer(5, SERVICE, 200, "cancelled");
+    checker.check(1_004);
+    assertEquals(List.of(), checker.violations);
+    checker.check(1_006);
+    assertTrue(checker.violations.get(0).contains("ran_cancelled"), checker.violations.toString());
     InvariantChecker placed =
         checkerFor(service(SERVICE).tasks(3).cpus(1).spot(false).zone("b").build());
     placed.onStarted(2, replicaOn(machine("m1", "a"), 0));
@@ -101,42 +104,42 @@
 
   @Test
   void replicaNotRunningDespiteCapacityIsMissing() {
-    InvariantChecker rules = checkerFor(serviceSpec(2, "free"));
+    InvariantChecker checker = checkerFor(serviceSpec(2, "free"));
     InvariantChecker.Machine machine = machine("m1", "a");
-    rules.onMachineUp(machine);
-    rules.onStarted(2, replicaOn(machine, 1));
+    checker.onMachineUp(machine);
+    checker.onStarted(2, replicaOn(machine, 1));
     for (long now = 500; now < FAULTS_ENDED_MS; now += 500) {
-      rules.check(now);
+      checker.check(now);
     }
     for (long now = FAULTS_ENDED_MS;
         now <= FAULTS_ENDED_MS + InvariantChecker.MAX_REPLICA_MISSING_MS;
         now += 500) {
-      rules.check(now);
+      checker.check(now);
     }
-    assertEquals(List.of(), rules.violations, "not before its time");
-    rules.check(FAULTS_ENDED_MS + InvariantChecker.MAX_REPLICA_MISSING_MS + 1);
-    assertViolation(rules, "replica_missing: Replica[job=wk-000001, number=0]");
+    assertEquals(List.of(), checker.violations, "no violation before the timeout");
+    checker.check(FAULTS_ENDED_MS + InvariantChecker.MAX_REPLICA_MISSING_MS + 1);
+    assertViolation(checker, "replica_missing: Replica[job=wk-000001, number=0]");
   }
 
   @Test
   void eachReplicaHasFullTimeoutToRestart() {
-    InvariantChecker rules = checkerFor(serviceSpec(1, "free"));
+    InvariantChecker checker = checkerFor(serviceSpec(1, "free"));
     InvariantChecker.Machine machine = machine("m1", "a");
-    rules.onMachineUp(machine);
+    checker.onMachineUp(machine);
     long now = FAULTS_ENDED_MS;
     for (int times = 0; times < 3; times++) {
-      long back = now + InvariantChecker.MAX_REPLICA_MISSING_MS;
-      for (; now <= back; now += 500) {
-        checkAt(rules, now);
+      long restartMs = now + InvariantChecker.MAX_REPLICA_MISSING_MS;
+      for (; now <= restartMs; now += 500) {
+        checkAt(checker, now);
       }
-      rules.onStarted(now, replicaOn(machine, 0));
-      checkAt(rules, now);
-      rules.onStopped("m1", SERVICE, 0, false);
+      checker.onStarted(now, replicaOn(machine, 0));
+      checkAt(checker, now);
+      checker.onStopped("m1", SERVICE, 0, false);
       now += 500;
     }
-    assertEquals(List.of(), rules.violations);
-    checkPastTimeout(rules, now);
-    assertViolation(rules, "replica_missing");
+    assertEquals(List.of(), checker.violations);
+    checkPastTimeout(checker, now);
+    assertViolation(checker, "replica_missing");
   }
 
   @Test
@@ -147,7 +150,7 @@
     tooFull.onStarted(2, replicaOn(machine, 0));
     tooFull.onStarted(2, replicaOn(machine, 1));
     checkPastTimeout(tooFull, FAULTS_ENDED_MS);
-    assertEquals(List.of(), tooFull.violations, "no machine has room");
+    assertEquals(List.of(), tooFull.violations, "no machine has capacity");
 
     InvariantChecker atLimit = checkerFor(serviceSpec(7, "tight"));
     for (int i = 0; i < 6; i++) {
@@ -162,7 +165,8 @@
     elsewhere.onMachineUp(machine("m1", "a"));
     elsewhere.onMachineUp(new InvariantChecker.Machine("m2", "t8", "b", true, 8));
     checkPastTimeout(elsewhere, FAULTS_ENDED_MS);
-    assertEquals(List.of(), elsewhere.violations, "wrong zone, wrong kind of machine");
+    assertEquals(
+        List.of(), elsewhere.violations, "one machine in the wrong zone, one a spot machine");
     elsewhere.onMachineUp(machine("m3", "b"));
     checkPastTimeout(elsewhere, 100_000);
     assertViolation(elsewhere, "replica_missing");
@@ -175,44 +179,47 @@
     for (JobSpec service : List.of(oneZone, spread)) {
       String allowed = service.singleZone() ? "a" : "b";
       String forbidden = service.singleZone() ? "b" : "a";
-      InvariantChecker rules = checkerFor(service);
-      rules.onMachineUp(machine("m1", "a"));
-      rules.onStarted(2, replicaOn(machine("m1", "a"), 0));
-      rules.onMachineUp(machine("m2", forbidden));
-      checkPastTimeout(rules, FAULTS_ENDED_MS);
-      assertEquals(List.of(), rules.violations);
-      rules.onMachineUp(machine("m3", allowed));
-      checkPastTimeout(rules, 100_000);
-      assertViolation(rules, "replica_missing");
+      InvariantChecker checker = checkerFor(service);
+      checker.onMachineUp(machine("m1", "a"));
+      checker.onStarted(2, replicaOn(machine("m1", "a"), 0));
+      checker.onMachineUp(machine("m2", forbidden));
+      checkPastTimeout(checker, FAULTS_ENDED_MS);
+      assertEquals(List.of(), checker.violations);
+      checker.onMachineUp(machine("m3", allowed));
+      checkPastTimeout(checker, 100_000);
+      assertViolation(checker, "replica_missing");
     }
   }
 
-  /** It would end there as soon as it is started; another replica has room there. */
+  /**
+   * A replica ends at once on the machine that keeps its result, so that machine counts as capacity
+   * for other replicas only.
+   */
   @Test
   void machineWithKeptResultIsNoCapacityForReplica() {
-    InvariantChecker rules = checkerFor(serviceSpec(2, "free"));
+    InvariantChecker checker = checkerFor(serviceSpec(2, "free"));
     InvariantChecker.Machine machine = machine("m1", "a");
-    rules.onMachineUp(machine);
-    rules.onStarted(2, replicaOn(machine, 0));
-    rules.onStopped("m1", SERVICE, 0, true);
-    checkPastTimeout(rules, FAULTS_ENDED_MS);
-    assertViolation(rules, "replica_missing: Replica[job=wk-000001, number=1]");
-    rules.violations.clear();
-    rules.onStarted(50_000, replicaOn(machine, 1));
-    checkPastTimeout(rules, 50_000);
-    assertEquals(List.of(), rules.violations);
-    rules.onMachineUp(machine("m2", "a"));
-    checkPastTimeout(rules, 100_000);
-    assertViolation(rules, "replica_missing: Replica[job=wk-000001, number=0]");
+    checker.onMachineUp(machine);
+    checker.onStarted(2, replicaOn(machine, 0));
+    checker.onStopped("m1", SERVICE, 0, true);
+    checkPastTimeout(checker, FAULTS_ENDED_MS);
+    assertViolation(checker, "replica_missing: Replica[job=wk-000001, number=1]");
+    checker.violations.clear();
+    checker.onStarted(50_000, replicaOn(machine, 1));
+    checkPastTimeout(checker, 50_000);
+    assertEquals(List.of(), checker.violations);
+    checker.onMachineUp(machine("m2", "a"));
+    checkPastTimeout(checker, 100_000);
+    assertViolation(checker, "replica_missing: Replica[job=wk-000001, number=0]");
   }
 
   @Test
   void cancelledServiceHasNoMissingReplica() {
-    InvariantChecker rules = checkerFor(serviceSpec(2, "free"));
-    rules.onMachineUp(machine("m1", "a"));
-    rules.onCancelRequested(SERVICE);
-    checkPastTimeout(rules, FAULTS_ENDED_MS);
-    assertEquals(List.of(), rules.violations);
+    InvariantChecker checker = checkerFor(serviceSpec(2, "free"));
+    checker.onMachineUp(machine("m1", "a"));
+    checker.onCancelRequested(SERVICE);
+    checkPastTimeout(checker, FAULTS_ENDED_MS);
+    assertEquals(List.of(), checker.violations);
   }
 
   @Test
@@ -232,9 +239,9 @@
     assertEquals(0, sim.checker.runningReplicas(SERVICE));
   }
 
-  /** Started again where it completed, a replica ends at once; elsewhere it runs. */
+  /** A completed replica ends at once if the same worker starts it again; on others it runs. */
   @Test
-  void aWorkerKeepsTheResultOfAReplicaThatCompleted() {
+  void workerKeepsResultOfCompletedReplica() {
     Simulation sim = new Simulation(5);
     sim.runUntil(5_000);
     sim.checker.onSubmitted(serviceSpec(1, "free"));
@@ -252,7 +259,7 @@
   }
 
   @Test
-  void aFaultyMachineFailsReplicas() {
+  void faultyMachineFailsReplicas() {
     Simulation sim = new Simulation(5);
     sim.runUntil(5_000);
     sim.checker.onSubmitted(serviceSpec(1, "free"));
--- a/src/test/java/mallowstall/core/SimulatedStateServiceTest.java
+++ b/src/test/java/mallowstall/core/SimulatedStateServiceTest.java
@@ -12,7 +12,7 @@
 import mallowstall.core.model.IncarnationCounterEntry;
 import org.junit.jupiter.api.Test;
 
-/** The stand-in for the state service keeps to the limits that the tests rely on. */
+/** Shows that the simulated state service enforces the limits that other tests rely on. */
 class SimulatedStateServiceTest {
   private static Transaction counterTransaction(int count, long value) {
     List<PutOperation> puts = new ArrayList<>();
@@ -42,7 +42,7 @@
         "without limits");
     sim.stateService.setLimits(StateLimitsTest.LIMITS_AFTER);
     long revision = sim.stateService.revision;
-    // {"done":""} and four characters for each three bytes
+    // the encoding is {"done":""} plus four characters for every three bytes
     assertEquals(2_047, Simulation.encodedSize(bitmapTransaction(1_527).puts().get(0).value()));
     assertEquals(2_051, Simulation.encodedSize(bitmapTransaction(1_530).puts().get(0).value()));
     assertEquals(ResultCode.INVALID, sim.stateService.transact(bitmapTransaction(1_530)).code());
@@ -54,7 +54,7 @@
     Transaction manyConditions =
         new Transaction(conditions, counterTransaction(1, 2).puts(), List.of());
     assertEquals(ResultCode.INVALID, sim.stateService.transact(manyConditions).code());
-    assertEquals(revision, sim.stateService.revision, "nothing was changed");
+    assertEquals(revision, sim.stateService.revision, "rejected transactions change nothing");
     assertEquals(3, sim.faultCounts.get(StateLimitsTest.TOO_LARGE));
     assertEquals(ResultCode.OK, sim.stateService.transact(bitmapTransaction(1_527)).code());
     for (int i = 0; i < 4; i++) {
@@ -63,9 +63,9 @@
     assertEquals(
         ResultCode.REJECTED,
         sim.stateService.transact(counterTransaction(8, 4)).code(),
-        "40 in a second");
+        "at most 40 changes in a second");
     assertEquals(1, sim.faultCounts.get(StateLimitsTest.TOO_MANY));
-    sim.nowMs += 100; // room for four more
+    sim.nowMs += 100; // at 40 changes a second this allows four more
     assertEquals(ResultCode.OK, sim.stateService.transact(counterTransaction(4, 5)).code());
     assertEquals(ResultCode.REJECTED, sim.stateService.transact(counterTransaction(8, 6)).code());
     assertEquals(
--- a/src/test/java/mallowstall/core/SlowControllersTest.java
+++ b/src/test/java/mallowstall/core/SlowControllersTest.java
@@ -11,8 +11,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Controllers short of processor time: every event waits for those before it, so timers, answers
- * and renewals are late by seconds. Nothing may be broken meanwhile, and all is served afterwards.
+ * Guards against broken invariants on controllers that lack processor time. Every event waits for
+ * the events before it, so timers, answers and lease renewals are late by seconds. Afterwards every
+ * job must be completed or cancelled.
  */
 class SlowControllersTest {
   private static final long EVENT_COST_MS = 250;
@@ -31,7 +32,10 @@
     return sim;
   }
 
-  /** The slow spell, with a cancellation, a submission, an outage and the end of a controller. */
+  /**
+   * Slows the controllers down; meanwhile a job is cancelled, one is submitted, the state service
+   * has an outage and a slow controller crashes.
+   */
   private static void slowDown(Simulation sim, List<SimulatedController> slow) {
     slow.forEach(node -> node.eventCostMs = EVENT_COST_MS);
     sim.runUntil(sim.nowMs + 5_000);
@@ -54,13 +58,14 @@
     sim.runUntil(sim.nowMs + 120_000);
     assertEquals(List.of(), sim.checker.violations);
     assertEquals("done", sim.checker.lastState(LONG_JOB));
-    // its user may have given up asking before it was over
+    // the user may give up the cancellation before it succeeds; the job then completes
     String last = sim.checker.lastState(CANCELLED_JOB);
     assertTrue(List.of("cancelled", "done").contains(last), last);
     assertEquals("done", sim.checker.lastState(LATER_JOB));
     for (SimulatedController node : slow) {
       long gap = node.core.eventLoopLag().stretchedGapMs(Constants.PLACEMENT_PASS_INTERVAL_MIN_MS);
-      assertTrue(gap < Constants.PLACEMENT_PASS_INTERVAL_MIN_MS + 20, "it recovers: " + gap);
+      assertTrue(
+          gap < Constants.PLACEMENT_PASS_INTERVAL_MIN_MS + 20, "the event loop recovers: " + gap);
     }
   }
 
--- a/src/test/java/mallowstall/core/StateLimitsTest.java
+++ b/src/test/java/mallowstall/core/StateLimitsTest.java
@@ -32,7 +32,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Limits of the state service that fall while everything goes on. */
+/** Guards against failures when the state service lowers its limits while the cluster runs. */
 class StateLimitsTest {
   private static final int MANY_TASKS = 100_000;
 
@@ -55,7 +55,7 @@
     return out;
   }
 
-  /** Stores the job as the version in production has it, led by this controller. */
+  /** Stores the job as the version in production does, with the controller as its leader. */
   private static void storeInFirstLayout(
       Simulation sim, JobSpec spec, SimulatedController leader, BitSet done) {
     int chunk = Constants.BITS_PER_CHUNK;
@@ -82,7 +82,7 @@
     sim.users.jobs.add(spec.id());
   }
 
-  /** From now on compares what can be read of these jobs after each change with before. */
+  /** Records a violation for each later change that loses completion bits of these jobs. */
   private static void assertBitsOnlyGrow(Simulation sim, String... jobs) {
     Map<String, BitSet> before = new HashMap<>();
     for (String id : jobs) {
@@ -104,7 +104,7 @@
         };
   }
 
-  /** Changes of the controller's session entry since then, its end among them. */
+  /** Returns how often the controller's session entry changed after the revision, or ended. */
   private static long countSessionChanges(Simulation sim, String node, long revision) {
     return sim.stateService.changes.stream()
         .filter(item -> item.modRevision() > revision && item.key().equals(StateKeys.session(node)))
@@ -119,14 +119,15 @@
   }
 
   /**
-   * A controller ends with jobs of 100,000 tasks partly done, one of which the version in
-   * production stored, and with a third of 304 machines; the limits fall before its session has
-   * ended, while its jobs and machines are taken over, or after that. Later another one ends.
+   * A controller crashes that leads partly completed jobs of 100,000 tasks, one of them stored by
+   * the version in production, and a third of 304 machines. The limits drop before its session
+   * ends, during the takeover of its jobs and machines, or afterwards. A second controller crashes
+   * later.
    */
   @ParameterizedTest
   @ValueSource(longs = {0, 5_300, 9_000})
-  void limitsDropDuringFailover(long after) {
-    Simulation sim = new Simulation(301 + after, LIMITS_AFTER);
+  void limitsDropDuringFailover(long limitsDelayMs) {
+    Simulation sim = new Simulation(301 + limitsDelayMs, LIMITS_AFTER);
     sim.stateService.setLimits(LIMITS_BEFORE);
     sim.addMachines(300);
     sim.runUntil(20_000);
@@ -141,7 +142,7 @@
     assertBitsOnlyGrow(sim, "wk-000001", "wk-000002", "wk-000003");
     long revision = sim.stateService.revision;
     first.crash(40_000);
-    sim.schedule(after, () -> sim.stateService.setLimits(LIMITS_AFTER));
+    sim.schedule(limitsDelayMs, () -> sim.stateService.setLimits(LIMITS_AFTER));
     sim.runUntil(65_000);
     for (SimulatedController node : sim.controllers.values()) {
       if (node != first) {
@@ -172,7 +173,7 @@
     assertEquals(List.of(), sim.checker.violations);
   }
 
-  /** The transaction that cancels takes the bits along that its entry has no room for. */
+  /** The cancelling transaction also stores the completion bits that the entry can't hold. */
   @Test
   void cancellingOversizedEntryKeepsCompletionBits() {
     Simulation sim = new Simulation(310, LIMITS_AFTER);
@@ -200,9 +201,12 @@
     assertEquals(List.of(), sim.checker.violations);
   }
 
-  /** An entry may be known before its pieces: what these say was done isn't started again. */
+  /**
+   * A state replica may contain a job's entry before the pieces of its completion bitmap. Tasks
+   * that these pieces show as completed must not be started again.
+   */
   @Test
-  void completionBitsReadAfterTheirEntryCount() {
+  void tasksCompletedInLateBitmapPiecesAreNotRestarted() {
     Simulation sim = new Simulation(314, LIMITS_AFTER);
     sim.runUntil(10_000);
     JobSpec spec = batchJob("wk-000001").tasks(20_010).cpus(4).build();
@@ -237,11 +241,11 @@
   }
 
   /**
-   * Nobody knew that the limits fall: entries that have become too large are tried ever more
-   * seldom, and delay neither sessions nor other jobs of the same team.
+   * The limits drop without an announcement. Writes of entries that have become too large are
+   * retried with backoff, and delay neither sessions nor other jobs of the team.
    */
   @Test
-  void tooLargeWritesBackOffAndBlockNothing() {
+  void oversizedWritesBackOffWithoutDelayingOthers() {
     Simulation sim = new Simulation(311);
     sim.runUntil(10_000);
     SimulatedController leader = sim.controllers.get("n1");
@@ -265,7 +269,7 @@
       long tries = countRequests(sim, from, JobBitmaps.jobKey(id));
       assertTrue(tries >= 2 && tries <= 12, id + " was tried " + tries + " times");
     }
-    // and once more when its leader crashes and the others try to take them over
+    // the peers retry their takeover of the jobs with backoff too, after the leader's crash
     leader.crash(100_000);
     from = sim.stateService.receivedTransactions.size();
     sim.runUntil(140_000);
@@ -282,7 +286,7 @@
     assertEquals(List.of(), sim.checker.violations);
   }
 
-  /** The same with a rate that leaves no change at all: what is refused isn't asked for hotly. */
+  /** The rate limit allows no change at all; rejected writes are not retried in a tight loop. */
   @Test
   void rateLimitedWritesBackOff() {
     Simulation sim = new Simulation(312);
@@ -312,7 +316,9 @@
     assertEquals(List.of(), sim.checker.violations);
   }
 
-  /** A description that can't be kept is refused at once, but not one that stands already. */
+  /**
+   * A job whose specification exceeds the value limit is rejected at once, unless stored already.
+   */
   @Test
   void oversizedSpecIsRejectedUnlessAccepted() {
     Simulation sim = new Simulation(313, LIMITS_AFTER);
@@ -343,17 +349,18 @@
   }
 
   /**
-   * All controllers end with hundreds of machines, and few changes are allowed. One change for
-   * every 40 ms of arrivals outgrew what workers wait for: each turned to the next controller and
-   * was registered there as late, for a minute; and the autoscaler's leader lease waited behind it.
+   * All controllers crash in a cluster of hundreds of machines, and the rate limit is low. With one
+   * change for the registrations of every 40 ms, the changes waited longer than workers wait for an
+   * answer. For a minute each worker turned to the next controller and was registered there too
+   * late as well, and the autoscaler's leader lease waited behind these changes.
    */
   @Test
   void machinesChangeLeaderOnceUnderLowRateLimit() {
-    Simulation.StateLimits few = new Simulation.StateLimits(2_048, 8, 12);
-    Simulation sim = new Simulation(320, few);
+    Simulation.StateLimits lowLimits = new Simulation.StateLimits(2_048, 8, 12);
+    Simulation sim = new Simulation(320, lowLimits);
     sim.addMachines(500);
     sim.runUntil(25_000);
-    sim.stateService.setLimits(few);
+    sim.stateService.setLimits(lowLimits);
     long before = sim.stateService.revision;
     sim.crashAll(2_000);
     sim.runUntil(sim.nowMs + 12_000);
@@ -366,7 +373,7 @@
     assertTrue(retained.size() > sim.workers.size() * 9 / 10, "kept: " + retained.size());
     assertTrue(
         sim.stateService.entries.containsKey(StateKeys.AUTOSCALER_LEADER_KEY),
-        "some controller leads the autoscaling again");
+        "a controller leads autoscaling again");
     int registered = 0;
     for (KeyValue item : sim.stateService.changes) {
       if (item.modRevision() <= before) {
--- a/src/test/java/mallowstall/core/StatusUpdateSafetyTest.java
+++ b/src/test/java/mallowstall/core/StatusUpdateSafetyTest.java
@@ -15,27 +15,28 @@
 import mallowstall.core.model.TaskStatus;
 import org.junit.jupiter.api.Test;
 
-/** Status updates that are late, repeated, out of order, or of a former incarnation. */
+/** Guards against effects of late, repeated, reordered or outdated status updates. */
 class StatusUpdateSafetyTest {
   /**
-   * A status update that still acknowledges the former incarnation's connections must not settle a
-   * start of the new one, or a task is placed twice.
+   * A status update that still acknowledges connections of the receiver's former incarnation must
+   * not decide the outcome of a start that its new incarnation requested. Otherwise a task is
+   * placed twice.
    */
   @Test
   void acknowledgementsOfFormerIncarnationAreIgnored() {
     Simulation sim = new Simulation(41);
     sim.runUntil(6_000);
     SimulatedController node = sim.controllers.get("n0");
-    long mine = node.core.incarnation();
-    node.enqueueEvent(() -> node.core.handleMessage(acknowledgement(1, mine - 1)));
+    long incarnation = node.core.incarnation();
+    node.enqueueEvent(() -> node.core.handleMessage(acknowledgement(1, incarnation - 1)));
     assertEquals(0, node.core.view().peer("n1").acknowledgedConnection());
-    node.enqueueEvent(() -> node.core.handleMessage(acknowledgement(2, mine)));
+    node.enqueueEvent(() -> node.core.handleMessage(acknowledgement(2, incarnation)));
     assertEquals(99, node.core.view().peer("n1").acknowledgedConnection());
   }
 
   /**
-   * Status updates are lost, late and repeated: one that builds on an update that never came is
-   * rejected, and the next contains all that has not been acknowledged.
+   * Status updates are lost, late and repeated. An update that builds on a lost one is rejected,
+   * and the next update contains every change that has not been acknowledged.
    */
   @Test
   void statusUpdateWithSequenceGapIsRejected() {
@@ -49,7 +50,7 @@
     assertTrue(peer.leads("m-900001"));
     node.enqueueEvent(
         () -> node.core.handleMessage(statusUpdate(4, 3, List.of(), List.of("m-900001"))));
-    assertEquals(1, peer.serial(), "builds on the third, which was lost");
+    assertEquals(1, peer.serial(), "the update builds on the third, which was lost");
     assertTrue(peer.leads("m-900001"));
     node.enqueueEvent(
         () ->
@@ -58,19 +59,19 @@
     assertEquals(5, peer.serial());
     node.enqueueEvent(
         () -> node.core.handleMessage(statusUpdate(4, 1, List.of(), List.of("m-900002"))));
-    assertTrue(peer.leads("m-900002"), "an older one comes late");
+    assertTrue(peer.leads("m-900002"), "an older update that arrives late is ignored");
     node.enqueueEvent(
         () -> node.core.handleMessage(statusUpdate(6, 5, List.of(), List.of("m-900001"))));
     assertFalse(peer.leads("m-900001"));
-    assertTrue(peer.leads("m-900002"), "what isn't repeated still holds");
+    assertTrue(peer.leads("m-900002"), "a machine that the update doesn't mention remains");
   }
 
   /**
-   * A job leader without a session has a stale view: it must not take tasks for duplicates, and
-   * stop them, on a machine that was scaled in meanwhile. With its session it must do so.
+   * A job leader without a session has a stale view. It must not treat tasks on a machine that was
+   * scaled in meanwhile as duplicates and stop them. A job leader with a session must stop them.
    */
   @Test
-  void leaderWithoutSessionReportsNoDuplicateTask() {
+  void leaderWithoutSessionStopsNoDuplicateTask() {
     for (boolean session : new boolean[] {true, false}) {
       Simulation sim = new Simulation(92);
       sim.taskRunMs = 60_000;
@@ -95,7 +96,7 @@
     }
   }
 
-  /** Of the starts sent on the connection 99 of this incarnation of the receiver. */
+  /** Returns an update that acknowledges the starts sent on connection 99 of the incarnation. */
   private static StatusUpdate acknowledgement(long serial, long incarnation) {
     return new StatusUpdate(
         "n1",
--- a/src/test/java/mallowstall/core/TeamAtItsLimitTest.java
+++ b/src/test/java/mallowstall/core/TeamAtItsLimitTest.java
@@ -10,38 +10,47 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against free machines that are kept for urgent jobs of a team at its limit, whose tasks
- * that limit doesn't allow, while jobs of other teams wait beside them.
+ * Guards against free capacity that is kept for urgent jobs of a team at its quota. The quota
+ * doesn't allow these jobs to start more tasks, and jobs of other teams wait although machines are
+ * free.
  */
 class TeamAtItsLimitTest {
   private static final int URGENT_JOBS = 6;
   private static final String SERVICE = "wk-000011";
   private static final String BATCH = "wk-000012";
 
-  /** Longer than all that is awaited, so that the team stays at its limit. */
+  /** Run time of a task in milliseconds, longer than each test: the team stays at its quota. */
   private static final long RUN_MS = 300_000;
 
-  private static String urgent(int number) {
+  private static String urgentJob(int number) {
     return "wk-00002" + number;
   }
 
   private static void submitUrgent(Simulation sim, int jobs, int tasks) {
     for (int i = 0; i < jobs; i++) {
       sim.users.submit(
-          batchJob(urgent(i)).tasks(tasks).cpus(2).priority(Priority.HIGH).team("tight").build());
+          batchJob(urgentJob(i))
+              .tasks(tasks)
+              .cpus(2)
+              .priority(Priority.HIGH)
+              .team("tight")
+              .build());
     }
   }
 
   private static int runningUrgentTasks(Simulation sim) {
     int running = 0;
     for (int i = 0; i < URGENT_JOBS; i++) {
-      running += sim.checker.runningReplicas(urgent(i));
+      running += sim.checker.runningReplicas(urgentJob(i));
     }
     return running;
   }
 
-  /** Four machines of 8 processors, of which the team may use 24, and urgent work for far more. */
-  private static Simulation fourMachines(long seed) {
+  /**
+   * Starts four machines of 8 processors each. The team {@code tight} may use 24 of them; its
+   * urgent jobs need far more.
+   */
+  private static Simulation startFourMachines(long seed) {
     Simulation sim = new Simulation(seed);
     sim.maxMachines = 4;
     sim.taskRunMs = RUN_MS;
@@ -50,9 +59,9 @@
   }
 
   @Test
-  void otherTeamsJobsUseWhatTheLimitLeavesFree() {
+  void jobsOfOtherTeamsUseCapacityBeyondTeamQuota() {
     for (long seed = 81; seed <= 88; seed++) {
-      Simulation sim = fourMachines(seed);
+      Simulation sim = startFourMachines(seed);
       submitUrgent(sim, URGENT_JOBS, 12);
       sim.runUntil(20_000);
       assertEquals(12, runningUrgentTasks(sim), "tasks that the limit allows");
@@ -67,11 +76,11 @@
     }
   }
 
-  /** Jobs that their team's limit holds back look at no machine until it leaves them something. */
+  /** The scheduler evaluates no machines for a job until its team has quota left for it. */
   @Test
-  void jobsOfTheTeamCostNoPlacementMeanwhile() {
+  void jobsOfTeamAtQuotaCauseNoPolicyEvaluations() {
     for (long seed = 81; seed <= 88; seed++) {
-      Simulation sim = fourMachines(seed);
+      Simulation sim = startFourMachines(seed);
       submitUrgent(sim, URGENT_JOBS, 12);
       sim.runUntil(20_000);
       assertEquals(12, runningUrgentTasks(sim), "tasks that the limit allows");
@@ -81,24 +90,24 @@
     }
   }
 
-  /** Room for tasks whose quota is being reserved is still kept: nothing has to be preempted. */
+  /** Capacity is kept for tasks whose quota is being reserved, so that nothing is preempted. */
   @Test
-  void urgentJobsGetTheRoomThatTheLimitAllows() {
+  void capacityIsKeptWhileQuotaIsBeingReserved() {
     int ledByOne = 0;
     for (long seed = 91; seed <= 102; seed++) {
-      Simulation sim = fourMachines(seed);
+      Simulation sim = startFourMachines(seed);
       submitUrgent(sim, 1, 12);
       sim.users.submit(batchJob(BATCH).tasks(16).cpus(2).priority(Priority.LOW).build());
       sim.runUntil(sim.nowMs + 10_000);
-      if (SafetyTestSupport.leaderOf(sim, urgent(0)) != SafetyTestSupport.leaderOf(sim, BATCH)) {
-        continue; // another controller can't know of room that is kept
+      if (SafetyTestSupport.leaderOf(sim, urgentJob(0)) != SafetyTestSupport.leaderOf(sim, BATCH)) {
+        continue; // a job leader on another controller can't see the capacity that is kept
       }
       ledByOne++;
       assertEquals(12, runningUrgentTasks(sim), "seed " + seed);
       assertEquals(4, sim.checker.runningReplicas(BATCH), "seed " + seed);
-      assertEquals(16, sim.checker.startCount, "started once each, seed " + seed);
+      assertEquals(16, sim.checker.startCount, "every task started once, seed " + seed);
       assertEquals(List.of(), sim.checker.violations, "seed " + seed);
     }
-    assertTrue(ledByOne > 0, "one controller leads both jobs in none of the histories");
+    assertTrue(ledByOne > 0, "no history had one controller that led both jobs");
   }
 }
--- a/src/test/java/mallowstall/core/UnconfirmedRefusalsTest.java
+++ b/src/test/java/mallowstall/core/UnconfirmedRefusalsTest.java
@@ -11,9 +11,10 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Guards against a 404, 400 or 422 after another controller has told that the job is accepted
- * (forgotten) where no process stands still: the asked controller can't know, or its leases have
- * been ended by messages that came late. See {@link LateAnswersTest} for answers that leave late.
+ * Guards against a 404, 400 or 422 for a job that another controller has already reported as
+ * accepted (violation {@code forgotten}), while no process stalls. The rejecting controller can't
+ * see the acceptance, or late messages have ended its leases. See {@link LateAnswersTest} for
+ * answers that leave late.
  */
 class UnconfirmedRefusalsTest {
   private static final String ASKED = ForcedHistory.ASKED;
@@ -22,17 +23,23 @@
 
   private static final long RUN_MS = 300_000;
 
-  /** ms. A submission right after a question that got no reply from a peer. */
+  /**
+   * Maximum time in milliseconds until a submission is accepted right after an acceptance query
+   * that got no reply from a peer.
+   */
   private static final long ACCEPTED_SOON_MS = 3_000;
 
   private static ForcedHistory history(long seed) {
     return new ForcedHistory(seed, RUN_MS, LateAnswersTest::write);
   }
 
-  /** No fault at all: asked as soon as the job is accepted, long after the last other request. */
+  /**
+   * Without any fault, a controller gets a request as soon as another one has accepted the job, and
+   * long after all other requests.
+   */
   @ParameterizedTest
   @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "SUBMISSION")
-  void refusalInAQuietCluster(UserRequest request) {
+  void acceptedJobIsNotRejectedWithoutFaults(UserRequest request) {
     HistoryTally tally = new HistoryTally();
     for (int i = 0; i < 240; i++) {
       ForcedHistory history = history(24_000 + i);
@@ -50,10 +57,10 @@
     tally.assertNoneBroken();
   }
 
-  /** A controller without contact to the state service refuses what another has accepted. */
+  /** A controller that can't reach the state service must not reject a job accepted elsewhere. */
   @ParameterizedTest
   @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "SUBMISSION")
-  void refusalWithoutTheStateService(UserRequest request) {
+  void acceptedJobIsNotRejectedWithoutStateService(UserRequest request) {
     HistoryTally tally = new HistoryTally();
     for (int i = 0; i < 100; i++) {
       ForcedHistory history = history(18_000 + i);
@@ -71,10 +78,10 @@
     tally.assertNoneBroken();
   }
 
-  /** A process that has just begun, and has no complete replica, refuses what was accepted. */
+  /** A restarted controller must not reject accepted jobs while its state replica is incomplete. */
   @ParameterizedTest
   @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "SUBMISSION")
-  void refusalByANewProcess(UserRequest request) {
+  void acceptedJobIsNotRejectedByRestartedController(UserRequest request) {
     HistoryTally tally = new HistoryTally();
     for (int i = 0; i < 100; i++) {
       ForcedHistory history = history(19_000 + i);
@@ -89,10 +96,13 @@
     tally.assertNoneBroken();
   }
 
-  /** An older query that comes after a newer one takes the newer one's lease along at its end. */
+  /**
+   * An older acceptance query arrives after a newer one. The end of the older query must not end
+   * the lease of the newer one.
+   */
   @ParameterizedTest
   @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "SUBMISSION")
-  void olderQueryAfterANewerOne(UserRequest request) {
+  void endOfOlderQueryKeepsNewerLease(UserRequest request) {
     HistoryTally tally = new HistoryTally();
     for (int i = 0; i < 60; i++) {
       ForcedHistory history = history(20_000 + i);
@@ -113,13 +123,16 @@
     tally.assertNoneBroken();
   }
 
-  /** A former process's query and its end come again after the query of its successor. */
+  /**
+   * An acceptance query of a former process, and in every second history the end of that query, is
+   * delivered again after the query of the new process.
+   */
   @ParameterizedTest
   @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "SUBMISSION")
-  void queryOfAFormerProcess(UserRequest request) {
+  void repeatedQueryOfFormerProcessKeepsNewerLease(UserRequest request) {
     HistoryTally tally = new HistoryTally();
     for (int i = 0; i < 60; i++) {
-      boolean endComesLate = i % 2 == 0;
+      boolean endIsRepeated = i % 2 == 0;
       ForcedHistory history = history(21_000 + i);
       history.delayLeases(0);
       long former = history.controller(ASKED).core.incarnation();
@@ -132,7 +145,7 @@
               return repeated ? List.of(0L, untilAskedMs + 60) : List.of(0L);
             }
             if (to.equals(OTHER) && message instanceof AcceptanceQueryEnd end) {
-              boolean late = end.incarnation() == former && endComesLate;
+              boolean late = end.incarnation() == former && endIsRepeated;
               return late ? List.of(0L, untilAskedMs + 80) : List.of(0L);
             }
             boolean slow = from.equals(THIRD) && message instanceof AcceptanceReply;
@@ -148,10 +161,10 @@
     tally.assertNoneBroken();
   }
 
-  /** One who gives up on a question, since a peer is silent, holds no submission back for long. */
+  /** An acceptance query that is given up for lack of a reply delays submissions only briefly. */
   @ParameterizedTest
   @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "SUBMISSION")
-  void submissionAfterAQuestionWithoutReply(UserRequest request) {
+  void queryWithoutReplyDelaysSubmissionOnlyBriefly(UserRequest request) {
     HistoryTally tally = new HistoryTally();
     for (int i = 0; i < 30; i++) {
       ForcedHistory history = history(22_000 + i);
@@ -173,10 +186,10 @@
     tally.assertNoneBroken();
   }
 
-  /** Ordinary questions are answered at once, and hold submissions back neither then nor later. */
+  /** Requests about unknown jobs are answered at once, and delay no submission then or later. */
   @ParameterizedTest
   @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "SUBMISSION")
-  void ordinaryAnswersAreAsFastAsEver(UserRequest request) {
+  void unknownJobIsRejectedPromptlyWithoutDelayingSubmissions(UserRequest request) {
     for (int i = 0; i < 20; i++) {
       ForcedHistory history = history(23_000 + i);
       ForcedHistory.Exchange asked = history.ask(ASKED, request);
@@ -187,7 +200,7 @@
       history.submitNow();
       ForcedHistory.Exchange again = history.ask(ASKED, request);
       history.run(ForcedHistory.ALL_ANSWERED_MS);
-      assertTrue(again.received.state() != null, "the job's state is told");
+      assertTrue(again.received.state() != null, "the answer contains the job's state");
       assertEquals(List.of(), history.simulation.checker.violations);
     }
   }
--- a/src/test/java/mallowstall/core/UpgradeTest.java
+++ b/src/test/java/mallowstall/core/UpgradeTest.java
@@ -16,14 +16,14 @@
 import mallowstall.core.model.ProgramVersion;
 import org.junit.jupiter.api.Test;
 
-/** Single moments of an upgrade from the version without services, on simulated time. */
+/** Covers single situations in an upgrade from the version without services, in simulated time. */
 class UpgradeTest {
   private static final String SERVICE_JOB = "wk-000001";
   private static final String BATCH_JOB = "wk-000002";
   private static final int REPLICAS = 3;
   private static final long RESPONSE_TIMEOUT_MS = 3_000;
 
-  /** For what was taken over to be placed and run again. */
+  /** Maximum time in milliseconds until tasks of jobs that were taken over run again. */
   private static final long RESTART_TIMEOUT_MS = 40_000;
 
   private static JobSpec serviceSpec() {
@@ -34,11 +34,11 @@
     return batchJob(BATCH_JOB).tasks(tasks).build();
   }
 
-  /** What the controller answers, which the checker gets too. */
+  /** Sends the request, waits for the controller's response and passes it to the checker too. */
   private static ApiResponse awaitResponse(
-      Simulation sim, String job, Consumer<Consumer<ApiResponse>> question) {
+      Simulation sim, String job, Consumer<Consumer<ApiResponse>> request) {
     List<ApiResponse> responses = new ArrayList<>();
-    question.accept(responses::add);
+    request.accept(responses::add);
     long until = sim.nowMs + RESPONSE_TIMEOUT_MS;
     while (responses.isEmpty() && sim.nowMs < until) {
       sim.runUntil(sim.nowMs + 10);
@@ -65,7 +65,7 @@
     }
   }
 
-  /** A cluster of which these controllers are of the present version, and the others old. */
+  /** Starts a cluster whose named controllers run the current version, the others the old one. */
   private static Simulation startMixedVersions(long seed, String... upgraded) {
     Simulation sim = new Simulation(seed, ProgramVersion.UNKNOWN);
     sim.runUntil(8_000);
@@ -90,7 +90,10 @@
     assertTrue(early.retryAfterS() >= 1, "Retry-After: " + early.retryAfterS());
     sim.upgrade(sim.controllers.get("n2"), 500);
     sim.runUntil(sim.nowMs + 300);
-    assertEquals(503, submitAt(sim, asked, serviceSpec()).status(), "it is down and was old");
+    assertEquals(
+        503,
+        submitAt(sim, asked, serviceSpec()).status(),
+        "n2 is down and last ran the old version");
     sim.runUntil(sim.nowMs + 8_000);
     assertEquals(201, submitAt(sim, asked, serviceSpec()).status());
     sim.runUntil(sim.nowMs + 10_000);
@@ -99,7 +102,7 @@
     assertEquals(List.of(), sim.checker.violations);
   }
 
-  /** The versions shown stay through the crash of one that has been upgraded. */
+  /** The known versions of all controllers are kept while an upgraded controller is down. */
   @Test
   void serviceIsAcceptedWhileUpgradedControllerIsDown() {
     Simulation sim = startMixedVersions(302, "n0", "n1", "n2");
@@ -124,7 +127,10 @@
     assertEquals(List.of(), sim.checker.violations);
   }
 
-  /** Unsupported, and yet no harm: what it can't read it neither runs nor forgets nor ends. */
+  /**
+   * The downgrade of a controller is unsupported but does no harm: the old controller neither runs
+   * nor forgets nor ends a service that it can't read.
+   */
   @Test
   void restartedOldControllerLeavesServicesToOthers() {
     for (String name : Simulation.NODES) {
@@ -150,7 +156,7 @@
     }
   }
 
-  /** Also when it alone is up for long: then nobody looks after the service. */
+  /** An old controller that runs alone for long manages no service, and doesn't end it either. */
   @Test
   void loneOldControllerDoesNotEndService() {
     Simulation sim = startWithService(305);
@@ -168,7 +174,7 @@
     assertEquals(List.of(), sim.checker.violations);
   }
 
-  /** An old controller reads the cancelled entry, and what it writes keeps it cancelled. */
+  /** An old controller can read a cancelled service's entry, and its writes keep it cancelled. */
   @Test
   void serviceCancelledBesideOldControllerStaysCancelled() {
     Simulation sim = startWithService(306);
@@ -201,7 +207,8 @@
     SimulatedController early = sim.controllers.get("n2");
     early.crash(1_000);
     sim.runUntil(sim.nowMs + 10_000);
-    assertTrue(early.running && !early.supportsServices(), "it is back, and old");
+    assertTrue(
+        early.running && !early.supportsServices(), "the controller runs the old version again");
     assertEquals(503, submitAt(sim, sim.controllers.get("n0"), serviceSpec()).status());
     sim.runUntil(sim.nowMs + RESTART_TIMEOUT_MS);
     assertEquals("done", sim.checker.lastState(BATCH_JOB));
@@ -212,7 +219,7 @@
     assertEquals(List.of(), sim.checker.violations);
   }
 
-  /** The controller ends and comes back at once with the version that knows no services. */
+  /** Restarts the controller after 500 ms with the old version, which has no services. */
   private static void restartOldVersion(Simulation sim, SimulatedController node) {
     node.installedVersion = ProgramVersion.UNKNOWN;
     node.crash(500);
