--- a/src/test/java/mallowstall/core/LateAnswersTest.java
+++ b/src/test/java/mallowstall/core/LateAnswersTest.java
@@ -11,8 +11,9 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Guards against an answer that was right when it was decided on and leaves its process too late:
- * after another controller has told that the job is accepted (forgotten) or over (went_back).
+ * Guards against an answer that was correct when the controller decided on it, but that the process
+ * sends too late because it stalls: another controller has meanwhile answered that the job is
+ * accepted (violation forgotten), or that it is done or cancelled (violation went_back).
  */
 class LateAnswersTest {
   private static final String ASKED = ForcedHistory.ASKED;
@@ -24,15 +25,18 @@
   private static final long[] LONG_STALLS_MS = {1_000, 1_200, 1_500, 1_800, 2_500, 4_000, 6_000};
   private static final long[] RESTARTS_MS = {20, 100, 300, 600, 900};
 
-  /** ms. Between a question and the first submission; the question's read has been made by then. */
-  private static final long READ_MADE_MS = 130;
+  /**
+   * Minimum time between a request and the submission, in milliseconds. The controller has read the
+   * job's entry for the request by then.
+   */
+  private static final long MIN_SUBMIT_DELAY_MS = 130;
 
-  /** ms. Between a question and the cancellation. */
-  private static final long CANCELLED_AFTER_MS = 30;
+  /** Time between a request and the cancellation, in milliseconds. */
+  private static final long CANCEL_DELAY_MS = 30;
 
   private static final long RUN_MS = 300_000;
 
-  /** The write of an answer to its user, and the only way out for answers. */
+  /** Writes an answer to its user. All answers leave the process through this method. */
   static void write(StallableProcess process, ApiResponse decided, Consumer<ApiResponse> user) {
     process.reach(StallPoint.BEFORE_WRITE);
     process.leave(
@@ -47,14 +51,17 @@
     return new ForcedHistory(seed, RUN_MS, LateAnswersTest::write);
   }
 
-  private static ForcedHistory lateReplies(long seed, long replyDelayMs) {
+  private static ForcedHistory historyWithLateReplies(long seed, long replyDelayMs) {
     ForcedHistory history = history(seed);
     history.delayLeases(replyDelayMs);
     return history;
   }
 
-  /** The job was accepted, controllers hear nothing of each other, and one's reads come late. */
-  private static ForcedHistory acceptedThenCutOff(long seed, long readDelayMs) {
+  /**
+   * Returns a history in which the job is accepted and the controllers are then partitioned from
+   * each other. The asked controller gets no watch events, and its reads are delayed.
+   */
+  private static ForcedHistory acceptedThenPartitioned(long seed, long readDelayMs) {
     ForcedHistory history = history(seed);
     history.submitNow();
     history.simulation.partitionDelayMs = 60_000;
@@ -64,14 +71,14 @@
     return history;
   }
 
-  private static HistoryTally refusalsWithStall(
+  private static HistoryTally rejectionsWithStall(
       UserRequest request, String stalled, StallPoint point) {
     HistoryTally tally = new HistoryTally();
     long seed = 10_000;
     for (long replyDelayMs : REPLY_DELAYS_MS) {
       for (long stallMs : STALLS_MS) {
-        for (long submitAfterMs = READ_MADE_MS; submitAfterMs < 930; submitAfterMs += 100) {
-          ForcedHistory history = lateReplies(seed++, replyDelayMs);
+        for (long submitAfterMs = MIN_SUBMIT_DELAY_MS; submitAfterMs < 930; submitAfterMs += 100) {
+          ForcedHistory history = historyWithLateReplies(seed++, replyDelayMs);
           history.process(stalled).planStall(point, stallMs);
           tally.add(history, history.askThenSubmit(request, submitAfterMs));
         }
@@ -80,52 +87,64 @@
     return tally;
   }
 
-  /** A 404, 400 or 422 is decided on in time and leaves after another controller's 201. */
+  /**
+   * The controller decides in time on a 404, 400 or 422 and stalls before it writes the answer,
+   * which leaves after another controller has answered 201.
+   */
   @ParameterizedTest
   @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "SUBMISSION")
-  void refusalThatLeavesLate(UserRequest request) {
-    refusalsWithStall(request, ASKED, StallPoint.BEFORE_WRITE).assertNoneBroken();
+  void rejectionStalledBeforeWriteDoesNotFollowAcceptance(UserRequest request) {
+    rejectionsWithStall(request, ASKED, StallPoint.BEFORE_WRITE).assertNoneBroken();
   }
 
-  /** As before; the process stands still after the last look at the clock that it can take. */
+  /** The process stalls after the last check of the clock before a 404, 400 or 422 leaves. */
   @ParameterizedTest
   @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "SUBMISSION")
-  void refusalThatLeavesLateAfterItsLastCheck(UserRequest request) {
-    refusalsWithStall(request, ASKED, StallPoint.AFTER_VALIDITY_CHECK).assertNoneBroken();
+  void rejectionStalledAfterLastCheckDoesNotFollowAcceptance(UserRequest request) {
+    rejectionsWithStall(request, ASKED, StallPoint.AFTER_VALIDITY_CHECK).assertNoneBroken();
   }
 
-  /** A refusal rests on a read that leaves late, after the acceptance at another controller. */
+  /** The read on which a 404, 400 or 422 is based leaves the process late. */
   @ParameterizedTest
   @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "SUBMISSION")
-  void refusalWhoseReadLeavesLate(UserRequest request) {
-    refusalsWithStall(request, ASKED, StallPoint.BEFORE_READ_SENT).assertNoneBroken();
+  void rejectionWithReadSentLateDoesNotFollowAcceptance(UserRequest request) {
+    rejectionsWithStall(request, ASKED, StallPoint.BEFORE_READ_SENT).assertNoneBroken();
   }
 
-  /** A refusal rests on a read whose answer is handled in time, and the peers are asked late. */
+  /**
+   * The controller handles the answer to its read in time, but the acceptance queries to its peers
+   * leave late.
+   */
   @ParameterizedTest
   @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "SUBMISSION")
-  void refusalWhoseReadIsHandledLate(UserRequest request) {
-    refusalsWithStall(request, ASKED, StallPoint.AFTER_READ_ANSWERED).assertNoneBroken();
+  void rejectionWithQueriesSentLateDoesNotFollowAcceptance(UserRequest request) {
+    rejectionsWithStall(request, ASKED, StallPoint.AFTER_READ_ANSWERED).assertNoneBroken();
   }
 
-  /** A lease that its granter takes for over while the asker still answers by it. */
+  /**
+   * The peer that grants a lease stalls before or after it sends the reply. The peer must not
+   * consider the lease as expired while the controller that holds the lease still answers under it.
+   */
   @ParameterizedTest
   @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "SUBMISSION")
-  void leaseOfAGranterThatStandsStill(UserRequest request) {
-    refusalsWithStall(request, OTHER, StallPoint.BEFORE_GRANT_SENT).assertNoneBroken();
-    refusalsWithStall(request, OTHER, StallPoint.AFTER_GRANT_SENT).assertNoneBroken();
+  void rejectionDoesNotFollowAcceptanceByStalledLeaseGranter(UserRequest request) {
+    rejectionsWithStall(request, OTHER, StallPoint.BEFORE_GRANT_SENT).assertNoneBroken();
+    rejectionsWithStall(request, OTHER, StallPoint.AFTER_GRANT_SENT).assertNoneBroken();
   }
 
-  /** As the first, for as long as users of submissions and cancellations wait, and longer. */
+  /**
+   * The stall before or after the last check of the clock lasts up to and beyond the 5 s for which
+   * users wait for the answer to a submission or cancellation.
+   */
   @ParameterizedTest
   @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "SUBMISSION")
-  void refusalThatLeavesSecondsLate(UserRequest request) {
+  void rejectionStalledForSecondsDoesNotFollowAcceptance(UserRequest request) {
     HistoryTally tally = new HistoryTally();
     long seed = 11_000;
     for (StallPoint point : List.of(StallPoint.BEFORE_WRITE, StallPoint.AFTER_VALIDITY_CHECK)) {
       for (long stallMs : LONG_STALLS_MS) {
-        for (long submitAfterMs = READ_MADE_MS; submitAfterMs < 930; submitAfterMs += 200) {
-          ForcedHistory history = lateReplies(seed++, 0);
+        for (long submitAfterMs = MIN_SUBMIT_DELAY_MS; submitAfterMs < 930; submitAfterMs += 200) {
+          ForcedHistory history = historyWithLateReplies(seed++, 0);
           history.process(ASKED).planStall(point, stallMs);
           tally.add(history, history.askThenSubmit(request, submitAfterMs));
         }
@@ -134,13 +153,13 @@
     tally.assertNoneBroken();
   }
 
-  private static HistoryTally refusalsWithRestartedGranter(UserRequest request, long[] stallsMs) {
+  private static HistoryTally rejectionsWithRestartedGranter(UserRequest request, long[] stallsMs) {
     HistoryTally tally = new HistoryTally();
     long seed = 12_000;
     for (long restartMs : RESTARTS_MS) {
       for (long stallMs : stallsMs) {
         for (long replyDelayMs : REPLY_DELAYS_MS) {
-          ForcedHistory history = lateReplies(seed++, replyDelayMs);
+          ForcedHistory history = historyWithLateReplies(seed++, replyDelayMs);
           history.process(ASKED).planStall(StallPoint.BEFORE_WRITE, stallMs);
           ForcedHistory.Exchange asked = history.ask(ASKED, request);
           history.run(40);
@@ -156,18 +175,21 @@
     return tally;
   }
 
-  /** A lease dies with the process that has granted it, whose successor accepts the job. */
+  /**
+   * The lease is lost when the process that granted it restarts, and the restarted controller
+   * accepts the job.
+   */
   @ParameterizedTest
   @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "SUBMISSION")
-  void leaseOfAGranterThatRestarts(UserRequest request) {
-    refusalsWithRestartedGranter(request, new long[] {0}).assertNoneBroken();
+  void rejectionDoesNotFollowAcceptanceByRestartedLeaseGranter(UserRequest request) {
+    rejectionsWithRestartedGranter(request, new long[] {0}).assertNoneBroken();
   }
 
-  /** As before, while the refusal is still on its way out. */
+  /** The process that granted the lease restarts while the 404, 400 or 422 has not yet left. */
   @ParameterizedTest
   @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "SUBMISSION")
-  void refusalThatLeavesLateAfterItsGranterRestarts(UserRequest request) {
-    refusalsWithRestartedGranter(request, STALLS_MS).assertNoneBroken();
+  void stalledRejectionDoesNotFollowAcceptanceByRestartedLeaseGranter(UserRequest request) {
+    rejectionsWithRestartedGranter(request, STALLS_MS).assertNoneBroken();
   }
 
   private static HistoryTally openStatesWithStall(UserRequest request, StallPoint point) {
@@ -175,32 +197,38 @@
     long seed = 13_000;
     for (long readDelayMs : READ_DELAYS_MS) {
       for (long stallMs : STALLS_MS) {
-        ForcedHistory history = acceptedThenCutOff(seed++, readDelayMs);
+        ForcedHistory history = acceptedThenPartitioned(seed++, readDelayMs);
         history.process(ASKED).planStall(point, stallMs);
-        tally.add(history, history.askThenCancel(request, CANCELLED_AFTER_MS));
+        tally.add(history, history.askThenCancel(request, CANCEL_DELAY_MS));
       }
     }
     return tally;
   }
 
-  /** An open state is decided on in time and leaves after another controller has told the end. */
+  /**
+   * The controller decides in time to answer that the job is pending or running, and the answer
+   * leaves after another controller has answered that the job is cancelled.
+   */
   @ParameterizedTest
   @EnumSource
-  void openStateThatLeavesLate(UserRequest request) {
+  void openStateStalledBeforeWriteDoesNotFollowCancellation(UserRequest request) {
     openStatesWithStall(request, StallPoint.BEFORE_WRITE).assertNoneBroken();
   }
 
-  /** As before; the process stands still after the last look at the clock that it can take. */
+  /** The process stalls after the last check of the clock before the open state leaves. */
   @ParameterizedTest
   @EnumSource
   void openStateThatLeavesLateAfterItsLastCheck(UserRequest request) {
     openStatesWithStall(request, StallPoint.AFTER_VALIDITY_CHECK).assertNoneBroken();
   }
 
-  /** An open state rests on a read that leaves late, or whose answer is handled just in time. */
+  /**
+   * The read on which an open state is based leaves the process late, or the process stalls right
+   * after the answer to the read has arrived.
+   */
   @ParameterizedTest
   @EnumSource
-  void openStateWhoseReadIsLate(UserRequest request) {
+  void openStateWithLateReadDoesNotFollowCancellation(UserRequest request) {
     openStatesWithStall(request, StallPoint.BEFORE_READ_SENT).assertNoneBroken();
     openStatesWithStall(request, StallPoint.AFTER_READ_ANSWERED).assertNoneBroken();
   }
@@ -214,29 +242,37 @@
         history.submitNow();
         history.controller(ASKED).watchStalled = true;
         history.process(ASKED).planStall(point, stallMs);
-        tally.add(history, history.askThenCancel(request, CANCELLED_AFTER_MS));
+        tally.add(history, history.askThenCancel(request, CANCEL_DELAY_MS));
       }
     }
     return tally;
   }
 
-  /** A peer in reach that stands still acknowledges no end, which is told without it. */
+  /**
+   * The controller stalls for seconds while its peers can reach it. It does not acknowledge the
+   * announcement of the outcome, so another controller answers users without its acknowledgement.
+   */
   @ParameterizedTest
   @EnumSource
-  void openStateThatLeavesSecondsLate(UserRequest request) {
+  void openStateStalledForSecondsDoesNotFollowCancellation(UserRequest request) {
     openStatesWithLongStall(request, StallPoint.BEFORE_WRITE).assertNoneBroken();
   }
 
-  /** As before; the process stands still after the last look at the clock that it can take. */
+  /**
+   * The process stalls for seconds after the last check of the clock before the open state leaves.
+   */
   @ParameterizedTest
   @EnumSource
   void openStateThatLeavesSecondsLateAfterItsLastCheck(UserRequest request) {
     openStatesWithLongStall(request, StallPoint.AFTER_VALIDITY_CHECK).assertNoneBroken();
   }
 
-  /** A submission is recorded, and told only after another controller has told the job's end. */
+  /**
+   * A submission is recorded, and its 201 leaves after another controller has answered that the job
+   * is cancelled.
+   */
   @Test
-  void acceptanceThatLeavesLate() {
+  void stalledAcceptanceDoesNotFollowCancellation() {
     HistoryTally tally = new HistoryTally();
     long seed = 16_000;
     for (long answerDelayMs : READ_DELAYS_MS) {
@@ -247,15 +283,15 @@
         history.controller(ASKED).watchStalled = true;
         history.controller(ASKED).stateDelayMs = answerDelayMs;
         history.process(ASKED).planStall(StallPoint.BEFORE_WRITE, stallMs);
-        tally.add(history, history.askThenCancel(UserRequest.SUBMISSION, CANCELLED_AFTER_MS));
+        tally.add(history, history.askThenCancel(UserRequest.SUBMISSION, CANCEL_DELAY_MS));
       }
     }
     tally.assertNoneBroken();
   }
 
-  /** An open state leaves after another controller has told that the last task is done. */
+  /** An open state leaves after another controller has answered that the job is done. */
   @Test
-  void openStateThatLeavesAfterDoneIsTold() {
+  void stalledOpenStateDoesNotFollowDone() {
     HistoryTally tally = new HistoryTally();
     for (int i = 0; i < 60; i++) {
       ForcedHistory history = new ForcedHistory(17_000 + i, 4_000, LateAnswersTest::write);
@@ -276,9 +312,9 @@
       }
       history.run(ForcedHistory.ALL_ANSWERED_MS);
       assertEquals(1, asked.answers, "answered once: " + history.trace);
-      boolean endsMeanwhile =
+      boolean endRecordedBeforeAnswer =
           history.endRecordedMs > asked.askedMs && asked.leftMs > history.endRecordedMs;
-      tally.add(history, endsMeanwhile);
+      tally.add(history, endRecordedBeforeAnswer);
     }
     tally.assertNoneBroken();
   }
--- a/src/test/java/mallowstall/core/LateMachineEntryTest.java
+++ b/src/test/java/mallowstall/core/LateMachineEntryTest.java
@@ -18,18 +18,25 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against entries of returned machines that heartbeats under way bring back and that no
- * leader of autoscaling removes, so that jobs that fail over wait for them; and against a mend that
- * removes entries of living machines.
+ * Guards against entries of returned machines that stay in the state service. A heartbeat that was
+ * in flight when its machine was returned registers the machine again, and jobs that fail over wait
+ * for each machine with an entry until the autoscaler leader removes that entry. Guards as well
+ * against the removal of entries of running machines.
  */
 class LateMachineEntryTest {
   private static final String SERVICE = "wk-000001";
 
-  /** A late entry is gone within two plans of the leader of autoscaling and its write. */
+  /**
+   * Maximum time in milliseconds until a late entry is removed: two plans of the autoscaler leader
+   * and its write.
+   */
   private static final long REMOVED_WITHIN_MS = 2 * Constants.AUTOSCALER_INTERVAL_MS + 1_000;
 
-  /** Until another controller leads autoscaling after its leader's end. */
-  private static final long NEW_LEADER_MS = Constants.SESSION_LEASE_MS + 3_000;
+  /**
+   * Maximum time in milliseconds until another controller becomes autoscaler leader after the
+   * leader has crashed.
+   */
+  private static final long LEADER_CHANGE_MS = Constants.SESSION_LEASE_MS + 3_000;
 
   private static Simulation runService(long seed) {
     Simulation sim = new Simulation(seed);
@@ -47,18 +54,21 @@
     return sim.controllers.get(entry.node());
   }
 
-  /** A controller that doesn't lead autoscaling and whose watch gets no events from now on. */
-  private static SimulatedController stallWatchBeside(Simulation sim, SimulatedController other) {
+  /**
+   * Stalls the watch of a controller other than the given one, so that this controller gets no more
+   * events, and returns it.
+   */
+  private static SimulatedController stallWatchOfOther(Simulation sim, SimulatedController other) {
     for (SimulatedController node : sim.controllers.values()) {
       if (node != other) {
         node.watchStalled = true;
         return node;
       }
     }
-    throw new IllegalStateException("one controller alone");
+    throw new IllegalStateException("there is only one controller");
   }
 
-  private static List<String> machinesLedElsewhere(
+  private static List<String> machinesLedByOthers(
       Simulation sim, SimulatedController node, int count) {
     List<String> machines = new ArrayList<>();
     for (String machine : sim.workers.keySet()) {
@@ -74,22 +84,25 @@
     return machines.stream().anyMatch(machine -> node.core.store().machine(machine) != null);
   }
 
-  /** The machines end with a heartbeat under way each, and are returned; these heartbeats. */
-  private static List<Heartbeat> returnWithHeartbeatsUnderWay(
+  /**
+   * Terminates the machines, runs until they are returned and their entries are deleted, and
+   * returns one heartbeat of each machine that is still in flight.
+   */
+  private static List<Heartbeat> returnWithHeartbeatsInFlight(
       Simulation sim, SimulatedController observer, List<String> machines) {
-    List<Heartbeat> underWay = new ArrayList<>();
+    List<Heartbeat> inFlight = new ArrayList<>();
     for (String machine : machines) {
       SimulatedWorker worker = sim.workers.get(machine);
       worker.heartbeatSequence += 10;
-      underWay.add(worker.snapshot());
+      inFlight.add(worker.snapshot());
       sim.killMachine(machine);
     }
     long until = sim.nowMs + 4 * Simulation.LEASE_MS;
     while (sim.nowMs < until && hasEntry(observer, machines)) {
       sim.runUntil(sim.nowMs + 10);
     }
-    assertFalse(hasEntry(observer, machines), "returned");
-    return underWay;
+    assertFalse(hasEntry(observer, machines), "the entries are deleted");
+    return inFlight;
   }
 
   private static void deliver(SimulatedController node, List<Heartbeat> heartbeats) {
@@ -98,7 +111,10 @@
     }
   }
 
-  /** Whether any of the machines got an entry again by the heartbeats that were under way. */
+  /**
+   * Returns whether any of the machines gets an entry again within the given time, through the
+   * heartbeats that were in flight.
+   */
   private static boolean isRegisteredAgain(
       Simulation sim, SimulatedController observer, List<String> machines, long withinMs) {
     long until = sim.nowMs + withinMs;
@@ -113,92 +129,99 @@
     sim.runUntil(sim.nowMs + REMOVED_WITHIN_MS);
     assertFalse(hasEntry(observer, machines), "seed " + seed + ", " + machines);
     for (String machine : sim.workers.keySet()) {
-      assertNotNull(observer.core.store().machine(machine), machine + " lives, seed " + seed);
+      assertNotNull(observer.core.store().machine(machine), machine + " is running, seed " + seed);
     }
     assertEquals(List.of(), sim.checker.violations, "seed " + seed);
   }
 
-  /** Guards against late entries, by a group and by a single one, that stay for a minute. */
+  /**
+   * Guards against late entries that stay for a minute, whether they are written as a single entry
+   * or as a group.
+   */
   @Test
-  void lateEntriesAreRemovedSoon() {
+  void lateEntriesAreRemoved() {
     for (int count = 1; count <= 2; count++) {
       int registered = 0;
       for (long seed = 921; seed <= 928; seed++) {
         Simulation sim = runService(seed);
         SimulatedController autoscaler = autoscalerLeader(sim);
-        SimulatedController late = stallWatchBeside(sim, autoscaler);
-        List<String> machines = machinesLedElsewhere(sim, late, count);
-        List<Heartbeat> underWay = returnWithHeartbeatsUnderWay(sim, autoscaler, machines);
-        deliver(late, underWay);
+        SimulatedController stalled = stallWatchOfOther(sim, autoscaler);
+        List<String> machines = machinesLedByOthers(sim, stalled, count);
+        List<Heartbeat> inFlight = returnWithHeartbeatsInFlight(sim, autoscaler, machines);
+        deliver(stalled, inFlight);
         registered += isRegisteredAgain(sim, autoscaler, machines, 1_000) ? 1 : 0;
-        late.watchStalled = false;
+        stalled.watchStalled = false;
         assertRemoved(sim, autoscaler, machines, seed);
       }
-      // a single entry is compared, so that it comes only for a machine that a group had named
-      assertTrue(count == 1 || registered > 0, "the order of events took place in no history");
+      // The write of a single entry has a condition on that entry, so it succeeds only for a
+      // machine
+      // that was registered in a group before.
+      assertTrue(count == 1 || registered > 0, "no history had the order of events under test");
     }
   }
 
   /**
-   * Guards against a first heartbeat, which shows no token, that registers after the return with a
-   * controller that has heard neither of the machine's entry nor of its status.
+   * Guards against an entry that the first heartbeat of a machine, which carries no token,
+   * registers after the machine's return, at a controller that received neither the machine's entry
+   * nor its status.
    */
   @Test
-  void lateFirstHeartbeatIsRemovedSoon() {
+  void entryOfLateFirstHeartbeatIsRemoved() {
     int registered = 0;
     for (long seed = 931; seed <= 938; seed++) {
       Simulation sim = runService(seed);
       SimulatedController autoscaler = autoscalerLeader(sim);
-      SimulatedController late = stallWatchBeside(sim, autoscaler);
+      SimulatedController stalled = stallWatchOfOther(sim, autoscaler);
       sim.partitionDelayMs = 10 * Simulation.LEASE_MS;
-      sim.isolate(late);
-      late.stateServiceUnreachable = false;
+      sim.isolate(stalled);
+      stalled.stateServiceUnreachable = false;
       String machine = sim.addMachine("t8", "a", false, 0);
       SimulatedWorker worker = sim.workers.get(machine);
       worker.controllerName = autoscaler.name;
       Heartbeat first = worker.snapshot();
       sim.runUntil(sim.nowMs + 3_000);
-      if (autoscaler.core.store().machine(machine).node().equals(late.name)) {
-        continue; // the machine prefers the controller that is cut off
+      if (autoscaler.core.store().machine(machine).node().equals(stalled.name)) {
+        continue; // the isolated controller leads the machine
       }
-      // at the end of its notice it is returned before the late controller stops to take heartbeats
+      // The machine is returned at the end of its termination notice, while the isolated controller
+      // still accepts heartbeats.
       worker.giveTerminationNotice(Simulation.HEARTBEAT_MS);
       sim.runUntil(sim.nowMs + Simulation.HEARTBEAT_MS - 100);
-      returnWithHeartbeatsUnderWay(sim, autoscaler, List.of(machine));
-      // sent to the controller that leads fewer machines at first, and registered when it comes
-      // again
-      deliver(late, List.of(first));
+      returnWithHeartbeatsInFlight(sim, autoscaler, List.of(machine));
+      // The first copy is redirected to the controller that leads fewer machines, the second copy
+      // registers the machine.
+      deliver(stalled, List.of(first));
       sim.runUntil(sim.nowMs + 100);
-      deliver(late, List.of(first));
+      deliver(stalled, List.of(first));
       registered += isRegisteredAgain(sim, autoscaler, List.of(machine), 1_000) ? 1 : 0;
-      late.watchStalled = false;
+      stalled.watchStalled = false;
       sim.healPartitions();
       assertRemoved(sim, autoscaler, List.of(machine), seed);
     }
-    assertTrue(registered > 0, "the order of events took place in no history");
+    assertTrue(registered > 0, "no history had the order of events under test");
   }
 
-  /** Guards against a new leader of autoscaling that hasn't made the return itself. */
+  /** Guards against late entries that stay because a new autoscaler leader did not return them. */
   @Test
   void newAutoscalerLeaderRemovesLateEntries() {
     int registered = 0;
     for (long seed = 941; seed <= 948; seed++) {
       Simulation sim = runService(seed);
       SimulatedController former = autoscalerLeader(sim);
-      SimulatedController late = stallWatchBeside(sim, former);
-      List<String> machines = machinesLedElsewhere(sim, late, 2);
-      List<Heartbeat> underWay = returnWithHeartbeatsUnderWay(sim, former, machines);
+      SimulatedController stalled = stallWatchOfOther(sim, former);
+      List<String> machines = machinesLedByOthers(sim, stalled, 2);
+      List<Heartbeat> inFlight = returnWithHeartbeatsInFlight(sim, former, machines);
       sim.runUntil(sim.nowMs + 1_000);
-      former.crash(2 * NEW_LEADER_MS);
-      deliver(late, underWay);
-      SimulatedController third = thirdController(sim, former, late);
+      former.crash(2 * LEADER_CHANGE_MS);
+      deliver(stalled, inFlight);
+      SimulatedController third = thirdController(sim, former, stalled);
       registered += isRegisteredAgain(sim, third, machines, 1_000) ? 1 : 0;
-      late.watchStalled = false;
-      sim.runUntil(sim.nowMs + NEW_LEADER_MS);
+      stalled.watchStalled = false;
+      sim.runUntil(sim.nowMs + LEADER_CHANGE_MS);
       assertNotEquals(former.name, autoscalerLeader(sim).name);
       assertRemoved(sim, third, machines, seed);
     }
-    assertTrue(registered > 0, "the order of events took place in no history");
+    assertTrue(registered > 0, "no history had the order of events under test");
   }
 
   private static SimulatedController thirdController(
@@ -208,46 +231,47 @@
         return node;
       }
     }
-    throw new IllegalStateException("two controllers alone");
+    throw new IllegalStateException("there are only two controllers");
   }
 
-  /** Guards against late entries that stay since the state service was out or slow meanwhile. */
+  /** Guards against late entries that stay after an outage of the state service or slow answers. */
   @Test
-  void lateEntriesAreRemovedAfterAnOutageAndBesideSlowAnswers() {
+  void lateEntriesAreRemovedAfterOutageOrSlowAnswers() {
     for (boolean outage : new boolean[] {true, false}) {
       int registered = 0;
       for (long seed = 951; seed <= 956; seed++) {
         Simulation sim = runService(seed);
         SimulatedController autoscaler = autoscalerLeader(sim);
-        SimulatedController late = stallWatchBeside(sim, autoscaler);
-        List<String> machines = machinesLedElsewhere(sim, late, 2);
-        List<Heartbeat> underWay = returnWithHeartbeatsUnderWay(sim, autoscaler, machines);
-        deliver(late, underWay);
+        SimulatedController stalled = stallWatchOfOther(sim, autoscaler);
+        List<String> machines = machinesLedByOthers(sim, stalled, 2);
+        List<Heartbeat> inFlight = returnWithHeartbeatsInFlight(sim, autoscaler, machines);
+        deliver(stalled, inFlight);
         registered += isRegisteredAgain(sim, autoscaler, machines, 1_000) ? 1 : 0;
         sim.stateService.outage = outage;
         sim.maxStateDelayMs = outage ? 0 : 900;
-        late.watchStalled = false;
+        stalled.watchStalled = false;
         sim.runUntil(sim.nowMs + Simulation.LEASE_MS);
         sim.stateService.endOutage();
         sim.maxStateDelayMs = 0;
-        sim.runUntil(sim.nowMs + NEW_LEADER_MS);
+        sim.runUntil(sim.nowMs + LEADER_CHANGE_MS);
         assertRemoved(sim, autoscaler, machines, seed);
       }
-      assertTrue(registered > 0, "the order of events took place in no history");
+      assertTrue(registered > 0, "no history had the order of events under test");
     }
   }
 
   /**
-   * Guards against deletions that are sent again while they are under way: with a state service
-   * that is slow or short of its rate they used it up, and users got 503 for minutes.
+   * Guards against deletions that are sent again while they are in flight. With a state service
+   * that is slow or near its rate limit, the repeated deletions used up the write rate, and users
+   * got 503 for minutes.
    */
   @Test
-  void deletionUnderWayIsNotSentAgain() {
+  void deletionInFlightIsNotSentAgain() {
     for (long seed = 971; seed <= 976; seed++) {
       Simulation sim = runService(seed);
       SimulatedController autoscaler = autoscalerLeader(sim);
       List<String> machines = List.copyOf(sim.workers.keySet()).subList(0, 2);
-      // later than the next plan, and soon enough for the session to last
+      // longer than the interval between plans, but short enough to renew the session lease
       autoscaler.stateDelayMs = Constants.AUTOSCALER_INTERVAL_MS + 500;
       machines.forEach(sim::killMachine);
       sim.runUntil(sim.nowMs + 6 * Simulation.LEASE_MS);
@@ -272,11 +296,11 @@
   }
 
   /**
-   * Living machines keep their entries through first registrations, new processes of their
-   * controllers and late copies of their heartbeats at two controllers at once.
+   * Running machines keep their entries when machines register for the first time, when their
+   * controllers restart, and when two controllers receive late copies of their heartbeats.
    */
   @Test
-  void livingMachinesKeepTheirEntries() {
+  void runningMachinesKeepTheirEntries() {
     for (long seed = 961; seed <= 968; seed++) {
       Simulation sim = runService(seed);
       sim.addMachines(3);
--- a/src/test/java/mallowstall/core/LateRegistrationTest.java
+++ b/src/test/java/mallowstall/core/LateRegistrationTest.java
@@ -15,22 +15,22 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Returned machines get an entry again by their last heartbeats (seeds 43112 and 43619 of the
- * upgrade histories; known red).
+ * Guards against returned machines that get an entry again through their last heartbeats (seeds
+ * 43112 and 43619 of the upgrade histories).
  *
- * <p>What happens: jobs that fail over wait for a minute to be placed, beside room. Why: a
- * controller that hasn't heard of the return registers the machines by heartbeats that were on
- * their way; it writes one entry for all of them, which is compared with nothing. Nobody acts on
- * these entries: the leader of autoscaling leaves machines alone that it has returned within the
- * last 60 s, and recovery waits for each machine with an entry. What showed it, in seed 43619: at
- * 217603 ms {@code scale in requested machines=[..., m-000010, ...]}, at 217715 {@code machines
- * registered token=703 machines=m-000010,m-000013}, from then to 278916 {@code job recovery waits
- * ... machine=m-000010}.
+ * <p>The fault: jobs that failed over were not placed for a minute although there was capacity. A
+ * controller that had not yet received the deletion of the entries registered the machines through
+ * heartbeats that were in flight. It wrote one group entry for all of them, whose transaction has
+ * no condition on their entries. The autoscaler leader ignored machines that it had returned within
+ * the last 60 s, so it did not remove the entries, and the recovery of a job waits for each machine
+ * with an entry. In seed 43619 the log shows at 217603 ms {@code scale in requested machines=[...,
+ * m-000010, ...]}, at 217715 ms {@code machines registered token=703 machines=m-000010,m-000013},
+ * and from then to 278916 ms {@code job recovery waits ... machine=m-000010}.
  */
 class LateRegistrationTest {
   private static final String SERVICE = "wk-000001";
 
-  /** The aim: no replica is missing for longer beside room. */
+  /** Maximum time in milliseconds for which a replica may be missing although there is capacity. */
   private static final long SERVED_WITHIN_MS = InvariantChecker.MAX_REPLICA_MISSING_MS;
 
   private static SimulatedController autoscalerLeader(Simulation sim) {
@@ -40,17 +40,17 @@
     return sim.controllers.get(entry.node());
   }
 
-  private static SimulatedController controllerBeside(Simulation sim, SimulatedController other) {
+  private static SimulatedController otherController(Simulation sim, SimulatedController other) {
     for (SimulatedController node : sim.controllers.values()) {
       if (node != other) {
         return node;
       }
     }
-    throw new IllegalStateException("one controller alone");
+    throw new IllegalStateException("there is only one controller");
   }
 
-  /** Two machines that the controller doesn't lead. */
-  private static List<String> machinesLedElsewhere(Simulation sim, SimulatedController node) {
+  /** Returns at most two of the service's machines that the controller doesn't lead. */
+  private static List<String> machinesLedByOthers(Simulation sim, SimulatedController node) {
     List<String> machines = new ArrayList<>();
     for (String machine : sim.checker.machinesOf(SERVICE)) {
       MachineEntry entry = node.core.store().machine(machine);
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void entriesOfReturnedMachinesDoNotStay() {
+  void lateEntriesOfReturnedMachinesAreRemoved() {
     int registered = 0;
     for (long seed = 901; seed <= 908; seed++) {
       Simulation sim = new Simulation(seed);
@@ -70,28 +70,28 @@
       sim.users.submit(service(SERVICE).tasks(4).priority(Priority.PRODUCTION).build());
       sim.runUntil(sim.nowMs + 15_000);
       SimulatedController autoscaler = autoscalerLeader(sim);
-      SimulatedController late = controllerBeside(sim, autoscaler);
-      List<String> machines = machinesLedElsewhere(sim, late);
+      SimulatedController stalled = otherController(sim, autoscaler);
+      List<String> machines = machinesLedByOthers(sim, stalled);
       if (machines.size() < 2) {
         continue;
       }
-      late.watchStalled = true;
-      List<Heartbeat> underWay = new ArrayList<>();
+      stalled.watchStalled = true;
+      List<Heartbeat> inFlight = new ArrayList<>();
       for (String machine : machines) {
         SimulatedWorker worker = sim.workers.get(machine);
         worker.heartbeatSequence += 10;
-        underWay.add(worker.snapshot());
+        inFlight.add(worker.snapshot());
         sim.killMachine(machine);
       }
       long until = sim.nowMs + 2 * Simulation.LEASE_MS;
       while (sim.nowMs < until && hasEntry(autoscaler, machines)) {
         sim.runUntil(sim.nowMs + 10);
       }
-      for (Heartbeat heartbeat : underWay) {
-        late.enqueueEvent(() -> late.core.handleHeartbeat(heartbeat, response -> {}));
+      for (Heartbeat heartbeat : inFlight) {
+        stalled.enqueueEvent(() -> stalled.core.handleHeartbeat(heartbeat, response -> {}));
       }
       sim.runUntil(sim.nowMs + 1_000);
-      late.watchStalled = false;
+      stalled.watchStalled = false;
       registered += hasEntry(autoscaler, machines) ? 1 : 0;
       sim.runUntil(sim.nowMs + SERVED_WITHIN_MS);
       for (String machine : machines) {
@@ -100,7 +100,7 @@
       assertEquals(4, sim.checker.runningReplicas(SERVICE));
       assertEquals(List.of(), sim.checker.violations);
     }
-    assertTrue(registered > 0, "the order of events took place in none of the histories");
+    assertTrue(registered > 0, "no history had the order of events under test");
   }
 
   private static boolean hasEntry(SimulatedController node, List<String> machines) {
--- a/src/test/java/mallowstall/core/MachineLeadershipTest.java
+++ b/src/test/java/mallowstall/core/MachineLeadershipTest.java
@@ -24,25 +24,26 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Machines that change leader, or outlive the controller that leads them. */
+/** Tests changes of machine leaders, and machines whose leader crashes, restarts or is isolated. */
 class MachineLeadershipTest {
-  /** Changes of machine leaders since that revision. */
-  private static long registrationsSince(Simulation sim, long since) {
+  /** Returns the number of changes of machine entries and machine groups after the revision. */
+  private static long registrationsSince(Simulation sim, long afterRevision) {
     return sim.stateService.changes.stream()
-        .filter(item -> item.modRevision() > since)
+        .filter(change -> change.modRevision() > afterRevision)
         .filter(
-            i ->
-                i.key().startsWith(StateKeys.MACHINE_GROUP_PREFIX)
-                    || i.key().startsWith(StateKeys.MACHINE_PREFIX))
+            change ->
+                change.key().startsWith(StateKeys.MACHINE_GROUP_PREFIX)
+                    || change.key().startsWith(StateKeys.MACHINE_PREFIX))
         .count();
   }
 
   /**
-   * A machine that dies with its leader: jobs that fail over wait for it only until scale-in proves
-   * it terminated, not until the leader's next incarnation may expire its lease (25 s).
+   * A machine terminates together with its leader. Jobs that fail over wait for the machine only
+   * until scale-in shows that it is terminated, not the 25 s until the leader's next incarnation
+   * may expire the machine's lease.
    */
   @Test
-  void machineThatDiesWithItsLeaderDelaysFailoverBriefly() {
+  void machineTerminatedWithItsLeaderDelaysFailoverBriefly() {
     Simulation sim = new Simulation(44);
     sim.runUntil(8_000);
     sim.users.submit(batchJob("wk-000001").tasks(60).build());
@@ -68,8 +69,9 @@
   }
 
   /**
-   * A controller without state service and peers still answers its workers, which turn to nobody
-   * else: the others take them over directly, tasks and all, so that its jobs go on.
+   * A controller that reaches neither the state service nor its peers still answers its workers, so
+   * that they do not change to another controller. The other controllers take over the machines
+   * together with their tasks by contacting the workers directly, so that the jobs continue.
    */
   @Test
   void machinesOfIsolatedControllerFailOver() {
@@ -83,11 +85,12 @@
     sim.runUntil(14_000 + Constants.SESSION_LEASE_MS + Constants.MACHINE_FAILOVER_DELAY_MS + 4_000);
     SimulatedController next = leaderOf(sim, "wk-000001");
     assertFalse(next == node);
-    assertTrue(next.core.mayPlace("wk-000001"), "the job goes on while the cut lasts");
+    assertTrue(
+        next.core.mayPlace("wk-000001"), "the job continues while the controller is isolated");
     for (SimulatedWorker worker : sim.workers.values()) {
       assertFalse(
-          worker.controllerName.equals(node.name), "its workers have turned to other controllers");
-      assertEquals(1, worker.epoch, "and kept their tasks");
+          worker.controllerName.equals(node.name), "its workers have changed to other controllers");
+      assertEquals(1, worker.epoch, "the workers have kept their tasks");
     }
     sim.runUntil(45_000);
     node.stateServiceUnreachable = false;
@@ -97,8 +100,8 @@
   }
 
   /**
-   * Many machines that turn to the controllers at once are registered in a few transactions: one
-   * each takes longer than the leases, and hundreds of tasks are lost with them.
+   * Machines that register at the same time share a few transactions. With one transaction for each
+   * machine the registrations take longer than the worker leases, and hundreds of tasks are lost.
    */
   @Test
   void hundredsOfMachinesChangeLeaderWithinLease() {
@@ -119,9 +122,9 @@
   }
 
   /**
-   * Half as many machines again as the largest fleet: all controllers end, and once more just after
-   * an outage of the state service. The machines come back within their leases, in few changes, and
-   * work goes on.
+   * All controllers crash, and crash again just after an outage of the state service, with half as
+   * many machines again as the largest fleet has. The machines are registered again within their
+   * leases, in few changes of entries, and their tasks continue.
    */
   @Test
   void fifteenHundredMachinesSurviveControllerRestart() {
@@ -147,13 +150,14 @@
   }
 
   /**
-   * A restarted controller recovers the machines of its former incarnation, counting their leases
-   * from its own start. If another has led one of them in between, which its replica may show late,
-   * that one may have answered since: expiring the lease would start the machine's tasks twice.
+   * A restarted controller recovers the machines of its former incarnation and counts their leases
+   * from its own start. If another controller has led a machine in between, which the restarted
+   * controller's state replica may show late, that controller may have answered the worker later
+   * than this start. Expiring the lease would then start the machine's tasks twice.
    */
   @Test
   void machineLedByAnotherInBetweenIsNotExpired() {
-    for (boolean between : new boolean[] {false, true}) {
+    for (boolean ledByOther : new boolean[] {false, true}) {
       Simulation sim = new Simulation(75);
       sim.runUntil(8_000);
       SimulatedWorker worker = sim.workers.values().iterator().next();
@@ -161,21 +165,21 @@
       SimulatedController node = sim.controllers.get(name);
       SimulatedController other = sim.controllers.get(name.equals("n1") ? "n2" : "n1");
       sim.workers.remove(worker.id).dead =
-          true; // unresponsive; nobody knows whether it is terminated
+          true; // unresponsive; the controllers do not know whether it is terminated
       node.crash(1_000);
       sim.runUntil(9_100);
-      long first = node.core.startedAtMs();
+      long startedMs = node.core.startedAtMs();
       while (sim.nowMs < 25_000 && !node.core.store().isLive(name, node.core.incarnation())) {
         sim.runUntil(sim.nowMs + 50);
       }
-      MachineEntry mine = awaitRecovery(sim, node, worker.id);
+      MachineEntry recovered = awaitRecovery(sim, node, worker.id);
       MachineGroupEntry group =
           new MachineGroupEntry(
               other.name,
               other.core.incarnation(),
               List.of(new MachineGroupMember(worker.id, "t8", worker.zone, worker.spot)));
-      long revision = mine.fencingToken() - 1;
-      if (between) {
+      long revision = recovered.fencingToken() - 1;
+      if (ledByOther) {
         node.enqueueEvent(
             () ->
                 node.core
@@ -183,15 +187,16 @@
                     .applyChange(
                         new KeyValue(StateKeys.MACHINE_GROUP_PREFIX + "9-9", group, revision)));
       }
-      sim.runUntil(first + Simulation.LEASE_MS + 6_000);
-      assertEquals(!between, node.core.view().machine(worker.id).status().leaseExpired());
+      sim.runUntil(startedMs + Simulation.LEASE_MS + 6_000);
+      assertEquals(!ledByOther, node.core.view().machine(worker.id).status().leaseExpired());
     }
   }
 
   /**
-   * The same with a replica that lags: the other leader's entry, in a group that is no condition of
-   * the write, is known only after the machine was registered or while that is under way (seed
-   * 1753: a task started twice).
+   * A restarted controller recovers a machine that another controller has led in between. Its state
+   * replica lags, and its write has no condition on the group that holds the other leader's entry.
+   * So it receives that entry only after the machine is registered, or while the registration is in
+   * flight. In seed 1753 a task was started twice.
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
@@ -204,7 +209,7 @@
     SimulatedController node = sim.controllers.get(name);
     SimulatedController other = sim.controllers.get(name.equals("n1") ? "n2" : "n1");
     sim.workers.remove(worker.id).dead = true;
-    // it restarts in an outage and has its replica only when that lease is over
+    // The controller restarts in an outage and syncs its state replica after that lease is over.
     sim.stateService.outage = true;
     node.crash(200);
     while (!node.running || node.core.startedAtMs() == 0) {
@@ -231,27 +236,29 @@
     while (sim.nowMs < 40_000 && sim.stateService.entries.get(key) == before) {
       sim.runUntil(sim.nowMs + 1);
     }
-    MachineEntry mine = (MachineEntry) sim.stateService.entries.get(key).value();
+    MachineEntry recovered = (MachineEntry) sim.stateService.entries.get(key).value();
     assertEquals(
-        node.core.incarnation(), mine.incarnation(), "recovered from the former incarnation");
+        node.core.incarnation(), recovered.incarnation(), "recovered from the former incarnation");
     assertTrue(sim.stateService.entries.get(key).version() > revision);
     if (inFlight) {
       node.watchStalled = false;
     }
     sim.runUntil(sim.nowMs + 1_000);
     assertFalse(
-        node.core.view().machine(worker.id).status().leaseExpired(), "nobody knows what is on it");
+        node.core.view().machine(worker.id).status().leaseExpired(),
+        "it is unknown what runs on the machine");
     node.watchStalled = false;
     sim.runUntil(sim.nowMs + 6_000);
     MachineView machineView = node.core.view().machine(worker.id);
     assertTrue(
         machineView == null || !machineView.status().leaseExpired(),
-        "its worker must acknowledge the fencing token, or it be scaled in, first");
+        "the worker must first acknowledge the fencing token, or the machine must be scaled in");
   }
 
   /**
-   * Heartbeats don't name images: a machine's next leader must take them over from its replica, or
-   * tasks go to machines that have to fetch theirs whenever a controller has crashed.
+   * Heartbeats don't contain the images of a machine, so its next leader must take them over from
+   * its own copy of the machine's status. Otherwise, after each crash of a controller, tasks are
+   * placed on machines that have to fetch their images.
    */
   @Test
   void imagesStayKnownAfterLeaderChange() {
@@ -260,22 +267,22 @@
     sim.users.submit(batchJob("wk-000001").tasks(16).build());
     sim.runUntil(30_000);
     assertFinished(sim, "wk-000001");
-    SimulatedController ends = sim.controllers.get("n0");
-    SimulatedController stays = sim.controllers.get("n1");
+    SimulatedController crashing = sim.controllers.get("n0");
+    SimulatedController surviving = sim.controllers.get("n1");
     List<String> machines = new ArrayList<>();
-    for (MachineView machineView : stays.core.view().machines()) {
+    for (MachineView machineView : surviving.core.view().machines()) {
       if ("n0".equals(machineView.leader())
           && machineView.status().images().contains("wk-000001")) {
         machines.add(machineView.id());
       }
     }
     assertFalse(machines.isEmpty(), "n0 leads machines that have the image");
-    ends.crash(30_000);
+    crashing.crash(30_000);
     sim.runUntil(sim.nowMs + 15_000);
     for (String id : machines) {
-      MachineView machineView = stays.core.view().machine(id);
+      MachineView machineView = surviving.core.view().machine(id);
       if (machineView == null) {
-        continue; // it was idle and has been returned
+        continue; // the machine was idle and has been returned
       }
       assertFalse("n0".equals(machineView.leader()), id);
       assertTrue(machineView.status().images().contains("wk-000001"), id);
--- a/src/test/java/mallowstall/core/PartitionSafetyTest.java
+++ b/src/test/java/mallowstall/core/PartitionSafetyTest.java
@@ -18,10 +18,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Controllers that are cut off from the state service, from each other, or that stand still. */
+/** Tests controllers that are partitioned from the state service or from each other, or pause. */
 class PartitionSafetyTest {
   @Test
-  void controllerWithoutStateServiceLosesJobsSafely() {
+  void jobsFailOverFromControllerWithoutStateService() {
     Simulation sim = new Simulation(35);
     sim.runUntil(6_000);
     sim.users.submit(batchJob("wk-000001").tasks(30).build());
@@ -34,7 +34,7 @@
     for (SimulatedWorker worker : sim.workers.values()) {
       assertFalse(
           worker.controllerName.equals(node.name),
-          "its machines move to peers with a state service");
+          "its machines change to peers that reach the state service");
     }
     sim.runUntil(60_000);
     node.stateServiceUnreachable = false;
@@ -62,7 +62,10 @@
     assertFinished(sim, "wk-000001");
   }
 
-  /** All connections between controllers are refused: scheduling goes on and recovers at once. */
+  /**
+   * While all connections between the controllers are refused, scheduling continues. It recovers as
+   * soon as they are accepted again.
+   */
   @Test
   void controllersWithoutPeerConnectionsKeepScheduling() {
     Simulation sim = new Simulation(65);
@@ -79,38 +82,42 @@
     for (int i = 0; i < 6; i++) {
       after += sim.jobEntry("wk-00000" + i).completedTaskCount();
     }
-    assertTrue(after > before + 10, "job leaders' own machines run them: " + (after - before));
+    assertTrue(
+        after > before + 10,
+        "tasks run on the machines that the job leaders lead: " + (after - before));
     sim.healPartitions();
     sim.runUntil(150_000);
     assertAllFinished(sim, 6);
   }
 
   /**
-   * A controller pauses for longer than its session, between deciding and sending: its starts,
-   * answers and writes leave when it resumes. The others lead its jobs and machines meanwhile, and
-   * nothing that comes late starts a task or undoes a write.
+   * A controller pauses, also for longer than its session lease, after it has decided on messages
+   * and before it sends them. Its starts, answers and writes leave when it resumes. Other
+   * controllers lead its jobs and machines meanwhile, and no late message starts a task or undoes a
+   * write.
    */
   @ParameterizedTest
   @ValueSource(longs = {4_000, 12_000, 28_000})
-  void pausedControllerActsOnNoStaleState(long ms) {
-    Simulation sim = new Simulation(80 + ms);
+  void pausedControllerDoesNotActOnStaleState(long pauseMs) {
+    Simulation sim = new Simulation(80 + pauseMs);
     sim.taskRunMs = 3_000;
     sim.runUntil(8_000);
     submitJobs(sim, 9, 8, "tight");
     sim.runUntil(9_500);
     SimulatedController node = leaderOf(sim, "wk-000004");
-    node.pauseMs = ms;
-    sim.runUntil(9_500 + ms);
-    for (int i = 0; i < 9 && ms > 20_000; i++) {
-      assertTrue(leaderOf(sim, "wk-00000" + i) != node, "others lead wk-00000" + i);
+    node.pauseMs = pauseMs;
+    sim.runUntil(9_500 + pauseMs);
+    for (int i = 0; i < 9 && pauseMs > 20_000; i++) {
+      assertTrue(leaderOf(sim, "wk-00000" + i) != node, "another controller leads wk-00000" + i);
     }
     sim.runUntil(200_000);
     assertAllFinished(sim, 9);
   }
 
   /**
-   * What a controller read before it paused, or waited for long, is not reported: another may have
-   * reported the job done or cancelled since (seed 21124: went_back).
+   * A controller does not answer with a state that it read before it paused, or whose read took
+   * long. Another controller may have answered since that the job is done or cancelled (seed 21124:
+   * went_back).
    */
   @Test
   void staleReadsAreNotReported() {
@@ -119,22 +126,23 @@
     sim.users.submit(batchJob("wk-000001").tasks(4).build());
     sim.runUntil(9_000);
     SimulatedController node = sim.controllers.get("n1");
-    for (long lag : new long[] {200, 1_200, 2_500}) {
-      node.stateDelayMs = lag;
+    for (long delayMs : new long[] {200, 1_200, 2_500}) {
+      node.stateDelayMs = delayMs;
       List<ApiResponse> responses = new ArrayList<>();
       node.enqueueEvent(() -> node.core.query("wk-000001", responses::add));
       sim.runUntil(sim.nowMs + 3_000);
-      assertEquals(lag < 1_000 ? 200 : 503, responses.get(0).status());
+      assertEquals(delayMs < 1_000 ? 200 : 503, responses.get(0).status());
     }
   }
 
   /**
-   * A zone is cut off with all in it while a controller outside ends. Its workers go on as long as
-   * its controller answers them, jobs submitted meanwhile are done outside, and messages delayed by
-   * the partition break no invariant when they come.
+   * A zone with its controller and workers is partitioned from the rest, and a controller outside
+   * of it crashes. The zone's workers continue as long as their controller answers them, jobs that
+   * are submitted meanwhile run outside of the zone, and messages that the partition delays break
+   * no invariant when they arrive.
    */
   @Test
-  void zonePartitionDuringControllerCrash() {
+  void jobsFinishDespiteZonePartitionAndControllerCrash() {
     Simulation sim = new Simulation(90);
     sim.runUntil(8_000);
     submitJobs(sim, 4, 8, "tight");
@@ -143,13 +151,13 @@
     sim.runUntil(20_000);
     sim.controllers.get("n2").crash(4_000);
     sim.runUntil(24_000);
-    List<JobSpec> outside = new ArrayList<>();
+    List<JobSpec> jobsOutside = new ArrayList<>();
     for (int i = 4; i < 8; i++) {
-      outside.add(batchJob("wk-00000" + i).tasks(4).priority(Priority.HIGH).zone("a").build());
-      sim.users.submit(outside.get(outside.size() - 1));
+      jobsOutside.add(batchJob("wk-00000" + i).tasks(4).priority(Priority.HIGH).zone("a").build());
+      sim.users.submit(jobsOutside.get(jobsOutside.size() - 1));
     }
     sim.runUntil(55_000);
-    for (JobSpec spec : outside) {
+    for (JobSpec spec : jobsOutside) {
       assertTrue(sim.jobEntry(spec.id()).completedTaskCount() > 0, spec.id() + " is served");
     }
     sim.healPartitions();
--- a/src/test/java/mallowstall/core/PassedOverJobsTest.java
+++ b/src/test/java/mallowstall/core/PassedOverJobsTest.java
@@ -14,17 +14,18 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Guards against jobs that wait beside room (never_started) because a starving job of their policy
- * comes first and fits nowhere; and against a starving job that never begins because they go on.
+ * Guards against jobs that stay pending although there is capacity for them (violation
+ * never_started), because a starving job of their policy ranks before them and fits on no machine.
+ * Guards as well against a starving job that never starts because smaller jobs take the capacity.
  */
 class PassedOverJobsTest {
   private static final String LARGE = "wk-000001";
   private static final long LONG_RUN_MS = 600_000;
   private static final long STARVES_AFTER_MS = 95_000;
-  private static final long BEGINS_WITHIN_MS = 10_000;
-  private static final long LARGEST_BEGIN_WITHIN_MS = 240_000;
+  private static final long STARTS_WITHIN_MS = 10_000;
+  private static final long LARGE_STARTS_WITHIN_MS = 240_000;
 
-  /** Four machines of 8 processors that can't become more. */
+  /** Returns a cluster of four machines of 8 processors that cannot be scaled out. */
   private static Simulation fourMachines(long seed) {
     Simulation sim = new Simulation(seed);
     sim.maxMachines = 4;
@@ -32,7 +33,7 @@
     return sim;
   }
 
-  /** Submits to one controller, which leads the job then. */
+  /** Submits the job to controller n0, which becomes the leader of the job. */
   private static void submit(Simulation sim, JobSpec spec) {
     sim.checker.onSubmitted(spec);
     sim.users.submitAt(
@@ -42,12 +43,15 @@
             sim.checker.onAnswer(sim.nowMs, sim.nowMs, spec.id(), answer.status(), answer.state()));
   }
 
-  private static boolean hasBegun(Simulation sim, String job) {
+  private static boolean hasStarted(Simulation sim, String job) {
     return !sim.checker.machinesOf(job).isEmpty() || sim.checker.remainingTasks(job) == 0;
   }
 
-  /** Each machine keeps two processors free, for good; the large job needs all eight of one. */
-  private static Simulation largeJobStarves(long seed) {
+  /**
+   * Returns a cluster in which a large job starves: each machine has two free processors for the
+   * whole test, and a task of the large job needs all eight processors of a machine.
+   */
+  private static Simulation clusterWithStarvingJob(long seed) {
     Simulation sim = fourMachines(seed);
     sim.taskRunMs = LONG_RUN_MS;
     submit(sim, batchJob("wk-000009").tasks(4).cpus(6).build());
@@ -59,28 +63,32 @@
     return sim;
   }
 
-  /** Small jobs of the large one's policy, and of its own or a lower priority, begin beside it. */
+  /**
+   * Small jobs of the starving job's policy start although it is pending, with its priority and
+   * with a lower one.
+   */
   @ParameterizedTest
   @EnumSource(names = {"LOW", "NORMAL"})
-  void smallJobsBeginBehindAStarvingOneThatFitsNowhere(Priority priority) {
+  void smallJobsStartBehindStarvingJobThatFitsNowhere(Priority priority) {
     for (long seed = 171; seed <= 178; seed++) {
-      Simulation sim = largeJobStarves(seed);
+      Simulation sim = clusterWithStarvingJob(seed);
       for (int i = 0; i < 4; i++) {
         String id = "wk-00001" + i;
         submit(sim, batchJob(id).jobClass("c-NORMAL").tasks(1).cpus(1).priority(priority).build());
-        sim.runUntil(sim.nowMs + BEGINS_WITHIN_MS);
-        assertTrue(hasBegun(sim, id), "seed " + seed + ": " + id + " is passed over");
+        sim.runUntil(sim.nowMs + STARTS_WITHIN_MS);
+        assertTrue(hasStarted(sim, id), "seed " + seed + ": " + id + " has not started");
       }
       assertEquals(List.of(), sim.checker.violations);
     }
   }
 
   /**
-   * Small jobs of its policy keep arriving, more than can be done; the large one begins in time.
+   * A starving job starts in time although more small jobs of its policy arrive than the cluster
+   * can run.
    */
   @ParameterizedTest
   @ValueSource(ints = {2, 4, 8})
-  void starvingJobBeginsWhileSmallOnesKeepArriving(int cpus) {
+  void starvingJobStartsWhileSmallJobsKeepArriving(int cpus) {
     for (long seed = 181; seed <= 184; seed++) {
       Simulation sim = fourMachines(seed);
       sim.taskRunMs = 15_000;
@@ -91,31 +99,34 @@
       sim.runUntil(40_000);
       submit(sim, batchJob(LARGE).tasks(2).cpus(cpus).priority(Priority.LOW).build());
       long submittedMs = sim.nowMs;
-      while (!hasBegun(sim, LARGE) && sim.nowMs - submittedMs < 400_000) {
+      while (!hasStarted(sim, LARGE) && sim.nowMs - submittedMs < 400_000) {
         sim.runUntil(sim.nowMs + 1_000);
       }
       long tookMs = sim.nowMs - submittedMs;
-      assertTrue(tookMs <= LARGEST_BEGIN_WITHIN_MS, "seed " + seed + " began after " + tookMs);
+      assertTrue(tookMs <= LARGE_STARTS_WITHIN_MS, "seed " + seed + " started after " + tookMs);
     }
   }
 
-  /** A pass that has used up its starts says nothing of the capacity for those after it. */
+  /**
+   * A scheduling pass that reaches its maximum number of starts must not treat the remaining jobs
+   * as jobs without capacity: they start in the next pass.
+   */
   @Test
-  void jobsBehindAFullPassBeginInTheNext() {
+  void jobsBehindFullPassStartInNextPass() {
     Simulation sim = new Simulation(191);
     sim.taskRunMs = LONG_RUN_MS;
     sim.addMachines(80);
     sim.runUntil(12_000);
-    List<String> small = new ArrayList<>();
+    List<String> smallJobs = new ArrayList<>();
     submit(sim, batchJob("wk-000002").tasks(130).cpus(4).build());
     for (int i = 0; i < 5; i++) {
       String id = "wk-00003" + i;
-      small.add(id);
+      smallJobs.add(id);
       submit(sim, batchJob(id).tasks(1).cpus(1).build());
     }
     sim.runUntil(sim.nowMs + 2_500);
-    for (String id : small) {
-      assertTrue(hasBegun(sim, id), id + " is passed over");
+    for (String id : smallJobs) {
+      assertTrue(hasStarted(sim, id), id + " has not started");
     }
   }
 }
--- a/src/test/java/mallowstall/core/RandomizedSimulationTest.java
+++ b/src/test/java/mallowstall/core/RandomizedSimulationTest.java
@@ -21,18 +21,21 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Seeded random histories of three cores against the plain model of the rules. Seeds that once
- * broke a rule stay among those that every build plays, or became a case of their own:
+ * Runs random histories of three controllers, each determined by its seed, and checks them against
+ * the rules of {@link InvariantChecker}. Seeds that once violated a rule are among those that each
+ * build runs, or have a test of their own:
  *
  * <ul>
- *   <li>1188: a machine was published as free whose tasks were of a job not known yet.
- *   <li>1303 (wrong_place): urgent tasks of one job took the place of others in two zones.
- *   <li>1753 (ran_twice): the lease of a machine recovered from a former incarnation expired while
- *       another's entry of it was unknown; see also {@link MachineLeadershipTest}.
- *   <li>3745, 3818 (ran_twice): a lease was counted from a former session's last heartbeat; see
- *       {@link HeartbeatSafetyTest}.
- *   <li>21124 (went_back): a controller that had paused reported what it had read before; see also
- *       {@link PartitionSafetyTest}.
+ *   <li>1188: a machine was published as free although it ran tasks, because their job was not yet
+ *       known.
+ *   <li>1303 (wrong_place): high-priority tasks of one job preempted other tasks in two zones.
+ *   <li>1753 (ran_twice): a controller recovered a machine from its former incarnation and expired
+ *       the machine's lease while another controller's entry of that machine was unknown to it; see
+ *       also {@link MachineLeadershipTest}.
+ *   <li>3745, 3818 (ran_twice): a lease was counted from the last heartbeat of a former session;
+ *       see {@link HeartbeatSafetyTest}.
+ *   <li>21124 (went_back): a controller resumed after a pause and answered with a state that it had
+ *       read before the pause; see also {@link PartitionSafetyTest}.
  * </ul>
  */
 class RandomizedSimulationTest {
@@ -64,7 +67,7 @@
       sim.schedule(10_000 + sim.random.nextInt(110_000), () -> RandomFaults.injectBasicFault(sim));
     }
     sim.schedule(140_000, sim::stopRandomFaults);
-    // the last fault has begun by 120 s and lasts up to a minute
+    // the last fault starts by 120 s and lasts at most one minute
     sim.checker.faultsEndedMs = 185_000;
     sim.runUntil(330_000);
     assertAllFinished(sim);
@@ -100,7 +103,7 @@
   private static int historiesRun;
   private static final Map<String, Integer> FAULT_COUNTS = new TreeMap<>();
 
-  /** Combined faults meet the basic ones, and each other. */
+  /** Invariants hold when combined faults overlap with basic faults and with each other. */
   @ParameterizedTest
   @ValueSource(longs = {101, 102, 103, 104, 105, 106, 107, 108, 1188, 1753})
   void invariantsHoldUnderCombinedFaults(long seed) {
@@ -115,7 +118,7 @@
   @AfterAll
   static void assertEveryFaultInjected() {
     if (historiesRun < HISTORIES) {
-      return; // only some of the seeds were asked for
+      return; // only some of the seeds were run
     }
     Set<String> missing = new TreeSet<>(FAULTS);
     missing.addAll(LateAnswerFaults.NAMES);
@@ -124,7 +127,7 @@
   }
 
   /**
-   * Hunts through seeds, outside of what every build runs. Prints each seed that breaks a rule:
+   * Searches seeds beyond those that each build runs, and prints each seed that violates a rule.
    *
    * <pre>mvn -q test -Dtest=RandomizedSimulationTest#manySeeds -Dmallowstall.seeds=1000-3000</pre>
    */
@@ -152,7 +155,7 @@
     return runCombinedFaults(seed, Recorder.OFF);
   }
 
-  /** Plays the history of the seed; what leaves the cores goes to the recorder. */
+  /** Runs the history of the seed. The recorder receives everything that the controllers send. */
   static Simulation runCombinedFaults(long seed, Recorder recorder) {
     Simulation sim = new Simulation(seed, ProgramVersion.CURRENT, recorder);
     RandomFaults.setMessageFaultRates(sim, seed);
@@ -168,14 +171,15 @@
     }
     new LateAnswerFaults(sim).schedule(10, 10_000, 110_000);
     sim.schedule(140_000, sim::stopRandomFaults);
-    // the last fault has begun by 120 s and lasts up to a minute
+    // the last fault starts by 120 s and lasts at most one minute
     sim.checker.faultsEndedMs = 185_000;
     sim.runUntil(400_000);
     return sim;
   }
 
   /**
-   * A user may have given up before any controller could accept the job: then there is no answer.
+   * Asserts that each job is done or cancelled, or was never answered: a user may give up before
+   * any controller accepts the job.
    */
   private static void assertFinishedForUsers(Simulation sim) {
     for (String id : sim.users.jobs) {
@@ -185,7 +189,10 @@
     }
   }
 
-  /** Runs or stays known: the check of it can fail too, and not before its time. */
+  /**
+   * The checker reports an accepted job as forgotten if users get no further answer with its state,
+   * but not before the time limit after the end of the faults.
+   */
   @Test
   void checkerDetectsUnansweredJob() {
     Simulation sim = new Simulation(6);
@@ -200,7 +207,7 @@
     assertTrue(rules.violations.get(0).contains("forgotten"), rules.violations.toString());
   }
 
-  /** The checks can fail: rogue commands and answers are each called by their rule's name. */
+  /** The checker reports each forbidden command and answer under the name of its rule. */
   @Test
   void checkerDetectsViolations() {
     Simulation sim = new Simulation(5);
@@ -214,10 +221,10 @@
     workers.get(1).taskRunner.execute(run);
     sim.runUntil(8_000);
     assertTrue(
-        sim.checker.violations.stream().anyMatch(b -> b.contains("ran_twice")),
+        sim.checker.violations.stream().anyMatch(violation -> violation.contains("ran_twice")),
         sim.checker.violations.toString());
     assertTrue(
-        sim.checker.violations.stream().anyMatch(b -> b.contains("wrong_place")),
+        sim.checker.violations.stream().anyMatch(violation -> violation.contains("wrong_place")),
         sim.checker.violations.toString());
     InvariantChecker rules = new InvariantChecker(sim.teams, 1_000);
     rules.onSubmitted(batchJob("wk-000002").tasks(9).cpus(4).team("tight").spot(false).build());
@@ -246,7 +253,10 @@
         rules.violations.toString());
   }
 
-  /** The newer checks can fail too, and not before their time. */
+  /**
+   * The checker reports late starts, unused capacity and stale answers, each only after its time
+   * limit.
+   */
   @Test
   void checkerDetectsLateStartsAndUnusedCapacity() {
     Simulation sim = new Simulation(7);
@@ -255,7 +265,8 @@
         batchJob("wk-000004").tasks(2).cpus(4).team("tight").spot(false).zone("a").build());
     rules.onAnswer(1, "wk-000004", 201, "pending");
     rules.faultsEndedMs = 1_000;
-    rules.onMachineUp(new InvariantChecker.Machine("m1", "t8", "b", false, 8)); // not allowed
+    rules.onMachineUp(
+        new InvariantChecker.Machine("m1", "t8", "b", false, 8)); // the job allows only zone a
     rules.check(2_000);
     rules.onMachineUp(new InvariantChecker.Machine("m2", "t8", "a", false, 8));
     for (long t = 3_000; t <= 3_000 + InvariantChecker.MAX_PENDING_MS; t += 30_000) {
@@ -283,7 +294,7 @@
     rules.onUnplaceableAnswer(1, "wk-900000", 201);
     assertTrue(rules.violations.get(0).contains("took_impossible"), rules.violations.toString());
     rules.violations.clear();
-    rules.onAnswer(103_000, 99_999, "wk-000004", 200, "running"); // nobody waits that long
+    rules.onAnswer(103_000, 99_999, "wk-000004", 200, "running"); // users do not wait that long
     assertTrue(rules.violations.get(0).contains("went_back"), rules.violations.toString());
     rules.violations.clear();
     rules.onAnswer(101_500, "wk-000004", 200, "cancelled");
@@ -300,7 +311,10 @@
     }
   }
 
-  /** A paused machine goes on with its tasks within its lease, and with none beyond it. */
+  /**
+   * A paused machine continues its tasks if it resumes within its lease, and has no tasks if it
+   * resumes later.
+   */
   @Test
   void pausedMachineResumesOnlyWithinLease() {
     Simulation sim = new Simulation(8);
@@ -321,7 +335,7 @@
     longPaused.pause(14_000);
     sim.runUntil(13_000);
     assertTrue(
-        sim.checker.violations.stream().anyMatch(b -> b.contains("ran_cancelled")),
+        sim.checker.violations.stream().anyMatch(violation -> violation.contains("ran_cancelled")),
         sim.checker.violations.toString());
     assertTrue(brieflyPaused.isPaused());
     sim.runUntil(15_000);
--- a/src/test/java/mallowstall/core/RandomizedUpgradeTest.java
+++ b/src/test/java/mallowstall/core/RandomizedUpgradeTest.java
@@ -20,25 +20,31 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Seeded random histories of an upgrade: they begin with controllers of the version without
- * services, which change to the present one amid all faults; then services are submitted.
+ * Runs random histories of an upgrade, each determined by its seed. The controllers start with the
+ * version that has no services and are upgraded to the current version while faults are injected;
+ * then services are submitted.
  */
 class RandomizedUpgradeTest {
   private static final long FIRST_FAULT_MS = 10_000;
   private static final int FAULT_PERIOD_MS = 170_000;
 
-  /** Whatever goes on by then by chance alone ends. */
+  /** The time at which random faults, such as lost messages, stop. */
   private static final long RANDOM_FAULTS_END_MS = 200_000;
 
-  /** The last fault has begun by 180 s and lasts up to a minute. */
+  /**
+   * The time by which all faults are over: the last one starts by 180 s and lasts up to a minute.
+   */
   private static final long FAULTS_END_MS = 245_000;
 
   private static final long END_MS = 440_000;
 
-  /** All services of the team with a limit together; a batch task needs up to 4 of the 24. */
+  /**
+   * Maximum number of processors of all services of the team with a limit. The limit is 24, and a
+   * batch task needs up to 4 of these.
+   */
   private static final int LIMITED_TEAM_CPUS = 16;
 
-  /** What the machines of a full cluster have for services beside batch jobs. */
+  /** Maximum number of processors of all services; the rest of a full cluster runs batch jobs. */
   private static final int SERVICE_CPUS = 40;
 
   private static final int HISTORIES = 4;
@@ -71,16 +77,16 @@
   @AfterAll
   static void assertEveryCombinationInjected() {
     if (historiesRun < HISTORIES) {
-      return; // only some of the seeds were asked for
+      return; // only some of the seeds were run
     }
     Set<String> missing = new TreeSet<>(FAULT_COMBINATIONS);
     missing.addAll(LateAnswerFaults.NAMES);
     missing.removeAll(FAULT_COUNTS.keySet());
-    assertEquals(Set.of(), missing, "took place in none of the histories");
+    assertEquals(Set.of(), missing, "injected in none of the histories");
   }
 
   /**
-   * Hunts through seeds, outside of what every build runs. Prints each seed that breaks a rule:
+   * Searches seeds beyond those that each build runs, and prints each seed that violates a rule.
    *
    * <pre>mvn -q test -Dtest=RandomizedUpgradeTest#manySeeds -Dmallowstall.seeds=1000-3000</pre>
    */
@@ -105,7 +111,7 @@
     return runHistory(seed, Recorder.OFF);
   }
 
-  /** Plays the history of the seed; what leaves the cores goes to the recorder. */
+  /** Runs the history of the seed. The recorder receives everything that the controllers send. */
   static Simulation runHistory(long seed, Recorder recorder) {
     Simulation sim = new Simulation(seed, ProgramVersion.UNKNOWN, recorder);
     RandomFaults.setMessageFaultRates(sim, seed);
@@ -123,7 +129,7 @@
     }
     new LateAnswerFaults(sim).schedule(12, (int) FIRST_FAULT_MS, FAULT_PERIOD_MS);
     for (int i = 0; i < 4; i++) {
-      sim.schedule(randomFaultTimeMs(sim), () -> crashRandomDuringFailover(sim));
+      sim.schedule(randomFaultTimeMs(sim), () -> crashLeadersAndTheirSuccessors(sim));
     }
     sim.schedule(75_000, () -> submitServices(sim));
     for (int i = 0; i < 6; i++) {
@@ -150,33 +156,34 @@
   }
 
   /**
-   * One controller after the other, at times far apart, within a takeover or within a fraction of a
-   * second. Those that die before their turn come back old.
+   * Schedules the upgrade of each controller in turn. The upgrades are seconds or a fraction of a
+   * second apart, and some happen during a job failover. A controller that crashes before its
+   * upgrade restarts with the old version.
    */
   private static void scheduleUpgrades(Simulation sim) {
-    List<String> waiting = new ArrayList<>(Simulation.NODES);
-    long turn = 12_000L + sim.random.nextInt(28_000);
-    while (!waiting.isEmpty()) {
+    List<String> remaining = new ArrayList<>(Simulation.NODES);
+    long upgradeMs = 12_000L + sim.random.nextInt(28_000);
+    while (!remaining.isEmpty()) {
       SimulatedController node =
-          sim.controllers.get(waiting.remove(sim.random.nextInt(waiting.size())));
+          sim.controllers.get(remaining.remove(sim.random.nextInt(remaining.size())));
       long downMs =
           sim.random.nextBoolean()
               ? 50 + sim.random.nextInt(900)
               : 1_000 + sim.random.nextInt(8_000);
       if (sim.random.nextInt(4) == 0) {
-        sim.schedule(turn, () -> upgradeDuringFailover(sim, node, downMs));
+        sim.schedule(upgradeMs, () -> upgradeDuringFailover(sim, node, downMs));
       } else {
-        sim.schedule(turn, () -> sim.upgrade(node, downMs));
+        sim.schedule(upgradeMs, () -> sim.upgrade(node, downMs));
       }
-      sim.schedule(turn + 15_000, () -> upgradeEventually(sim, node));
-      turn += untilNextUpgradeMs(sim);
+      sim.schedule(upgradeMs + 15_000, () -> upgradeEventually(sim, node));
+      upgradeMs += nextUpgradeDelayMs(sim);
     }
     for (int i = 0; i < 5; i++) {
       sim.schedule(8_000 + sim.random.nextInt(55_000), () -> crash(sim));
     }
   }
 
-  private static long untilNextUpgradeMs(Simulation sim) {
+  private static long nextUpgradeDelayMs(Simulation sim) {
     return switch (sim.random.nextInt(4)) {
       case 0 -> sim.random.nextInt(900);
       case 1 -> 1_000 + sim.random.nextInt(6_000);
@@ -188,7 +195,11 @@
     crashDuringFailover(sim, node, () -> sim.upgrade(node, downMs));
   }
 
-  /** Some moment after it has asked for its next claim. */
+  /**
+   * Crashes the controller within 30 ms after it next requests the failover of a job.
+   *
+   * @param end the action that ends the process: a crash or an upgrade
+   */
   private static void crashDuringFailover(Simulation sim, SimulatedController node, Runnable end) {
     node.onNextFailover =
         () ->
@@ -200,7 +211,7 @@
                 });
   }
 
-  /** Whoever waits for a claim that doesn't come has its turn all the same. */
+  /** Upgrades the controller if it still waits for a job failover that has not occurred. */
   private static void upgradeEventually(Simulation sim, SimulatedController node) {
     if (node.installedVersion == ProgramVersion.CURRENT) {
       return;
@@ -226,15 +237,18 @@
             : 1_000 + sim.random.nextInt(8_000));
   }
 
-  /** A job leader crashes; whoever takes over its jobs crashes in the middle of that. */
-  private static void crashRandomDuringFailover(Simulation sim) {
+  /**
+   * Crashes the busiest leaders. Each controller crashes as well when it next takes over a job, so
+   * that a controller crashes in the middle of the takeover.
+   */
+  private static void crashLeadersAndTheirSuccessors(Simulation sim) {
     for (SimulatedController node : sim.controllers.values()) {
       crashDuringFailover(sim, node, () -> crash(sim, node));
     }
     sim.crashBusiestLeaders();
   }
 
-  /** Asked for only when all controllers are of the present version. */
+  /** Submits services as soon as all controllers run the current version. */
   private static void submitServices(Simulation sim) {
     if (!sim.allUpgraded()) {
       sim.schedule(200, () -> submitServices(sim));
@@ -296,7 +310,7 @@
     sim.killMachine(worker.id);
   }
 
-  /** The cloud gives notice of the machine, or it begins to fail what is started there. */
+  /** Gives a machine with replicas a termination notice, or makes the tasks started there fail. */
   private static void scheduleMachineTermination(Simulation sim) {
     SimulatedWorker worker = findServiceMachine(sim);
     if (worker == null) {
@@ -310,7 +324,7 @@
     worker.faulty = true;
   }
 
-  /** A machine with replicas; null: there is none. */
+  /** Returns a random machine that runs replicas, or null if there is none. */
   private static SimulatedWorker findServiceMachine(Simulation sim) {
     List<String> machines = new ArrayList<>();
     for (String id : sim.users.jobs) {
@@ -337,12 +351,13 @@
   }
 
   /**
-   * A user may have given up before any controller could accept the job: then there is no answer.
+   * Asserts that the job is done or cancelled, or was never answered: a user may give up before any
+   * controller accepts the job.
    */
   private static void assertFinished(Simulation sim, String batch) {
     String last = sim.checker.lastState(batch);
-    boolean over = last == null || last.equals("done") || last.equals("cancelled");
-    assertTrue(over, batch + " is " + last);
+    boolean finished = last == null || last.equals("done") || last.equals("cancelled");
+    assertTrue(finished, batch + " is " + last);
   }
 
   private static void assertServed(Simulation sim, String service) {
@@ -351,15 +366,15 @@
         sim.checker.spec(service).tasks(), sim.checker.runningReplicas(service), "of " + service);
   }
 
-  /** The services that were accepted and that nobody has asked to cancel. */
+  /** Returns the services that were accepted and whose cancellation was not requested. */
   private static List<String> acceptedServices(Simulation sim) {
-    List<String> kept = new ArrayList<>();
+    List<String> services = new ArrayList<>();
     for (String id : sim.users.jobs) {
       boolean accepted = sim.checker.lastState(id) != null && !sim.checker.isCancelRequested(id);
       if (sim.checker.isService(id) && accepted) {
-        kept.add(id);
+        services.add(id);
       }
     }
-    return kept;
+    return services;
   }
 }
