--- a/src/main/java/mallowstall/core/autoscaling/Autoscaler.java
+++ b/src/main/java/mallowstall/core/autoscaling/Autoscaler.java
@@ -11,7 +11,8 @@
  */
 public final class Autoscaler {
   /**
-   * ms. Maximum delay from a scale-out response to the next plan: machines may still be missing.
+   * Maximum delay in milliseconds from a scale-out response to the next plan, because machines may
+   * still be missing.
    */
   private static final long AUTOSCALER_FOLLOW_UP_MS = 300;
 
@@ -51,7 +52,10 @@
     nextPlanMs = Math.min(nextPlanMs, clock.now() + AUTOSCALER_FOLLOW_UP_MS);
   }
 
-  /** Computes demand, acquires vacant leadership, and plans when due if this is the leader. */
+  /**
+   * Computes the demand and acquires the leadership if it is vacant. Plans at each interval if this
+   * controller is the leader.
+   */
   public void tick() {
     long now = clock.now();
     if (!store.synced() || types.isEmpty()) {
--- a/src/main/java/mallowstall/core/autoscaling/AutoscalerLeadership.java
+++ b/src/main/java/mallowstall/core/autoscaling/AutoscalerLeadership.java
@@ -36,7 +36,10 @@
     this.store = store;
   }
 
-  /** Returns whether the state replica names this incarnation and its session is valid. */
+  /**
+   * Returns whether the leader's entry in the state replica names this incarnation and this
+   * controller's session is valid.
+   */
   boolean isLeader() {
     StoredValue stored = store.entry(StateKeys.AUTOSCALER_LEADER_KEY);
     if (stored == null || !store.isSessionValid()) {
--- a/src/main/java/mallowstall/core/autoscaling/CloudInventory.java
+++ b/src/main/java/mallowstall/core/autoscaling/CloudInventory.java
@@ -11,7 +11,7 @@
 
 /** The cloud's list of machines, read page by page. It lags behind the actual machines. Mutable. */
 public final class CloudInventory {
-  /** ms. Interval between two reads of the cloud's inventory. */
+  /** Interval in milliseconds between two reads of the cloud's inventory. */
   private static final long INVENTORY_INTERVAL_MS = 8_000;
 
   private final EventClock clock;
@@ -40,8 +40,8 @@
   }
 
   /**
-   * Returns the steady time in ms at which the newest complete list was read, or a time far in the
-   * past if there is none.
+   * Returns the steady time in milliseconds at which the newest complete list was read, or a time
+   * far in the past if there is none.
    */
   long readAtMs() {
     return readAtMs;
--- a/src/main/java/mallowstall/core/autoscaling/IdleScaleIn.java
+++ b/src/main/java/mallowstall/core/autoscaling/IdleScaleIn.java
@@ -10,10 +10,13 @@
 
 /** Drains idle machines that aren't needed, and returns them once they are drained. */
 public final class IdleScaleIn {
-  /** ms. Idle time after which a spot machine that the plan doesn't need is drained. */
+  /** Idle time in milliseconds after which a spot machine that the plan doesn't need is drained. */
   private static final long SCALE_IN_IDLE_MS = 40_000;
 
-  /** ms. Idle time for on-demand machines: shorter, as they cost a multiple of spot machines. */
+  /**
+   * Idle time in milliseconds after which an on-demand machine that the plan doesn't need is
+   * drained. It is shorter, because on-demand machines cost a multiple of spot machines.
+   */
   private static final long SCALE_IN_IDLE_ON_DEMAND_MS = 30_000;
 
   /** Divisor of the number of machines of a type; the result limits the drains of one plan. */
@@ -22,7 +25,9 @@
   private final ScaleIn scaleIn;
   private final PeerMessenger messenger;
 
-  /** Creates a scale-in that sends drains to the machine leaders and returns to the cloud. */
+  /**
+   * Creates a scale-in that sends drains to the machine leaders and return requests to the cloud.
+   */
   public IdleScaleIn(ScaleIn scaleIn, PeerMessenger messenger) {
     this.scaleIn = scaleIn;
     this.messenger = messenger;
--- a/src/main/java/mallowstall/core/autoscaling/KeptResultScaleOuts.java
+++ b/src/main/java/mallowstall/core/autoscaling/KeptResultScaleOuts.java
@@ -5,17 +5,24 @@
 import java.util.Set;
 
 /**
- * The backoff of scale-out requests for services whose pending replicas have their results kept on
- * every machine with free capacity. Each further machine serves one more run of a pending replica.
- * If the replica ends again and again, the delay between two requests doubles up to a limit. Only
- * the autoscaler leader has this state: the next leader starts without it, which costs one more
- * machine. Times are in ms of the steady clock. Mutable.
+ * The backoff of scale-out requests for services. It applies if every machine with free capacity
+ * keeps the result of a pending replica, which would therefore end at once there. Each further
+ * machine serves one more run of that replica. If the replica ends again and again, the delay
+ * between two requests doubles up to a limit. Only the autoscaler leader has this state. The next
+ * leader starts without it, which costs one more machine. Times are in milliseconds of the steady
+ * clock. Mutable.
  */
 final class KeptResultScaleOuts {
-  /** ms. Maximum delay between two requests for a service whose replicas end on each machine. */
+  /**
+   * Maximum delay in milliseconds between two requests for a service whose replicas end on each
+   * machine.
+   */
   private static final long KEPT_RESULT_SCALE_OUT_MAX_MS = 600_000;
 
-  /** The steady time of the next permitted request for a job, and the delay before it, in ms. */
+  /**
+   * The delay before the next permitted request for a job, and the steady time of that request,
+   * both in milliseconds.
+   */
   private record Delay(long delayMs, long nextRequestMs) {}
 
   private final Map<String, Delay> delays = new HashMap<>();
--- a/src/main/java/mallowstall/core/autoscaling/MachineCensus.java
+++ b/src/main/java/mallowstall/core/autoscaling/MachineCensus.java
@@ -88,7 +88,10 @@
     unresponsive++;
   }
 
-  /** Records that an already counted unresponsive machine hosts replicas to start elsewhere. */
+  /**
+   * Records that a machine, already counted as unresponsive, hosts replicas that are to start
+   * elsewhere.
+   */
   void addUnresponsiveHost(String machine) {
     unresponsiveHosts.add(machine);
   }
@@ -97,8 +100,9 @@
    * Decides which possibly lost machines are returned, after all machines are counted. Returning a
    * machine proves that its tasks have ended, so that they can start elsewhere before the machine's
    * lease expires. If many machines are affected at once, they are more likely cut off by the
-   * network or slow to register again, and none is returned. That check counts all unresponsive
-   * machines, because machines that are cut off together exceed the longer timeout one by one.
+   * network or slow to register again, and none is returned. This check counts all unresponsive
+   * machines and not only the replica hosts to be returned, because machines that are cut off
+   * together exceed the timeout of replica hosts one by one.
    */
   void resolveLost() {
     if (isSmallShare(unmanaged.size())) {
--- a/src/main/java/mallowstall/core/autoscaling/MachineDemand.java
+++ b/src/main/java/mallowstall/core/autoscaling/MachineDemand.java
@@ -23,13 +23,16 @@
  * uses it to find scarce types and the machines that are reserved for urgent jobs. Mutable.
  */
 public final class MachineDemand {
-  /** Count. Tasks that fit by a resource that they don't use. */
+  /**
+   * Number of tasks that fit on a machine by a resource that the tasks don't use. It is too large
+   * to be a limit.
+   */
   private static final double TASKS_UNLIMITED = 1e9;
 
-  /** Machines. The smallest demand: it is rounded up to one machine. */
+  /** Smallest demand as a number of machines. It is rounded up to one machine. */
   private static final double DEMAND_MIN_MACHINES = 0.01;
 
-  /** ms. Time constant of the averages of demand, for which idle machines are kept. */
+  /** Time constant in milliseconds of the averages of demand, for which idle machines are kept. */
   private static final double USAGE_TIME_CONSTANT_MS = 90_000;
 
   /** Factor on the average urgent demand, because urgent jobs arrive in bursts. */
@@ -41,16 +44,19 @@
   /** Factor on a user's estimate of the run time, because the estimate is often too low. */
   private static final double ESTIMATE_FACTOR = 1.2;
 
-  /** Count. Maximum number of tasks that are planned to run one after the other in one slot. */
+  /** Maximum number of tasks that are planned to run one after the other in one slot. */
   private static final double WAVES_MAX = 2;
 
-  /** Fraction of the boot time. A task with a run time below this counts only in part. */
+  /** Fraction of the boot time. A task that runs for less than this counts only in part. */
   private static final double SHORT_RUN_BOOT_FRACTION = 0.8;
 
-  /** s. A task with a run time below this counts only in part, however short the boot time is. */
+  /** Run time in seconds below which a task counts only in part, however short the boot time is. */
   private static final double SHORT_RUN_MIN_S = 20;
 
-  /** Count. Maximum number of jobs in the cache of types: more than are ever open at once. */
+  /**
+   * Maximum number of jobs in the cache of smallest fitting types. It exceeds the number of jobs
+   * that are ever open at once.
+   */
   private static final int SMALLEST_TYPE_CACHE_MAX = 2_000;
 
   private final EventClock clock;
@@ -90,7 +96,10 @@
     return demandByType.computeIfAbsent(type, k -> new TypeDemand());
   }
 
-  /** Returns whether the job fits a smaller type and some open job fits none smaller than this. */
+  /**
+   * Returns whether the type is scarce for the job, that is, the job fits on a smaller type and the
+   * type is the smallest one on which some open job fits.
+   */
   public boolean isScarce(JobSpec spec, String type) {
     String minimal = minimalType(spec);
     return minimal != null && !minimal.equals(type) && minimalTypesInUse.contains(type);
@@ -216,7 +225,7 @@
   }
 
   /**
-   * Returns the fraction of the machines for the job that is counted, at most 1. A task that ends
+   * Returns the fraction of the job's machines that counts as demand, at most 1. A task that ends
    * before a new machine has booted needs no new machine. A service counts in full, because it has
    * no estimated run time and runs permanently.
    */
--- a/src/main/java/mallowstall/core/autoscaling/PendingMachines.java
+++ b/src/main/java/mallowstall/core/autoscaling/PendingMachines.java
@@ -8,7 +8,10 @@
 
 /** The machines that the cloud has provided and that haven't registered yet. Mutable. */
 public final class PendingMachines {
-  /** A machine that hasn't registered yet, and the steady time in ms at which it was requested. */
+  /**
+   * A machine that hasn't registered yet, and the steady time in milliseconds at which it was
+   * requested.
+   */
   record PendingMachine(String type, String zone, boolean spot, long requestedAtMs) {}
 
   private final Map<String, PendingMachine> pendingMachines = new LinkedHashMap<>();
--- a/src/main/java/mallowstall/core/autoscaling/RegisteredMachines.java
+++ b/src/main/java/mallowstall/core/autoscaling/RegisteredMachines.java
@@ -15,25 +15,29 @@
 /** Counts the machines that have an entry, and finds those that are to be returned. Mutable. */
 public final class RegisteredMachines {
   /**
-   * ms. Within this time plus one and a half heartbeat intervals, a worker whose controller has
-   * ended registers with another controller. The worker waits 4 s for the missing response and 1 s
-   * before the next attempt; the rest is for the registration.
+   * Time in milliseconds, added to one and a half heartbeat intervals, within which a worker whose
+   * controller has ended registers with another controller. The worker waits 4 s for the missing
+   * response and 1 s before the next attempt; the rest is for the registration.
    */
   private static final long WORKER_REREGISTRATION_MS = 7_500;
 
   /**
-   * s. An unresponsive machine with less time left of its interruption notice counts as removed.
+   * Time in seconds. An unresponsive machine with less time left of its interruption notice counts
+   * as taken back by the cloud.
    */
   private static final double INTERRUPTION_IMMINENT_S = 2;
 
   /**
-   * ms. Added to the heartbeat interval. A machine that hosts replicas and is unresponsive for
-   * longer is returned, which proves that the replicas have ended. Its tasks would be lost anyway
-   * some seconds later, when its lease expires.
+   * Time in milliseconds that is added to the heartbeat interval. A machine that hosts replicas and
+   * is unresponsive for longer than the sum is returned, which proves that the replicas have ended.
+   * Its tasks would be lost anyway some seconds later, when its lease expires.
    */
   private static final long UNRESPONSIVE_REPLICA_HOST_MARGIN_MS = 5_000;
 
-  /** ms. Added to the worker lease. A machine that is unresponsive for longer is returned. */
+  /**
+   * Time in milliseconds that is added to the worker lease. A machine that is unresponsive for
+   * longer than the sum is returned.
+   */
   private static final long UNRESPONSIVE_SCALE_IN_MARGIN_MS = 12_000;
 
   private final CoreSettings settings;
@@ -42,10 +46,15 @@
   private final PendingMachines pendingMachines;
   private final ReturnedMachines returnedMachines;
 
-  /** Steady time in ms since which a machine has no current and complete status, by id. */
+  /**
+   * Steady time in milliseconds since which a machine has no current and complete status, by id.
+   */
   private final Map<String, Long> statusUnknownSinceMs = new HashMap<>();
 
-  /** Steady time in ms since which the replicas of a faulty machine are to be relocated, by id. */
+  /**
+   * Steady time in milliseconds since which the replicas of a faulty machine are to be relocated,
+   * by id.
+   */
   private final Map<String, Long> replaceSinceMs = new HashMap<>();
 
   /** Creates a counter that removes registered machines from the pending ones. */
@@ -135,7 +144,10 @@
     }
   }
 
-  /** Returns how long in ms a machine may take to register after its leader's session has ended. */
+  /**
+   * Returns the time in milliseconds within which a machine may register again after its leader's
+   * session has ended.
+   */
   private long failoverGraceMs() {
     return WORKER_REREGISTRATION_MS + settings.heartbeatIntervalMs() * 3 / 2;
   }
@@ -152,8 +164,9 @@
   }
 
   /**
-   * Returns after how long in ms an unresponsive machine that hosts replicas may be returned. This
-   * is some heartbeats longer than the time after which a machine counts as unresponsive.
+   * Returns the time in milliseconds after which an unresponsive machine that hosts replicas may be
+   * returned. It is some heartbeats longer than the time after which a machine counts as
+   * unresponsive.
    */
   private long unresponsiveHostMs() {
     return UNRESPONSIVE_REPLICA_HOST_MARGIN_MS + settings.heartbeatIntervalMs();
--- a/src/main/java/mallowstall/core/autoscaling/ScaleIn.java
+++ b/src/main/java/mallowstall/core/autoscaling/ScaleIn.java
@@ -33,8 +33,8 @@
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.autoscaling");
 
   /**
-   * ms. How long a returned machine is excluded from further return requests. The inventory may
-   * list a returned machine for twice the inventory's lag.
+   * Time in milliseconds for which a returned machine is excluded from further return requests. The
+   * inventory may list a returned machine for twice the inventory's lag.
    */
   private static final long RETURNED_MACHINE_RETENTION_MS = 60_000;
 
@@ -57,7 +57,10 @@
 
   private final Set<String> returnsInFlight = new HashSet<>();
 
-  /** Returned machines, with the steady time in ms at which the cloud confirmed the return. */
+  /**
+   * Returned machines, with the steady time in milliseconds at which the cloud confirmed the
+   * return.
+   */
   private final Map<String, Long> returnedAtMs = new HashMap<>();
 
   /** Returned machines whose entries are to be deleted by the next transaction. */
@@ -151,7 +154,8 @@
   void deleteLateEntries(Collection<String> machines) {
     List<String> late = new ArrayList<>(machines);
     late.removeAll(entriesToDelete);
-    // otherwise each plan sends a slow deletion again, and the backlog uses up the write rate
+    // otherwise each plan repeats a deletion that is still in flight, and the backlog uses up the
+    // write rate
     late.removeAll(deletionsInFlight);
     if (!late.isEmpty()) {
       LOG.info("late entries of returned machines machines={}", late);
--- a/src/main/java/mallowstall/core/autoscaling/ScaleOut.java
+++ b/src/main/java/mallowstall/core/autoscaling/ScaleOut.java
@@ -104,7 +104,10 @@
         || scaleOutOnDemand(type, typeDemand, counts, now);
   }
 
-  /** Requests machines for jobs that only one zone can serve, as other zones can't help them. */
+  /**
+   * Requests machines for jobs that only one zone can serve. Machines in other zones don't count
+   * for these jobs.
+   */
   private boolean scaleOutPinned(String type, TypeDemand typeDemand, ZoneCounts counts, long now) {
     for (Map.Entry<String, Double> pinned : typeDemand.pinnedByZone().entrySet()) {
       String zone = pinned.getKey();
--- a/src/main/java/mallowstall/core/autoscaling/ScaleOutRequests.java
+++ b/src/main/java/mallowstall/core/autoscaling/ScaleOutRequests.java
@@ -20,12 +20,12 @@
 public final class ScaleOutRequests {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.autoscaling");
 
-  /** Count. Maximum number of machines per scale-out request (protocol). */
+  /** Maximum number of machines per scale-out request (protocol). */
   private static final int SCALE_OUT_MACHINES_MAX = 50;
 
   /**
-   * ms. How long a combination of type, zone, and spot or on-demand isn't requested again after the
-   * cloud lacked the capacity for it.
+   * Time in milliseconds for which a combination of type, zone, and spot or on-demand isn't
+   * requested again after the cloud lacked the capacity for it.
    */
   private static final long SCALE_OUT_REJECTED_COOLDOWN_MS = 15_000;
 
@@ -41,7 +41,10 @@
   /** Called after each response, successful or not. */
   private final Runnable onResponse;
 
-  /** Steady time in ms until which a combination of type, zone and spot isn't requested again. */
+  /**
+   * Steady time in milliseconds until which a combination of type, zone, and spot or on-demand
+   * isn't requested again.
+   */
   private final Map<String, Long> cooldownUntilMs = new HashMap<>();
 
   private boolean requestInFlight;
--- a/src/main/java/mallowstall/core/autoscaling/TypeDemand.java
+++ b/src/main/java/mallowstall/core/autoscaling/TypeDemand.java
@@ -29,7 +29,10 @@
     return averageUrgentMachines;
   }
 
-  /** Returns whether spot machines can serve some of the demand; the rest is requested first. */
+  /**
+   * Returns whether spot machines can serve some of the demand. On-demand machines for the rest are
+   * requested first.
+   */
   boolean spotAllowed() {
     return spotAllowed;
   }
@@ -39,7 +42,10 @@
     return onDemandMachines;
   }
 
-  /** Returns by zone the demand that spot or on-demand machines of just this zone can serve. */
+  /**
+   * Returns by zone the demand that only machines of this zone can serve, whether spot or
+   * on-demand.
+   */
   Map<String, Double> pinnedByZone() {
     return Collections.unmodifiableMap(pinnedByZone);
   }
@@ -61,8 +67,9 @@
   /**
    * Adds the demand of one job.
    *
-   * @param effective machines, reduced for short tasks and for tasks that may run in sequence
-   * @param concurrent machines that hold all tasks of the job at once
+   * @param effective number of machines, reduced for short tasks and for tasks that may run in
+   *     sequence
+   * @param concurrent number of machines that hold all tasks of the job at once
    * @param spot whether spot machines can serve the job
    */
   void add(double effective, double concurrent, boolean spot) {
@@ -74,7 +81,8 @@
   }
 
   /**
-   * Adds the demand of a job that needs this zone, and on-demand machines unless it allows spot.
+   * Adds the demand of a job that needs machines of this zone. They must be on-demand machines
+   * unless the job allows spot.
    */
   void addPinned(String zone, double pinned, boolean spot) {
     (spot ? pinnedByZone : onDemandPinnedByZone).merge(zone, pinned, Double::sum);
--- a/src/main/java/mallowstall/core/autoscaling/TypePlanner.java
+++ b/src/main/java/mallowstall/core/autoscaling/TypePlanner.java
@@ -5,19 +5,25 @@
 
 /** Compares the number of machines of a type with the demand for it, and scales out or in. */
 public final class TypePlanner {
-  /** Factor. Machines requested per machine needed, because some boot late or never. */
+  /**
+   * Number of machines requested per machine needed. It exceeds 1, because some machines boot late
+   * or never.
+   */
   private static final double SCALE_OUT_FACTOR = 1.1;
 
-  /** Machines. A target is rounded up only if it exceeds a whole number by more than this. */
+  /**
+   * Number of machines by which a target may exceed a whole number without being rounded up to the
+   * next one.
+   */
   private static final double SCALE_OUT_ROUNDING = 0.05;
 
   /** Fraction of the average demand for which idle on-demand machines are kept. */
   private static final double ON_DEMAND_FLOOR_FRACTION = 0.8;
 
-  /** Factor. Machines kept per machine of the present demand. */
+  /** Number of machines kept per machine of the present demand. */
   private static final double RETENTION_FACTOR = 1.2;
 
-  /** Factor. Machines kept per machine of the average demand. */
+  /** Number of machines kept per machine of the average demand. */
   private static final double RETENTION_AVERAGE_FACTOR = 1.15;
 
   private final MachineDemand demand;
--- a/src/main/java/mallowstall/core/autoscaling/UnplaceableJobs.java
+++ b/src/main/java/mallowstall/core/autoscaling/UnplaceableJobs.java
@@ -28,10 +28,16 @@
  * pending replicas, which then end at once there. Mutable.
  */
 public final class UnplaceableJobs {
-  /** ms. A replica that fits on no machine for longer has one requested for it alone. */
+  /**
+   * Time in milliseconds after which a machine is requested just for a replica that fits on no
+   * machine.
+   */
   static final long REPLICA_UNPLACEABLE_MS = 5_000;
 
-  /** ms. A batch job of which no task fits beside services for longer has a machine requested. */
+  /**
+   * Time in milliseconds after which a machine is requested for a batch job of which no task fits
+   * beside services.
+   */
   private static final long BATCH_UNPLACEABLE_MS = 20_000;
 
   /** The reason for which a task of a job can't be placed. */
@@ -99,7 +105,9 @@
     }
   }
 
-  /** Returns whether a replica or a whole batch job is unplaced, and not because of the quota. */
+  /**
+   * Returns whether a replica or a whole batch job is unplaced for a reason other than the quota.
+   */
   private boolean isWaitingForCapacity(JobEntry jobEntry) {
     JobSpec job = jobEntry.spec();
     int placed = view.placedTasks(job.id());
--- a/src/main/java/mallowstall/core/autoscaling/UnregisteredMachines.java
+++ b/src/main/java/mallowstall/core/autoscaling/UnregisteredMachines.java
@@ -9,13 +9,13 @@
 
 /** Counts the machines that haven't registered yet, and finds overdue ones to be returned. */
 public final class UnregisteredMachines {
-  /** Factor on the usual boot time, after which a machine is assumed never to boot. */
+  /** Multiple of the usual boot time after which a machine is assumed never to boot. */
   private static final double BOOT_TIMEOUT_FACTOR = 4.0;
 
-  /** s. Minimum boot timeout, however short the boot time of the type is. */
+  /** Minimum boot timeout in seconds, however short the boot time of the type is. */
   private static final double BOOT_TIMEOUT_MIN_S = 60;
 
-  /** s. Boot timeout of a machine of an unknown type. */
+  /** Boot timeout in seconds of a machine of an unknown type. */
   private static final double BOOT_TIMEOUT_UNKNOWN_TYPE_S = 120;
 
   private final CoreSettings settings;
@@ -91,7 +91,7 @@
     }
   }
 
-  /** Returns the time in s after which an unregistered machine is assumed never to boot. */
+  /** Returns the time in seconds after which an unregistered machine is assumed never to boot. */
   private static double bootTimeoutS(MachineType type) {
     return Math.max(BOOT_TIMEOUT_MIN_S, BOOT_TIMEOUT_FACTOR * type.bootS());
   }
--- a/src/main/java/mallowstall/core/autoscaling/package-info.java
+++ b/src/main/java/mallowstall/core/autoscaling/package-info.java
@@ -3,7 +3,7 @@
  * computes {@link mallowstall.core.autoscaling.MachineDemand}, because placement uses it too. Only
  * the controller named in the key {@code c/cloud} scales out and in: {@link
  * mallowstall.core.autoscaling.AutoscalerLeadership} acquires that leadership, {@link
- * mallowstall.core.autoscaling.Autoscaler} runs what is due, and {@link
+ * mallowstall.core.autoscaling.Autoscaler} runs the periodic work, and {@link
  * mallowstall.core.autoscaling.ScalingPlanner} plans.
  *
  * <p>The package owns the requests to the cloud that are in flight, the cloud's inventory as last
