--- a/src/test/java/mallowstall/ArchitectureTest.java
+++ b/src/test/java/mallowstall/ArchitectureTest.java
@@ -19,8 +19,8 @@
 import mallowstall.core.ControllerCore;
 
 /**
- * Who may use whom: what the compiler doesn't see of the program's structure. It runs in its own
- * process with a larger heap; alone: {@code mvn test -Dtest=ArchitectureTest
+ * Checks the dependencies between packages, which the compiler does not enforce. This test runs in
+ * its own process with a larger heap. To run it alone: {@code mvn test -Dtest=ArchitectureTest
  * -Dsurefire.failIfNoSpecifiedTests=false}.
  */
 @ArchTag("architecture")
@@ -37,7 +37,7 @@
 
   private ArchitectureTest() {}
 
-  /** Beyond the core itself, of which it may use Constants of the program's own packages. */
+  /** Outside of its own packages, the core uses only {@code Constants} of the program's classes. */
   @ArchTest
   static final ArchRule CORE_USES_NO_OTHER_PACKAGE_OF_THE_PROGRAM =
       noClasses()
@@ -152,7 +152,7 @@
               not(resideInAnyPackage("mallowstall.core..")));
 
   @ArchTest
-  static final ArchRule ADAPTERS_DO_NOT_KNOW_EACH_OTHER =
+  static final ArchRule ADAPTERS_DO_NOT_DEPEND_ON_EACH_OTHER =
       slices()
           .matching("mallowstall.(state|cloud|workers|users|peers)..")
           .should()
@@ -162,9 +162,9 @@
   static final ArchRule NO_PACKAGE_CYCLES =
       slices().matching("mallowstall.(**)").should().beFreeOfCycles();
 
-  /** All others see the interfaces of core.api. */
+  /** All other packages use the interfaces of core.api. */
   @ArchTest
-  static final ArchRule ONLY_THE_CONTROLLER_KNOWS_ITS_CORE =
+  static final ArchRule ONLY_CONTROLLER_DEPENDS_ON_CONTROLLER_CORE =
       classes()
           .that()
           .areAssignableTo(ControllerCore.class)
@@ -172,9 +172,9 @@
           .onlyHaveDependentClassesThat()
           .resideInAnyPackage("mallowstall", "mallowstall.core");
 
-  /** What an adapter needs of the core is data, its effects and the events it delivers. */
+  /** An adapter uses only the core's data, the effects it executes and the events it delivers. */
   @ArchTest
-  static final ArchRule ADAPTERS_SEE_THE_EDGE_OF_THE_CORE_ONLY =
+  static final ArchRule ADAPTERS_DEPEND_ONLY_ON_MODEL_KERNEL_AND_API_OF_CORE =
       noClasses()
           .that()
           .resideInAnyPackage(ADAPTERS)
@@ -189,7 +189,7 @@
                               "mallowstall.core.api.."))));
 
   @ArchTest
-  static final ArchRule ADAPTERS_DO_NOT_KNOW_THE_CONTROLLER =
+  static final ArchRule ADAPTERS_DO_NOT_DEPEND_ON_CONTROLLER =
       noClasses()
           .that()
           .resideInAnyPackage(ADAPTERS)
--- a/src/test/java/mallowstall/ControllerTest.java
+++ b/src/test/java/mallowstall/ControllerTest.java
@@ -20,7 +20,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The real process on loopback, without a world around it: what it can't take is answered at once.
+ * Runs a real controller on loopback that can reach neither the state service nor the cloud. The
+ * controller must respond at once to requests that it can't process.
  */
 class ControllerTest {
   private static final String SETTINGS =
@@ -66,9 +67,9 @@
         HttpResponse.BodyHandlers.ofString());
   }
 
-  /** The limits that the core works with, from the start on. */
+  /** The core uses the smaller of the current and the next limits as soon as it starts. */
   @Test
-  void theCoreKeepsToTheSmallerLimits() throws Exception {
+  void coreUsesSmallerOfCurrentAndNextLimits() throws Exception {
     String next = ",\"next\":{\"value_kb\":2.0,\"txn_ops\":8,\"write_rps\":90.0}";
     Settings settings =
         Settings.parse(
@@ -83,7 +84,7 @@
   }
 
   @Test
-  void eachBadRequestGetsItsStatusAndAMessage() throws Exception {
+  void invalidRequestGetsStatusAndErrorMessage() throws Exception {
     String job = Examples.JOB;
     Object[][] cases = {
       {"GET", "/nothing", null, 404, "no such path"},
@@ -112,9 +113,9 @@
     }
   }
 
-  /** No answer is delayed to keep a user from asking again. */
+  /** The controller does not delay a response to keep the user from sending another request. */
   @Test
-  void whatCannotBeDecidedIsAnsweredAtOnceWithARetryAfter() throws Exception {
+  void requestsGetImmediate503WhileStateServiceIsUnreachable() throws Exception {
     for (String[] c :
         new String[][] {
           {"POST", "/submissions", Examples.JOB},
@@ -133,7 +134,7 @@
     assertTrue(m.body().contains("mallowstall_submit_seconds_count"), m.body());
   }
 
-  /** One request on its own connection, and all that comes back until that is closed. */
+  /** Returns the request and all bytes received until the server closes its connection. */
   private static String exchange(String request) throws Exception {
     try (Socket s = new Socket("127.0.0.1", controller.address().join().getPort())) {
       s.setSoTimeout(3_000);
@@ -144,8 +145,8 @@
   }
 
   @Test
-  void answersAreTheSameBytesAsEver() throws Exception {
-    StringBuilder written = new StringBuilder();
+  void responsesMatchGoldenFile() throws Exception {
+    StringBuilder exchanges = new StringBuilder();
     String[] firstLines = {
       "GET /nothing",
       "GET /submissions/wk-000001/more",
@@ -162,19 +163,19 @@
       "POST /metrics",
     };
     for (String line : firstLines) {
-      written.append(exchange(line + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"));
+      exchanges.append(exchange(line + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"));
     }
-    written.append(exchange("no request\r\n\r\n"));
-    Fixtures.assertSame("service-answers.txt", written.toString().stripTrailing());
+    exchanges.append(exchange("no request\r\n\r\n"));
+    Fixtures.assertSame("service-answers.txt", exchanges.toString().stripTrailing());
   }
 
   @Test
-  void aConnectionStaysOpenForTheNextRequest() throws Exception {
+  void connectionStaysOpenBetweenRequests() throws Exception {
     try (Socket s = new Socket("127.0.0.1", controller.address().join().getPort())) {
       s.setSoTimeout(3_000);
-      byte[] ask = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
+      byte[] request = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
       for (int i = 0; i < 3; i++) {
-        s.getOutputStream().write(ask);
+        s.getOutputStream().write(request);
         byte[] b = new byte[1_000];
         int n = s.getInputStream().read(b);
         String text = new String(b, 0, n, StandardCharsets.US_ASCII);
--- a/src/test/java/mallowstall/DocumentedTypesTest.java
+++ b/src/test/java/mallowstall/DocumentedTypesTest.java
@@ -14,12 +14,12 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Each type that the architecture page names exists, in the program or as a message of peers. */
+/** Checks that each type named on the architecture page is a Java type or a peer message. */
 class DocumentedTypesTest {
   private static final Path PAGE = Path.of("docs/architecture.md");
   private static final Path SOURCES = Path.of("src/main");
 
-  /** In code quotes, perhaps followed by a member; of two words at least. */
+  /** A type name of at least two words in code quotes, optionally followed by a member. */
   private static final Pattern NAMED_TYPE = Pattern.compile("`([A-Z][a-z]+(?:[A-Z][a-z]+)+)[`.]");
 
   private static final Pattern DECLARED_TYPE =
--- a/src/test/java/mallowstall/Fixtures.java
+++ b/src/test/java/mallowstall/Fixtures.java
@@ -9,11 +9,11 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Files under {@code golden}: bytes as they were written once, which must never change. */
+/** Access to the files under {@code golden}, which hold recorded bytes that must never change. */
 public final class Fixtures {
   private Fixtures() {}
 
-  /** The bytes of the file. */
+  /** Returns the bytes of the file; fails if the file does not exist. */
   public static byte[] bytes(String file) throws IOException {
     try (InputStream in = Fixtures.class.getResourceAsStream("/golden/" + file)) {
       assertNotNull(in, "no fixture " + file);
@@ -21,16 +21,16 @@
     }
   }
 
-  /** The text of the file without the line end behind it. */
+  /** Returns the text of the file without trailing whitespace. */
   public static String text(String file) throws IOException {
     return new String(bytes(file), StandardCharsets.UTF_8).stripTrailing();
   }
 
-  /** What is written now must equal the file; it is left under target/golden to be compared. */
-  public static void assertSame(String file, String written) throws IOException {
-    Path left = Path.of("target", "golden", file);
-    Files.createDirectories(left.getParent());
-    Files.writeString(left, written + "\n");
-    assertEquals(text(file), written, file);
+  /** Asserts that the text equals the file, and stores it under target/golden for comparison. */
+  public static void assertSame(String file, String actual) throws IOException {
+    Path copy = Path.of("target", "golden", file);
+    Files.createDirectories(copy.getParent());
+    Files.writeString(copy, actual + "\n");
+    assertEquals(text(file), actual, file);
   }
 }
--- a/src/test/java/mallowstall/LoopbackServer.java
+++ b/src/test/java/mallowstall/LoopbackServer.java
@@ -16,14 +16,14 @@
 import java.util.function.Consumer;
 import mallowstall.net.HttpClient;
 
-/** A server on loopback that notes the exact bytes of each request and answers as set. */
+/** A server on loopback that records the bytes of each request and sends prepared responses. */
 public final class LoopbackServer implements AutoCloseable {
   private final NioEventLoopGroup group = new NioEventLoopGroup(1);
   private final ServerSocket listening;
-  private final BlockingQueue<String> answers = new LinkedBlockingQueue<>();
+  private final BlockingQueue<String> responses = new LinkedBlockingQueue<>();
   private final StringBuilder requests = new StringBuilder();
 
-  /** A server that listens from now on. */
+  /** Creates the server, which listens on a free port at once. */
   public LoopbackServer() throws IOException {
     listening = new ServerSocket(0, 10, InetAddress.getByName("127.0.0.1"));
     Thread thread = new Thread(this::serve, "loopback server");
@@ -31,32 +31,32 @@
     thread.start();
   }
 
-  /** Where it listens. */
+  /** Returns the address on which the server listens, as host and port. */
   public String address() {
     return "127.0.0.1:" + listening.getLocalPort();
   }
 
-  /** A client of this server. */
+  /** Returns a new client that sends its requests to this server. */
   public HttpClient client() {
     return new HttpClient(
         group.next(), new InetSocketAddress("127.0.0.1", listening.getLocalPort()), 1);
   }
 
-  /** The loop on which clients of this server run. */
+  /** Returns the event loop group on which the clients of this server run. */
   public NioEventLoopGroup group() {
     return group;
   }
 
-  /** Makes the request, lets this server answer so, and gives the response that the caller got. */
+  /** Executes the request, responds with the status and body, and returns the client's result. */
   public <T> T answer(int status, String body, Consumer<Consumer<T>> request) throws Exception {
     int length = body.getBytes(StandardCharsets.UTF_8).length;
-    answers.add("HTTP/1.1 " + status + " Any\r\nContent-Length: " + length + "\r\n\r\n" + body);
-    CompletableFuture<T> heard = new CompletableFuture<>();
-    group.next().execute(() -> request.accept(heard::complete));
-    return heard.get(5, TimeUnit.SECONDS);
+    responses.add("HTTP/1.1 " + status + " Any\r\nContent-Length: " + length + "\r\n\r\n" + body);
+    CompletableFuture<T> result = new CompletableFuture<>();
+    group.next().execute(() -> request.accept(result::complete));
+    return result.get(5, TimeUnit.SECONDS);
   }
 
-  /** All requests so far; carriage returns are written as \r, the port as PORT. */
+  /** Returns all requests so far, with \r for carriage returns and PORT for the port. */
   public synchronized String requests() {
     return requests
         .toString()
@@ -70,7 +70,7 @@
       try (Socket socket = listening.accept()) {
         serve(socket);
       } catch (IOException | InterruptedException ended) {
-        // the next connection is served all the same
+        // a failed connection does not keep the server from accepting the next one
       }
     }
   }
@@ -82,11 +82,11 @@
       synchronized (this) {
         requests.append(head).append(new String(body, StandardCharsets.UTF_8)).append("\n\n");
       }
-      socket.getOutputStream().write(answers.take().getBytes(StandardCharsets.UTF_8));
+      socket.getOutputStream().write(responses.take().getBytes(StandardCharsets.UTF_8));
     }
   }
 
-  /** A request up to its body; empty: there is none. */
+  /** Reads a request up to its body. Returns an empty string if the connection has ended. */
   private static String head(InputStream in) throws IOException {
     StringBuilder head = new StringBuilder();
     while (head.indexOf("\r\n\r\n") < 0) {
--- a/src/test/java/mallowstall/OneController.java
+++ b/src/test/java/mallowstall/OneController.java
@@ -32,12 +32,15 @@
 import mallowstall.policy.Policies;
 import mallowstall.state.StoredEntries;
 
-/** One core over a state service and a cloud in memory, in its own time: all of it repeatable. */
+/**
+ * A controller core with an in-memory state service and cloud; its time is simulated, so that runs
+ * are repeatable.
+ */
 public final class OneController implements Effects {
   private static final long BEGIN_WALL_MS = 1_700_000_000_000L;
   private static final long STEP_MS = 10;
 
-  /** A watch that waits for news. */
+  /** A watch that waits for entries changed after a revision. */
   private record Watch(long after, Consumer<WatchResult> then) {}
 
   private final ControllerCore core;
@@ -47,11 +50,11 @@
   private final List<MachineType> types;
   private Watch watch;
   private long revision;
-  private long leases;
+  private long lastLease;
   private long now = 1_000;
   private boolean stateServiceAnswers = true;
 
-  /** A controller n1 that may have peers, and these machine types to scale out with. */
+  /** Creates the controller n1 with these peers and the machine types that the cloud offers. */
   public OneController(List<String> peers, List<MachineType> types) {
     this.types = types;
     CoreSettings settings =
@@ -65,7 +68,7 @@
     core = new ControllerCore(settings, this, Policies.bundled(), new Uncounted(), 7);
   }
 
-  /** Counts nothing. */
+  /** Discards all metrics. */
   private static final class Uncounted implements Metrics {
     @Override
     public void increment(String what) {}
@@ -74,23 +77,23 @@
     public void recordDuration(String what, long ms) {}
   }
 
-  /** The core, to give events to. */
+  /** Returns the core, to which a test delivers events. */
   public ControllerCore core() {
     return core;
   }
 
-  /** An entry that another controller has written. */
+  /** Stores an entry as if another controller had written it. */
   public void put(String key, StoredEntry value) {
     revision++;
     set(key, value);
   }
 
-  /** Whether requests to the state service are answered from now on. */
+  /** Sets whether the state service serves requests (true) or rejects them (false). */
   public void stateServiceAnswers(boolean answers) {
     stateServiceAnswers = answers;
   }
 
-  /** Lets so much time pass. */
+  /** Advances the time by this many milliseconds and processes the events that come due. */
   public void pass(long ms) {
     for (long end = now + ms; now < end; now += STEP_MS) {
       core.setTime(now, BEGIN_WALL_MS + now);
@@ -111,32 +114,32 @@
       keys.put(key, item);
     }
     changes.add(item);
-    tellWatch();
+    notifyWatch();
   }
 
-  private void tellWatch() {
+  private void notifyWatch() {
     if (watch == null || revision <= watch.after) {
       return;
     }
-    Watch told = watch;
+    Watch notified = watch;
     watch = null;
     events.add(
         () ->
-            told.then.accept(
+            notified.then.accept(
                 new WatchResult(
                     ResultCode.OK,
-                    changes.stream().filter(item -> item.modRevision() > told.after).toList(),
+                    changes.stream().filter(item -> item.modRevision() > notified.after).toList(),
                     revision)));
   }
 
   @Override
   public void transact(Transaction txn, Consumer<TransactionResult> then) {
     TransactionResult reply =
-        stateServiceAnswers ? change(txn) : new TransactionResult(ResultCode.REJECTED, 0);
+        stateServiceAnswers ? apply(txn) : new TransactionResult(ResultCode.REJECTED, 0);
     events.add(() -> then.accept(reply));
   }
 
-  private TransactionResult change(Transaction txn) {
+  private TransactionResult apply(Transaction txn) {
     for (Condition condition : txn.conditions()) {
       KeyValue item = keys.get(condition.key());
       if ((item == null ? 0 : item.modRevision()) != condition.modRevision()) {
@@ -175,13 +178,13 @@
   @Override
   public void watch(long after, long holdMs, Consumer<WatchResult> then) {
     watch = new Watch(after, then);
-    tellWatch();
+    notifyWatch();
   }
 
   @Override
   public void grantLease(long ttlMs, Consumer<LeaseResult> then) {
-    leases++;
-    LeaseResult reply = lease(leases);
+    lastLease++;
+    LeaseResult reply = lease(lastLease);
     events.add(() -> then.accept(reply));
   }
 
--- a/src/test/java/mallowstall/cli/LibraryPropertiesTest.java
+++ b/src/test/java/mallowstall/cli/LibraryPropertiesTest.java
@@ -4,10 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What the environment chooses. */
+/** Checks the log level that the environment selects. */
 class LibraryPropertiesTest {
   @Test
-  void unknownLogLevelsAreInfo() {
+  void unknownLogLevelsFallBackToInfo() {
     String[][] cases = {
       {null, "info"},
       {"", "info"},
--- a/src/test/java/mallowstall/cli/MainTest.java
+++ b/src/test/java/mallowstall/cli/MainTest.java
@@ -5,10 +5,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The command lines that need no parser. */
+/** Checks which command lines start the controller without the command line parser. */
 class MainTest {
   @Test
-  void onlyTheFormOfTheDeployFileIsServedWithoutTheParser() {
+  void onlyArgumentsOfDeployFileBypassTheParser() {
     assertTrue(Main.isPlainServe(new String[] {"--config", "settings.json"}));
     String[][] others = {
       {},
--- a/src/test/java/mallowstall/cloud/GoldenCloudTest.java
+++ b/src/test/java/mallowstall/cloud/GoldenCloudTest.java
@@ -13,13 +13,14 @@
 import mallowstall.core.model.ScaleOutRequest;
 import org.junit.jupiter.api.Test;
 
-/** The exact requests to the cloud, and what its answers mean. */
+/** Checks the exact requests to the cloud and how its responses are read. */
 class GoldenCloudTest {
-  private static final ScaleOutRequest RENTAL = new ScaleOutRequest("n1-7-3", "g8", "a", true, 12);
-  private static final InventoryPage NOT_LISTED = new InventoryPage(false, List.of(), false);
+  private static final ScaleOutRequest SCALE_OUT =
+      new ScaleOutRequest("n1-7-3", "g8", "a", true, 12);
+  private static final InventoryPage FAILED_PAGE = new InventoryPage(false, List.of(), false);
 
   @Test
-  void requestsAreSentAsEverAndAnswersUnderstood() throws Exception {
+  void readRequestsMatchGoldenFileAndResponsesAreParsed() throws Exception {
     try (LoopbackServer server = new LoopbackServer()) {
       CloudClient cloud = new CloudClient(server.client(), Runnable::run);
 
@@ -32,7 +33,8 @@
       InventoryPage last =
           server.answer(200, "{\"sierras\":[]}", then -> cloud.listMachines("m-000002", then));
       InventoryPage failed = server.answer(500, "{}", then -> cloud.listMachines("m-000002", then));
-      InventoryPage cut = server.answer(200, "{\"sie", then -> cloud.listMachines(null, then));
+      InventoryPage truncated =
+          server.answer(200, "{\"sie", then -> cloud.listMachines(null, then));
 
       assertEquals(
           List.of(
@@ -49,30 +51,31 @@
               true),
           page);
       assertEquals(new InventoryPage(true, List.of(), false), last);
-      assertEquals(NOT_LISTED, failed);
-      assertEquals(NOT_LISTED, cut);
+      assertEquals(FAILED_PAGE, failed);
+      assertEquals(FAILED_PAGE, truncated);
       Fixtures.assertSame("cloud-reading.txt", server.requests());
     }
   }
 
   @Test
-  void rentalsAndReturnsAreSentAsEver() throws Exception {
+  void scaleOutAndScaleInRequestsMatchGoldenFile() throws Exception {
     try (LoopbackServer server = new LoopbackServer()) {
       CloudClient cloud = new CloudClient(server.client(), Runnable::run);
 
-      ScaleOutResult rented =
+      ScaleOutResult accepted =
           server.answer(
-              200, "{\"sierras\":[\"m-1\",\"m-2\"]}", then -> cloud.scaleOut(RENTAL, then));
-      ScaleOutResult unread = server.answer(200, "no JSON", then -> cloud.scaleOut(RENTAL, then));
-      ScaleOutResult refused =
-          server.answer(429, "{\"error\":\"x\"}", then -> cloud.scaleOut(RENTAL, then));
+              200, "{\"sierras\":[\"m-1\",\"m-2\"]}", then -> cloud.scaleOut(SCALE_OUT, then));
+      ScaleOutResult unreadable =
+          server.answer(200, "no JSON", then -> cloud.scaleOut(SCALE_OUT, then));
+      ScaleOutResult rejected =
+          server.answer(429, "{\"error\":\"x\"}", then -> cloud.scaleOut(SCALE_OUT, then));
       List<String> machines = List.of("m-1", "m-2");
       boolean returned = server.<Boolean>answer(200, "{}", then -> cloud.scaleIn(machines, then));
       boolean kept = server.<Boolean>answer(503, "{}", then -> cloud.scaleIn(List.of("m-3"), then));
 
-      assertEquals(new ScaleOutResult(200, machines), rented);
-      assertEquals(new ScaleOutResult(0, List.of()), unread);
-      assertEquals(new ScaleOutResult(429, List.of()), refused);
+      assertEquals(new ScaleOutResult(200, machines), accepted);
+      assertEquals(new ScaleOutResult(0, List.of()), unreadable);
+      assertEquals(new ScaleOutResult(429, List.of()), rejected);
       assertEquals(true, returned);
       assertEquals(false, kept);
       Fixtures.assertSame("cloud-rentals.txt", server.requests());
--- a/src/test/java/mallowstall/config/GoldenSettingsTest.java
+++ b/src/test/java/mallowstall/config/GoldenSettingsTest.java
@@ -9,7 +9,7 @@
 import mallowstall.Fixtures;
 import org.junit.jupiter.api.Test;
 
-/** Every field of a settings file, and the messages about bad ones word for word. */
+/** Checks that each field of a settings file is read, and the exact messages for invalid files. */
 class GoldenSettingsTest {
   @Test
   void everyFieldIsRead() throws IOException, Settings.Invalid {
@@ -39,22 +39,22 @@
   }
 
   @Test
-  void faultsAreToldWordForWord() throws IOException {
+  void errorMessagesMatchGoldenFile() throws IOException {
     String good = Fixtures.text("settings/full.json");
-    StringBuilder told = new StringBuilder();
+    StringBuilder messages = new StringBuilder();
     for (String change : Fixtures.text("settings/bad-changes.txt").split("\n")) {
       String[] parts = change.split(" => ", -1);
       byte[] bad = good.replace(parts[0], parts[1]).getBytes(StandardCharsets.UTF_8);
       Settings.Invalid fault =
           assertThrows(Settings.Invalid.class, () -> Settings.parse(bad), change);
-      told.append(change).append(": ").append(fault.getMessage()).append('\n');
+      messages.append(change).append(": ").append(fault.getMessage()).append('\n');
     }
     for (String file : List.of("null", "[]", "", "{}", "{\"node\"", "5")) {
       byte[] bad = file.getBytes(StandardCharsets.UTF_8);
       Settings.Invalid fault =
           assertThrows(Settings.Invalid.class, () -> Settings.parse(bad), file);
-      told.append(file).append(": ").append(fault.getMessage()).append('\n');
+      messages.append(file).append(": ").append(fault.getMessage()).append('\n');
     }
-    Fixtures.assertSame("settings/faults.txt", told.toString().stripTrailing());
+    Fixtures.assertSame("settings/faults.txt", messages.toString().stripTrailing());
   }
 }
--- a/src/test/java/mallowstall/config/SettingsTest.java
+++ b/src/test/java/mallowstall/config/SettingsTest.java
@@ -7,7 +7,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** Settings files: which are taken, and what is said of those that are wrong. */
+/** Checks which settings files are accepted, and the error messages for invalid ones. */
 class SettingsTest {
   static final String GOOD =
       """
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void ofLimitsThatFallTheSmallerOnesAreKeptFieldByField() throws Settings.Invalid {
+  void lowestTakesSmallerOfCurrentAndNextValueForEachLimit() throws Settings.Invalid {
     Settings.State now = new Settings.State(150.0, 60.0, 16.0, 24, null);
     assertEquals(now, lowest(GOOD));
     assertEquals(now, lowest(withNext("null")));
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void faultsOfLaterLimitsNameTheField() {
+  void errorsInNextLimitsNameTheField() {
     String[][] cases = {
       {"{\"rps\":0}", "facts.state.next.rps must be a number above 0"},
       {"{\"write_rps\":-1.0}", "facts.state.next.write_rps must be a number above 0"},
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void faultsNameTheFieldAndWhatWasExpected() {
+  void errorsNameTheFieldAndTheExpectedValue() {
     String[][] cases = {
       {"\"127.0.0.1:1\"", "\"cloud.example:1\"", "endpoints.cloud must be an address"},
       {"\"lease_s\":10.0", "\"lease_s\":0", "facts.workers.lease_s must be a number above 0"},
--- a/src/test/java/mallowstall/json/JsonReaderTest.java
+++ b/src/test/java/mallowstall/json/JsonReaderTest.java
@@ -11,25 +11,25 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Documents read field by field: what is taken, and where a wrong value is said to stand. */
+/** Checks which values the reader accepts, and the path that it reports for a wrong value. */
 class JsonReaderTest {
   private static byte[] bytes(String text) {
     return text.getBytes(StandardCharsets.UTF_8);
   }
 
-  /** Reads an object whose field {@code v}, wherever it stands, is read like this. */
+  /** Reads an object and returns the value of its field {@code v}, at whatever position. */
   private static <T> T field(String document, JsonReader.ValueReader<T> value) throws IOException {
     return JsonReader.read(bytes(document), in -> in.fieldOrNull("v", value));
   }
 
   @Test
-  void unknownFieldsArePassedOver() throws IOException {
+  void unknownFieldsAreSkipped() throws IOException {
     String document = "{\"a\":{\"v\":[1,{\"v\":2}]},\"v\":\"x\",\"z\":[[],{}]}";
     assertEquals("x", field(document, JsonReader::string));
   }
 
   @Test
-  void nullIsAnAbsentValue() throws IOException {
+  void nullIsReadAsAbsentValue() throws IOException {
     assertNull(field("{\"v\":null}", JsonReader::string));
     assertNull(field("{\"v\":null}", JsonReader::doubleOrNull));
     assertNull(field("{\"v\":null}", JsonReader::strings));
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void wholeNumbersBeyondTheirRangeAreRefused() throws IOException {
+  void integersOutOfRangeAreRejected() throws IOException {
     assertEquals(Long.MAX_VALUE, field("{\"v\":9223372036854775807}", JsonReader::longOrZero));
     assertThrows(
         WrongTypeException.class,
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void nothingIsConvertedSilently() {
+  void valuesOfOtherTypesAreNotConverted() {
     List<JsonReader.ValueReader<?>> readers =
         List.of(
             JsonReader::string,
@@ -62,14 +62,14 @@
             JsonReader::enterObjectIfPresent,
             in -> in.enumConstant(Thread.State.class));
     String[] values = {"\"other\"", "1", "1.5", "true", "[\"x\"]", "{\"x\":1}"};
-    int[] taken = {1, 1, 2, 1, 1, 1, 0};
+    int[] acceptedCounts = {1, 1, 2, 1, 1, 1, 0};
     for (int i = 0; i < readers.size(); i++) {
       JsonReader.ValueReader<?> reader = readers.get(i);
       int accepted = 0;
       for (String value : values) {
         accepted += accepts(reader, "{\"v\":" + value + "}") ? 1 : 0;
       }
-      assertEquals(taken[i], accepted, "reader " + i);
+      assertEquals(acceptedCounts[i], accepted, "reader " + i);
     }
   }
 
@@ -84,7 +84,7 @@
     }
   }
 
-  /** Goes on to the end of an object that was only entered. */
+  /** Skips the rest of an object that the reader has only entered. */
   private static Object skipObject(JsonReader in, Object value) throws IOException {
     if (in.field().equals("v") && Boolean.TRUE.equals(value)) {
       in.skip();
@@ -93,7 +93,7 @@
   }
 
   @Test
-  void aWrongValueIsSaidWhereItStands() {
+  void pathOfWrongValueIsReported() {
     JsonReader.ValueReader<Object> inner =
         in -> in.list(element -> element.fieldOrNull("v", JsonReader::longOrZero));
     WrongTypeException wrong =
@@ -106,7 +106,7 @@
   }
 
   @Test
-  void whatIsNotOneWholeDocumentIsRefused() {
+  void incompleteDocumentsAndTrailingInputAreRejected() {
     for (String document : new String[] {"", "{} {}", "{}1"}) {
       assertThrows(
           WrongTypeException.class, () -> field(document, JsonReader::longOrZero), document);
@@ -117,9 +117,9 @@
     }
   }
 
-  /** One value that can't be read costs no other: the reader goes on behind it. */
+  /** The reader continues after a value that can't be read, so that no other value is lost. */
   @Test
-  void aValueThatCannotBeReadIsPassedOver() throws IOException {
+  void unreadableValueIsSkipped() throws IOException {
     List<String> failures = new ArrayList<>();
     JsonReader.ValueReader<Long> tolerant =
         in ->
@@ -135,9 +135,9 @@
   }
 
   @Test
-  void aValueThatWasPassedOverIsReadLater() throws IOException {
-    JsonReader.Deferred skipped =
+  void deferredValueIsReadLater() throws IOException {
+    JsonReader.Deferred deferred =
         field("{\"ü\":1, \"v\" : {\"v\":[\"ß\"]} ,\"z\":0}", JsonReader::defer);
-    assertEquals(List.of("ß"), skipped.read(in -> in.fieldOrNull("v", JsonReader::strings)));
+    assertEquals(List.of("ß"), deferred.read(in -> in.fieldOrNull("v", JsonReader::strings)));
   }
 }
--- a/src/test/java/mallowstall/knownred/KnownRedEntry.java
+++ b/src/test/java/mallowstall/knownred/KnownRedEntry.java
@@ -4,13 +4,13 @@
 import java.util.regex.Pattern;
 
 /**
- * One line of KNOWN-RED.txt: a test that fails for a fault that is not mended yet.
+ * One line of KNOWN-RED.txt: a test that fails because of a fault that is not fixed yet.
  *
  * @param test class and method, as {@code Class#method}; {@code bench} for a day of the bench
- * @param command what shows the fault
- * @param seed the seeds with which it fails; {@code -} if the test fails in every build
- * @param seen what was seen
- * @param cause the cause, or what was ruled out
+ * @param command command that reproduces the fault
+ * @param seed seeds with which the test fails; {@code -} if the test fails in every build
+ * @param seen observed failure
+ * @param cause cause of the fault, or the causes that were ruled out
  * @param issue number of the open issue
  */
 record KnownRedEntry(
@@ -25,7 +25,7 @@
   private static final String EXPECTED =
       "expected 'Class#method | command | seeds or - | seen | cause | issue N'";
 
-  /** Reads one line, or says in one line what is wrong with it. */
+  /** Parses one line; throws an exception with a one-line message if the line is malformed. */
   static KnownRedEntry parse(String line) {
     String[] fields = line.split(" \\| ", -1);
     if (fields.length != FIELDS) {
@@ -56,7 +56,7 @@
         "KNOWN-RED.txt: " + EXPECTED + ", found " + what + ": " + line);
   }
 
-  /** Whether a build runs the test as listed, and is to pass over its failure. */
+  /** Returns whether every build runs the test as listed, and so must ignore its failure. */
   boolean runsInEveryBuild() {
     return seed.equals(NO_SEED) && !test.equals(BENCH);
   }
--- a/src/test/java/mallowstall/knownred/KnownRedExtension.java
+++ b/src/test/java/mallowstall/knownred/KnownRedExtension.java
@@ -10,14 +10,15 @@
 import org.opentest4j.TestAbortedException;
 
 /**
- * Lets a build pass over the failures of just the tests that KNOWN-RED.txt lists, and says so; a
- * listed test that passes is named too. Registered for all tests by JUnit's auto-detection.
+ * Ignores the failures of the tests that KNOWN-RED.txt lists for every build, and of no other
+ * tests. Prints each of these tests, whether it fails or passes. JUnit's auto-detection registers
+ * this extension for all tests.
  */
 public final class KnownRedExtension implements InvocationInterceptor {
   private final List<KnownRedEntry> entries;
   private final PrintStream out;
 
-  /** Reads the list; a malformed one fails every test with its one line. */
+  /** Reads the list. If the list is malformed, every test fails with the one-line message. */
   public KnownRedExtension() throws IOException {
     this(KnownRedList.read(), System.out);
   }
@@ -45,7 +46,7 @@
     run(invocation, method.getExecutable());
   }
 
-  /** Runs the test; a failure of a listed one counts as skipped. */
+  /** Runs the test; if a listed test fails, it counts as skipped. */
   void run(Invocation<Void> invocation, Method method) throws Throwable {
     String test = method.getDeclaringClass().getSimpleName() + "#" + method.getName();
     if (!isListed(test)) {
--- a/src/test/java/mallowstall/knownred/KnownRedList.java
+++ b/src/test/java/mallowstall/knownred/KnownRedList.java
@@ -5,13 +5,13 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** The entries of KNOWN-RED.txt at the root of the repository. */
+/** Reads the entries of KNOWN-RED.txt at the root of the repository. */
 final class KnownRedList {
   private static final Path FILE = Path.of("KNOWN-RED.txt");
 
   private KnownRedList() {}
 
-  /** Reads the file; it must be there, and may be empty. */
+  /** Reads the file, which must exist and may be empty. */
   static List<KnownRedEntry> read() throws IOException {
     return parse(Files.readString(FILE));
   }
--- a/src/test/java/mallowstall/knownred/KnownRedTest.java
+++ b/src/test/java/mallowstall/knownred/KnownRedTest.java
@@ -19,7 +19,10 @@
 import org.junit.jupiter.api.extension.InvocationInterceptor.Invocation;
 import org.opentest4j.TestAbortedException;
 
-/** KNOWN-RED.txt is well-formed, names tests that exist, and excuses nothing else. */
+/**
+ * Checks that KNOWN-RED.txt is well-formed and names existing tests, and that no failure of an
+ * unlisted test is ignored.
+ */
 class KnownRedTest {
   private static final Path TEST_SOURCES = Path.of("src/test/java");
   private static final String LINE =
@@ -57,7 +60,7 @@
   }
 
   @Test
-  void malformedEntriesAreNamedInOneLine() {
+  void malformedEntriesAreReportedInOneLine() {
     assertEquals(1, KnownRedList.parse(LINE + "\n\n").size());
     assertEquals(List.of(), KnownRedList.parse("\n"));
     for (String malformed :
@@ -81,7 +84,7 @@
     assertFalse(exists("NoSuchTest#listIsPrinted"));
   }
 
-  /** Runs a test as the line lists it; returns what is printed of it. */
+  /** Runs a test with this line as the list. Returns what the extension prints. */
   private static String run(String line, Invocation<Void> test) throws Throwable {
     ByteArrayOutputStream printed = new ByteArrayOutputStream();
     Method method = KnownRedTest.class.getDeclaredMethod("listIsPrinted");
@@ -99,7 +102,7 @@
   }
 
   @Test
-  void listedTestThatPassesIsNamed() throws Throwable {
+  void listedTestThatPassesIsReported() throws Throwable {
     assertEquals(
         "known red, but passes: KnownRedTest#listIsPrinted" + System.lineSeparator(),
         run(LINE, () -> null));
@@ -107,12 +110,12 @@
   }
 
   @Test
-  void onlyListedTestsAreExcused() {
+  void onlyFailuresOfTestsListedForEveryBuildAreIgnored() {
     assertThrows(TestAbortedException.class, () -> runFailing(LINE));
     assertThrows(IllegalStateException.class, () -> runFailing(""));
     String another = LINE.replace("listIsPrinted", "testsThatDoNotExistAreFound");
     assertThrows(IllegalStateException.class, () -> runFailing(another));
-    String byHand = LINE.replace("| - |", "| 20008, 7 |");
-    assertThrows(IllegalStateException.class, () -> runFailing(byHand));
+    String withSeeds = LINE.replace("| - |", "| 20008, 7 |");
+    assertThrows(IllegalStateException.class, () -> runFailing(withSeeds));
   }
 }
--- a/src/test/java/mallowstall/net/ExpiringResponseTest.java
+++ b/src/test/java/mallowstall/net/ExpiringResponseTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Guards against a response that leaves after what it says has stopped being true. */
+/** Guards against a response that is sent after its content has ceased to be valid. */
 class ExpiringResponseTest {
   private static final int WAIT_MS = 10_000;
   private static final long VALID_MS = 300;
@@ -36,7 +36,7 @@
     group.shutdownGracefully(0, 200, TimeUnit.MILLISECONDS);
   }
 
-  /** The event that decides the response takes as many ms as the path says. */
+  /** Handles the request in an event that takes as many milliseconds as the path states. */
   private static void handle(HttpServer.Request request, HttpServer.Responder responder) {
     long validUntilMs = SteadyClock.nowMs() + VALID_MS;
     long busyUntilMs = SteadyClock.nowMs() + Long.parseLong(request.path().substring(1));
@@ -61,14 +61,14 @@
   }
 
   @Test
-  void aResponseLeavesBeforeItsDeadline() throws IOException {
+  void responseIsSentWhileItIsValid() throws IOException {
     String response = responseTo("/0");
     assertTrue(response.startsWith("HTTP/1.1 404"), response);
     assertTrue(response.endsWith("{\"error\":\"no such job\"}"), response);
   }
 
   @Test
-  void aResponseWhoseEventTookTooLongIsReplaced() throws IOException {
+  void responseThatExpiresDuringItsEventIsReplaced() throws IOException {
     String response = responseTo("/" + 2 * VALID_MS);
     assertTrue(response.startsWith("HTTP/1.1 503"), response);
     assertTrue(response.contains("retry-after: 1"), response);
--- a/src/test/java/mallowstall/net/HttpAnswerOrderTest.java
+++ b/src/test/java/mallowstall/net/HttpAnswerOrderTest.java
@@ -20,16 +20,16 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against an answer that reaches a user long after the handler gave it, and against one that
- * is taken for the answer to another request of the connection.
+ * Guards against a response that reaches a user long after the handler sent it, and against a
+ * response that a user attributes to another request on the connection.
  */
 class HttpAnswerOrderTest {
   private static final int WAIT_MS = 10_000;
 
-  /** ms. The server closes a connection on which nothing comes for so long. */
+  /** Time in milliseconds after which the server closes a connection that receives nothing. */
   private static final long IDLE_MS = 2_000;
 
-  /** Bytes. More than the sockets of both sides hold. */
+  /** Size of a response in bytes, more than the socket buffers of both sides hold. */
   private static final int LARGE = 8 << 20;
 
   private final NioEventLoopGroup group = new NioEventLoopGroup(1);
@@ -77,8 +77,8 @@
     return text.getBytes(StandardCharsets.US_ASCII);
   }
 
-  /** Reads one answer: its status and its body. */
-  private static String readAnswer(Socket socket) throws IOException {
+  /** Reads one response. Returns its status and the first 20 bytes of its body. */
+  private static String readResponse(Socket socket) throws IOException {
     InputStream in = socket.getInputStream();
     StringBuilder head = new StringBuilder();
     while (head.indexOf("\r\n\r\n") < 0) {
@@ -93,16 +93,16 @@
     return head.substring(9, 12) + " " + text;
   }
 
-  /** Sends two requests at once; whether the server hands the second one on right away. */
+  /** Sends two requests at once. Returns whether the handler receives both within 2 s. */
   private boolean sendTwo(Socket socket) throws Exception {
     send(socket, "first");
     send(socket, "second");
     return received.await(2, TimeUnit.SECONDS);
   }
 
-  /** A second request's answer that is given first would be taken for the first one's. */
+  /** If the second request's response were sent first, a user would attribute it to the first. */
   @Test
-  void answersComeInTheOrderOfTheRequests() throws Exception {
+  void responsesAreSentInOrderOfRequests() throws Exception {
     try (Socket socket = connect()) {
       if (sendTwo(socket)) {
         answer(1, 404, json("{\"to\":\"second\"}"));
@@ -112,12 +112,12 @@
         received.await();
         answer(1, 404, json("{\"to\":\"second\"}"));
       }
-      assertEquals("200 {\"to\":\"first\"}", readAnswer(socket), "handled " + paths);
-      assertEquals("404 {\"to\":\"second\"}", readAnswer(socket), "handled " + paths);
+      assertEquals("200 {\"to\":\"first\"}", readResponse(socket), "handled " + paths);
+      assertEquals("404 {\"to\":\"second\"}", readResponse(socket), "handled " + paths);
     }
   }
 
-  /** The answer to the first of two requests that are both with the handler isn't the only one. */
+  /** Guards against a server that responds only to the first of two requests sent at once. */
   @Test
   void bothRequestsAreAnswered() throws Exception {
     try (Socket socket = connect()) {
@@ -125,14 +125,14 @@
       answer(0, 200, json("{\"to\":\"first\"}"));
       received.await();
       answer(1, 404, json("{\"to\":\"second\"}"));
-      assertEquals("200 {\"to\":\"first\"}", readAnswer(socket));
+      assertEquals("200 {\"to\":\"first\"}", readResponse(socket));
       socket.setSoTimeout(1_000);
-      assertEquals("404 {\"to\":\"second\"}", readAnswer(socket));
+      assertEquals("404 {\"to\":\"second\"}", readResponse(socket));
     }
   }
 
-  /** Sends a large answer and then a small one to a user who reads nothing for so long. */
-  private Socket answerToWhoReadsAfter(long ms) throws Exception {
+  /** Sends a large and then a small response to a user who reads nothing for the given time. */
+  private Socket sendResponsesAndDelayReading(long ms) throws Exception {
     Socket socket = new Socket();
     socket.setReceiveBufferSize(8_192);
     socket.setSoTimeout(WAIT_MS);
@@ -151,19 +151,19 @@
     return socket;
   }
 
-  /** An answer that the socket can't take is kept, and still reaches a user who reads it later. */
+  /** The server keeps a response that the socket can't take, until the user reads it. */
   @Test
-  void answerWaitsForItsReader() throws Exception {
-    try (Socket socket = answerToWhoReadsAfter(IDLE_MS / 2)) {
-      assertTrue(readAnswer(socket).startsWith("200 xxx"));
-      assertEquals("404 {\"to\":\"second\"}", readAnswer(socket));
+  void unreadResponseIsKeptForSlowReader() throws Exception {
+    try (Socket socket = sendResponsesAndDelayReading(IDLE_MS / 2)) {
+      assertTrue(readResponse(socket).startsWith("200 xxx"));
+      assertEquals("404 {\"to\":\"second\"}", readResponse(socket));
     }
   }
 
-  /** It isn't kept for longer than an idle connection. */
+  /** The server keeps an unread response no longer than it keeps an idle connection. */
   @Test
-  void answerWithoutReaderIsDroppedWithItsConnection() throws Exception {
-    try (Socket socket = answerToWhoReadsAfter(2 * IDLE_MS)) {
+  void connectionWithUnreadResponseIsClosedAfterIdleTimeout() throws Exception {
+    try (Socket socket = sendResponsesAndDelayReading(2 * IDLE_MS)) {
       assertTrue(socket.getInputStream().readAllBytes().length < LARGE);
     }
   }
--- a/src/test/java/mallowstall/net/HttpClientTest.java
+++ b/src/test/java/mallowstall/net/HttpClientTest.java
@@ -11,34 +11,36 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Over loopback: what a client that is given up leaves behind. */
+/** Checks over loopback that a retired client leaves no open connection behind. */
 class HttpClientTest {
   /**
-   * A client that made room for another while its call was under way kept its connection for good,
-   * and a controller with more workers than connections ran out of sockets. The server here takes
-   * one connection, so the second client is served only once the first has closed its own.
+   * Guards against a client that is retired during a call, to make room for another client, and
+   * never closes its connection. A controller with more workers than connections then runs out of
+   * sockets. The server in this test accepts one connection, so it serves the second client only
+   * after the first client has closed its connection.
    */
   @Test
-  void aRetiredClientClosesItsConnectionWhenItsCallIsOver() throws Exception {
+  void retiredClientClosesConnectionAfterItsCall() throws Exception {
     NioEventLoopGroup group = new NioEventLoopGroup(1);
     try {
       List<HttpServer.Responder> held = new ArrayList<>();
-      CompletableFuture<Void> came = new CompletableFuture<>();
+      CompletableFuture<Void> received = new CompletableFuture<>();
       HttpServer server =
           new HttpServer(
               (request, responder) -> {
                 if (request.path().equals("/held")) {
                   held.add(responder);
-                  came.complete(null);
+                  received.complete(null);
                 } else {
                   responder.answer(200, new byte[] {'{', '}'}, 0);
                 }
               },
               1);
-      InetSocketAddress at = server.listen(group, new InetSocketAddress("127.0.0.1", 0)).join();
-      HttpClient first = new HttpClient(group.next(), at, 1);
+      InetSocketAddress address =
+          server.listen(group, new InetSocketAddress("127.0.0.1", 0)).join();
+      HttpClient first = new HttpClient(group.next(), address, 1);
       CompletableFuture<Integer> answer = call(group, first, "/held");
-      came.get(5, TimeUnit.SECONDS);
+      received.get(5, TimeUnit.SECONDS);
       group
           .submit(
               () -> {
@@ -49,7 +51,7 @@
       assertEquals(200, answer.get(5, TimeUnit.SECONDS));
       int status = 0;
       for (int i = 0; i < 50 && status != 200; i++) {
-        HttpClient second = new HttpClient(group.next(), at, 1);
+        HttpClient second = new HttpClient(group.next(), address, 1);
         status = call(group, second, "/other").get(5, TimeUnit.SECONDS);
         if (status != 200) {
           Thread.sleep(20);
--- a/src/test/java/mallowstall/net/HttpServerTest.java
+++ b/src/test/java/mallowstall/net/HttpServerTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Connections that cost sockets for nothing are closed, those in use are not. */
+/** Checks that idle and slow connections, which occupy sockets, are closed and others are not. */
 class HttpServerTest {
   private static final long SLOW_MS = 500;
   private static final long IDLE_MS = 2_000;
@@ -38,7 +38,7 @@
     group.shutdownGracefully(0, 200, TimeUnit.MILLISECONDS);
   }
 
-  /** Answers at once, but not what is asked under /later. */
+  /** Responds at once, except to requests for /later, whose responder is stored. */
   private void handle(HttpServer.Request request, HttpServer.Responder responder) {
     if (request.path().equals("/later")) {
       unanswered = responder;
@@ -58,8 +58,8 @@
     socket.getOutputStream().flush();
   }
 
-  /** Reads one answer with an empty object as its body. */
-  private static void readAnswer(Socket socket) throws IOException {
+  /** Reads one response, whose body must be an empty object. */
+  private static void readResponse(Socket socket) throws IOException {
     InputStream in = socket.getInputStream();
     StringBuilder text = new StringBuilder();
     while (!text.toString().endsWith("{}")) {
@@ -77,17 +77,17 @@
   }
 
   @Test
-  void aConnectionThatAsksNothingIsClosed() throws IOException {
+  void connectionWithoutRequestIsClosed() throws IOException {
     try (Socket socket = connect()) {
       closedAfterMs(socket);
     }
   }
 
   @Test
-  void aRequestThatComesByteForByteIsClosed() throws Exception {
+  void connectionWithSlowRequestIsClosed() throws Exception {
     try (Socket socket = connect()) {
       send(socket, REQUEST);
-      readAnswer(socket);
+      readResponse(socket);
       send(socket, "G");
       Thread.sleep(SLOW_MS / 2);
       send(socket, "E");
@@ -96,11 +96,11 @@
   }
 
   @Test
-  void aConnectionInUseStaysOpenAndAnIdleOneIsClosed() throws Exception {
+  void activeConnectionStaysOpenAndIdleConnectionIsClosed() throws Exception {
     try (Socket socket = connect()) {
       for (int i = 0; i < 3; i++) {
         send(socket, REQUEST);
-        readAnswer(socket);
+        readResponse(socket);
         Thread.sleep(2 * SLOW_MS);
       }
       assertTrue(closedAfterMs(socket) >= IDLE_MS - 3 * SLOW_MS);
@@ -108,13 +108,14 @@
   }
 
   @Test
-  void aRequestThatWaitsForItsAnswerIsNotClosed() throws Exception {
+  void connectionWithPendingResponseStaysOpen() throws Exception {
     try (Socket socket = connect()) {
       send(socket, REQUEST.replace("/ready", "/later"));
       Thread.sleep(IDLE_MS + 2 * SLOW_MS);
-      // on the event loop, as the service answers: the answer leaves before the next look
+      // responds on the event loop, as the service does, so that the response is sent before the
+      // next sweep for idle connections
       group.submit(() -> unanswered.answer(200, new byte[] {'{', '}'}, 0)).sync();
-      readAnswer(socket);
+      readResponse(socket);
     }
   }
 }
--- a/src/test/java/mallowstall/policy/GoldenPolicyTest.java
+++ b/src/test/java/mallowstall/policy/GoldenPolicyTest.java
@@ -9,10 +9,10 @@
 import mallowstall.Fixtures;
 import org.junit.jupiter.api.Test;
 
-/** The bundled policies byte for byte, and the checker's messages word for word. */
+/** Checks the exact bytes of the bundled policies and the exact messages of the checker. */
 class GoldenPolicyTest {
   @Test
-  void theBundledPoliciesAreAsEver() throws IOException {
+  void bundledPoliciesMatchGoldenFile() throws IOException {
     try (InputStream in = getClass().getResourceAsStream("/mallowstall/default.policy")) {
       assertArrayEquals(Fixtures.bytes("default.policy"), in.readAllBytes());
     }
@@ -20,16 +20,16 @@
   }
 
   @Test
-  void faultsAreToldWordForWord() throws IOException {
+  void diagnosticsMatchGoldenFile() throws IOException {
     Policies policies = Policies.of(Fixtures.text("faulty.policy"));
 
-    String told =
+    String messages =
         String.join(
             "\n",
             policies.diagnostics().stream()
                 .map(diagnostic -> diagnostic.format("faulty.policy"))
                 .toList());
 
-    Fixtures.assertSame("policy-faults.txt", told);
+    Fixtures.assertSame("policy-faults.txt", messages);
   }
 }
--- a/src/test/java/mallowstall/policy/PoliciesTest.java
+++ b/src/test/java/mallowstall/policy/PoliciesTest.java
@@ -8,35 +8,38 @@
 import mallowstall.core.placement.Policy;
 import org.junit.jupiter.api.Test;
 
-/** The policy language, its checker and the bundled policies. */
+/** Tests the policy language, its checker and the bundled policies. */
 class PoliciesTest {
   private static String wrap(String block) {
     return "class default {\n block {\n  strategy: random\n  " + block + "\n }\n}\n";
   }
 
   @Test
-  void theBundledPoliciesAreClean() {
+  void bundledPoliciesHaveNoDiagnostics() {
     assertEquals(List.of(), Policies.bundled().diagnostics());
   }
 
-  /** Replicas once waited 12 s for a small machine while larger ones stood idle. */
+  /** Guards against replicas that wait 12 s for a small machine while larger ones are idle. */
   @Test
-  void servicesUseScarceMachinesAtOnceAndBatchJobsAfterAWait() {
+  void servicesUseScarceMachinesAtOnceAndBatchJobsAfterWaiting() {
     Policy policy = Policies.bundled().forJobClass("any");
     Policy.Facts facts = new Policy.Facts();
     facts.scarceType = true;
     facts.priority = 3;
-    assertFalse(takes(policy, facts), "batch job that has just come");
+    assertFalse(acceptsMachine(policy, facts), "batch job that has just come");
     facts.service = true;
-    assertTrue(takes(policy, facts), "service that has just come");
+    assertTrue(acceptsMachine(policy, facts), "service that has just come");
     facts.service = false;
     facts.waitedS = 13;
-    assertTrue(takes(policy, facts), "batch job that has waited");
+    assertTrue(acceptsMachine(policy, facts), "batch job that has waited");
   }
 
-  /** Spread over empty machines, they left none of them room for two large tasks. */
+  /**
+   * Guards against replicas that spread over empty machines, none of which then fits two large
+   * tasks.
+   */
   @Test
-  void servicesFillUpScarceMachinesThatAreInUse() {
+  void servicesPreferScarceMachinesThatAreInUse() {
     Policy policy = Policies.bundled().forJobClass("any");
     Policy.Facts facts = new Policy.Facts();
     facts.scarceType = true;
@@ -44,7 +47,7 @@
     facts.priority = 3;
     Policy.Block block =
         policy.blocks().stream()
-            .filter(some -> some.workers(facts) && !some.invalidate(facts))
+            .filter(candidate -> candidate.workers(facts) && !candidate.invalidate(facts))
             .findFirst()
             .orElseThrow();
     facts.cpuUtilization = 0;
@@ -56,7 +59,7 @@
     assertTrue(block.score(facts) < empty, "half used beats an image that is there");
   }
 
-  private static boolean takes(Policy policy, Policy.Facts facts) {
+  private static boolean acceptsMachine(Policy policy, Policy.Facts facts) {
     return policy.blocks().stream()
         .anyMatch(block -> block.workers(facts) && !block.invalidate(facts));
   }
@@ -81,7 +84,7 @@
   }
 
   @Test
-  void everyErrorIsReportedWithItsPlace() {
+  void everyErrorIsReportedWithItsPosition() {
     String[][] cases = {
       {"workers: machine.colour == 1", "4:12: unknown name 'machine.colour'"},
       {"workers: machine.free_cpus > 4", "4:30: '>' compares a number of cpus with a plain number"},
@@ -103,7 +106,7 @@
   }
 
   @Test
-  void errorsOfSeveralClassesAreAllFound() {
+  void errorsInAllClassesAreReported() {
     Policies policies =
         Policies.of(
             "class a { block { strategy: best } }\nclass a { block { workers: nope } }\nclass b { }\n");
@@ -118,9 +121,9 @@
     assertTrue(all.stream().anyMatch(s -> s.contains("no class 'default'")), all.toString());
   }
 
-  /** One error inside a block isn't followed by others that it only caused. */
+  /** An error inside a block is not followed by errors that only result from it. */
   @Test
-  void parsingResumesBehindAFaultyBlock() {
+  void parsingResumesAfterFaultyBlock() {
     Policies policies =
         Policies.of(
             "class default { block { workers: nope strategy: random }\n"
@@ -132,9 +135,9 @@
         policies.diagnostics().stream().map(diagnostic -> diagnostic.format("f")).toList());
   }
 
-  /** The nesting that an error ended isn't counted for what follows. */
+  /** The nesting depth at which an error occurs does not count for later expressions. */
   @Test
-  void eachExpressionMayBeNestedAsDeeply() {
+  void nestingDepthIsResetAfterError() {
     String faulty = "block { workers: not not not nope strategy: random }\n";
     Policies policies = Policies.of("class default {\n" + faulty.repeat(100) + "}");
     assertEquals(100, policies.diagnostics().size());
@@ -144,7 +147,7 @@
   }
 
   @Test
-  void blocksThatNeverMatchAreWarnedOf() {
+  void blocksThatNeverMatchCauseWarnings() {
     for (String s :
         List.of(
             "workers: 1 > 2",
