--- a/src/main/java/mallowstall/ControllerMetrics.java
+++ b/src/main/java/mallowstall/ControllerMetrics.java
@@ -10,7 +10,7 @@
 
 /**
  * Counts events with Micrometer and records latencies in HdrHistograms. The set of names is fixed,
- * so the size is bounded. Used on the event loop only.
+ * so memory use is bounded. Used on the event loop only.
  */
 final class ControllerMetrics implements Metrics {
   /** Latency of submissions, from the receipt of the complete request to the response. */
@@ -30,7 +30,7 @@
 
   /**
    * Null before the first counter. It is created late because its creation takes a tenth of the
-   * processor time from exec to serving.
+   * processor time from process start to serving.
    */
   private SimpleMeterRegistry registry;
 
@@ -77,15 +77,15 @@
     return text.toString();
   }
 
-  private static void appendLatency(StringBuilder text, String name, Histogram micros) {
+  private static void appendLatency(StringBuilder text, String name, Histogram histogram) {
     for (double quantile : QUANTILES) {
       text.append(name)
           .append("{quantile=\"")
           .append(quantile)
           .append("\"} ")
-          .append(micros.getValueAtPercentile(quantile * 100) / 1e6)
+          .append(histogram.getValueAtPercentile(quantile * 100) / 1e6)
           .append('\n');
     }
-    text.append(name).append("_count ").append(micros.getTotalCount()).append('\n');
+    text.append(name).append("_count ").append(histogram.getTotalCount()).append('\n');
   }
 }
--- a/src/main/java/mallowstall/cli/Main.java
+++ b/src/main/java/mallowstall/cli/Main.java
@@ -23,8 +23,8 @@
   private static final String CONFIG = "--config";
 
   /**
-   * Returned in place of an exit code if the controller serves. A thread of the controller keeps
-   * the process alive until the process is killed.
+   * Returned in place of an exit code if the controller has started. A thread of the controller
+   * keeps the process alive until the process is killed.
    */
   private static final int SERVING = -1;
 
@@ -37,7 +37,9 @@
       description = "Use these policies instead of the bundled ones.")
   private Path policies;
 
-  /** Runs the command line. Returns if the controller serves, and exits the process otherwise. */
+  /**
+   * Runs the command line. Returns if the controller has started, and exits the process otherwise.
+   */
   public static void main(String[] args) throws Exception {
     LibraryProperties.set();
     int code = isPlainServe(args) ? serve(Path.of(args[1]), null) : execute(args);
@@ -51,9 +53,10 @@
   }
 
   /**
-   * Returns whether the arguments are exactly those of the deploy file. The controller starts
-   * without picocli in this case, because picocli used a third of the processor time from exec to
-   * serving: a class archive can't hold the old class files of picocli.
+   * Returns whether the arguments are exactly {@code --config FILE}, as in deploy/service.toml. The
+   * controller starts without picocli in this case, because loading picocli's classes took a third
+   * of the processor time from process start to serving. The class archive can't contain these
+   * classes, because their class-file version is too old.
    */
   static boolean isPlainServe(String[] args) {
     return args.length == 2 && args[0].equals(CONFIG) && !args[1].startsWith("-");
@@ -74,7 +77,7 @@
    *
    * @param config the settings file
    * @param policyFile the policy file, or null for the bundled policies
-   * @return {@link #SERVING}, or an exit code if the controller can't serve
+   * @return {@link #SERVING}, or an exit code if the controller can't start
    */
   private static int serve(Path config, Path policyFile) throws InterruptedException {
     Settings settings;
--- a/src/main/java/mallowstall/core/autoscaling/IdleScaleIn.java
+++ b/src/main/java/mallowstall/core/autoscaling/IdleScaleIn.java
@@ -35,22 +35,23 @@
 
   /**
    * Returns drained machines of the type to the cloud. If there are none, drains idle machines down
-   * to the number to be kept.
+   * to the number to be retained.
    *
    * @param current number of machines of the type that are in service or expected to be
-   * @param keepTotal number of machines to be kept
-   * @param keepOnDemand number of machines at which no further on-demand machine is drained
+   * @param retainedTotal number of machines to be retained
+   * @param retainedOnDemand number of machines, spot machines included, at which no further
+   *     on-demand machine is drained
    */
   void scaleIn(
       String type,
       int current,
-      int keepTotal,
-      int keepOnDemand,
+      int retainedTotal,
+      int retainedOnDemand,
       List<MachineView> available,
       long now) {
     List<String> drained = drainedMachines(type, available);
     if (drained.isEmpty()) {
-      drain(idleMachines(type, available, now), current, keepTotal, keepOnDemand);
+      drain(idleMachines(type, available, now), current, retainedTotal, retainedOnDemand);
     } else {
       scaleIn.returnMachines(drained, ScaleIn.Reason.IDLE);
     }
@@ -94,13 +95,13 @@
         && !scaleIn.isReturnInFlight(machine.id());
   }
 
-  private void drain(List<MachineView> idle, int current, int keepTotal, int keepOnDemand) {
+  private void drain(List<MachineView> idle, int current, int retainedTotal, int retainedOnDemand) {
     int maxDrains = Math.max(1, current / DRAIN_BATCH_DIVISOR);
     int remaining = current;
     Map<String, List<String>> drainsByLeader = new HashMap<>();
     for (MachineView machine : idle) {
       if (current - remaining >= maxDrains
-          || remaining <= (machine.status().spot() ? keepTotal : keepOnDemand)) {
+          || remaining <= (machine.status().spot() ? retainedTotal : retainedOnDemand)) {
         break;
       }
       remaining--;
--- a/src/main/java/mallowstall/core/autoscaling/MachineDemand.java
+++ b/src/main/java/mallowstall/core/autoscaling/MachineDemand.java
@@ -19,21 +19,25 @@
 import mallowstall.core.model.Team;
 
 /**
- * The demand of the open jobs by machine type. Every controller computes it, because placement also
- * uses it to find scarce types and the machines that are reserved for urgent jobs. Mutable.
+ * The demand of the open jobs by machine type. Every controller computes it, not only the
+ * autoscaler leader, because placement uses it to find scarce types and the machines that are
+ * reserved for urgent jobs. Mutable.
  */
 public final class MachineDemand {
   /**
-   * Number of tasks that fit on a machine by a resource that the tasks don't use. It is too large
-   * to be a limit.
+   * Number of tasks per machine as limited by a resource that the tasks don't use. It is so large
+   * that it is no limit in effect.
    */
   private static final double TASKS_UNLIMITED = 1e9;
 
-  /** Smallest demand as a number of machines. It is rounded up to one machine. */
+  /** Demand as a number of machines that results in one machine after rounding up. */
   private static final double DEMAND_MIN_MACHINES = 0.01;
 
-  /** Time constant in milliseconds of the averages of demand, for which idle machines are kept. */
-  private static final double USAGE_TIME_CONSTANT_MS = 90_000;
+  /**
+   * Time constant in milliseconds of the averages of demand. The number of idle machines that are
+   * retained depends on these averages.
+   */
+  private static final double DEMAND_AVERAGE_TIME_CONSTANT_MS = 90_000;
 
   /** Factor on the average urgent demand, because urgent jobs arrive in bursts. */
   static final double RESERVE_FACTOR = 2.0;
@@ -44,13 +48,16 @@
   /** Factor on a user's estimate of the run time, because the estimate is often too low. */
   private static final double ESTIMATE_FACTOR = 1.2;
 
-  /** Maximum number of tasks that are planned to run one after the other in one slot. */
-  private static final double WAVES_MAX = 2;
+  /** Maximum number of tasks that are planned to run one after the other in the capacity of one. */
+  private static final double SEQUENTIAL_TASKS_MAX = 2;
 
-  /** Fraction of the boot time. A task that runs for less than this counts only in part. */
+  /** Fraction of the boot time. A task counts only in part if its image fetch and run take less. */
   private static final double SHORT_RUN_BOOT_FRACTION = 0.8;
 
-  /** Run time in seconds below which a task counts only in part, however short the boot time is. */
+  /**
+   * Time in seconds of image fetch and run below which a task counts only in part, however short
+   * the boot time is.
+   */
   private static final double SHORT_RUN_MIN_S = 20;
 
   /**
@@ -67,13 +74,13 @@
   private final Map<String, TypeDemand> demandByType = new HashMap<>();
 
   /** The smallest machine type on which a task fits, by job id. */
-  private final Map<String, String> minimalTypeByJob = new HashMap<>();
+  private final Map<String, String> smallestTypeByJob = new HashMap<>();
 
   /** Types that are the smallest fitting type of some open job. */
-  private final Set<String> minimalTypesInUse = new HashSet<>();
+  private final Set<String> smallestTypesInUse = new HashSet<>();
 
   /** Machines that are reserved for urgent jobs. */
-  private final Set<String> reserved = new HashSet<>();
+  private final Set<String> reservedForUrgent = new HashSet<>();
 
   private long computedAtMs;
 
@@ -101,32 +108,32 @@
    * type is the smallest one on which some open job fits.
    */
   public boolean isScarce(JobSpec spec, String type) {
-    String minimal = minimalType(spec);
-    return minimal != null && !minimal.equals(type) && minimalTypesInUse.contains(type);
+    String smallest = minimalType(spec);
+    return smallest != null && !smallest.equals(type) && smallestTypesInUse.contains(type);
   }
 
   /** Returns the smallest type on which a task of the job fits, or null if it fits on none. */
   public String minimalType(JobSpec spec) {
-    String cached = minimalTypeByJob.get(spec.id());
+    String cached = smallestTypeByJob.get(spec.id());
     if (cached != null) {
       return cached;
     }
-    if (minimalTypeByJob.size() > SMALLEST_TYPE_CACHE_MAX) {
-      minimalTypeByJob.clear();
+    if (smallestTypeByJob.size() > SMALLEST_TYPE_CACHE_MAX) {
+      smallestTypeByJob.clear();
     }
-    String found = findMinimalType(spec);
+    String found = findSmallestType(spec);
     if (found != null) {
-      minimalTypeByJob.put(spec.id(), found);
+      smallestTypeByJob.put(spec.id(), found);
     }
     return found;
   }
 
   /** Clears the cache of smallest fitting types after a change to the machine type catalog. */
   public void onTypesChanged() {
-    minimalTypeByJob.clear();
+    smallestTypeByJob.clear();
   }
 
-  private String findMinimalType(JobSpec spec) {
+  private String findSmallestType(JobSpec spec) {
     MachineType best = null;
     for (MachineType type : types.all()) {
       if (!spec.fits(type)) {
@@ -141,9 +148,12 @@
     return best == null ? null : best.name();
   }
 
-  /** Computes the demand, its averages and the reserved machines from all open jobs. */
+  /**
+   * Computes the demand of all jobs that haven't ended, its averages, and the machines reserved for
+   * urgent jobs.
+   */
   void recompute(long now) {
-    minimalTypesInUse.clear();
+    smallestTypesInUse.clear();
     demandByType.values().forEach(TypeDemand::resetCurrent);
     Map<String, Double> urgentByType = new HashMap<>();
     Map<String, Double> remainingCpusByTeam = teamCpuQuotas();
@@ -181,12 +191,12 @@
       return;
     }
     remainingCpusByTeam.put(spec.team(), remainingCpus - tasks * spec.cpus());
-    minimalTypesInUse.add(typeName);
-    double slotsPerMachine = tasksPerMachine(spec, type);
-    if (slotsPerMachine < 1) {
+    smallestTypesInUse.add(typeName);
+    double tasksPerMachine = tasksPerMachine(spec, type);
+    if (tasksPerMachine < 1) {
       return;
     }
-    double machines = tasks / slotsPerMachine;
+    double machines = tasks / tasksPerMachine;
     if (spec.priority().isUrgent()) {
       urgentByType.merge(typeName, machines, Double::sum);
     }
@@ -195,12 +205,13 @@
 
   private void addToType(TypeDemand demand, JobEntry job, MachineType type, double machines) {
     JobSpec spec = job.spec();
-    double effectiveMachines = machines * bootTimeShare(spec, type) / sequentialWaves(job, type);
+    double effectiveMachines = machines * bootTimeShare(spec, type) / sequentialTasks(job, type);
     demand.add(effectiveMachines, machines, spec.spot());
     if (spec.zone() != null) {
       demand.addPinned(spec.zone(), machines, spec.spot());
     }
-    // at most half of a spread job's tasks may be in one zone, so it needs machines in a second one
+    // At most half of a spread job's tasks may be in one zone, so at least one machine is requested
+    // in each zone of the type.
     if (spec.spread()) {
       for (String zone : type.zones()) {
         demand.addPinned(zone, DEMAND_MIN_MACHINES, spec.spot());
@@ -218,14 +229,17 @@
 
   private void updateAverages(Map<String, Double> urgentByType, long now) {
     double weight =
-        computedAtMs == 0 ? 1 : 1 - Math.exp(-(now - computedAtMs) / USAGE_TIME_CONSTANT_MS);
+        computedAtMs == 0
+            ? 1
+            : 1 - Math.exp(-(now - computedAtMs) / DEMAND_AVERAGE_TIME_CONSTANT_MS);
     computedAtMs = now;
     demandByType.forEach(
         (type, demand) -> demand.updateAverages(urgentByType.getOrDefault(type, 0.0), weight));
   }
 
   /**
-   * Returns the fraction of the job's machines that counts as demand, at most 1. A task that ends
+   * Returns the fraction of the job's machines that counts as demand, at most 1. Short tasks count
+   * in proportion to the time of image fetch and run, because a task that ends on a running machine
    * before a new machine has booted needs no new machine. A service counts in full, because it has
    * no estimated run time and runs permanently.
    */
@@ -239,11 +253,12 @@
   }
 
   /**
-   * Returns how many of the job's tasks may run one after the other in one slot and still meet the
-   * deadline, on a machine that must first boot and fetch the image. The number is whole, because a
-   * fraction would request too few machines for a job of which only one wave meets the deadline.
+   * Returns how many of the job's tasks may run one after the other in the capacity of one and
+   * still meet the deadline, on a machine that must first boot and fetch the image. The number is
+   * whole, because a fraction would count tasks that can't run in sequence before the deadline, and
+   * too few machines would be requested.
    */
-  private double sequentialWaves(JobEntry job, MachineType type) {
+  private double sequentialTasks(JobEntry job, MachineType type) {
     JobSpec spec = job.spec();
     if (spec.deadlineS() == null || spec.priority().isUrgent()) {
       return 1;
@@ -251,16 +266,17 @@
     double remainingS = spec.deadlineS() - (clock.wallClockMs() - job.submittedMs()) / 1000.0;
     double readyS = type.bootS() + spec.imageGb() / Math.max(1e-3, type.fetchGbPerS());
     double taskS = Math.max(1, spec.estimatedRunS() * ESTIMATE_FACTOR);
-    return Math.max(1, Math.min(WAVES_MAX, Math.floor((remainingS - readyS) / taskS)));
+    return Math.max(1, Math.min(SEQUENTIAL_TASKS_MAX, Math.floor((remainingS - readyS) / taskS)));
   }
 
   /**
    * Reserves machines for urgent jobs according to their average demand, so that they needn't
    * preempt other jobs. On-demand machines come first, because the cloud doesn't take them back.
-   * Further machines follow by id, so that every controller chooses the same ones.
+   * Within on-demand and spot machines the order is by id, so that controllers with equal views
+   * choose the same machines.
    */
   private void recomputeReserved() {
-    reserved.clear();
+    reservedForUrgent.clear();
     List<MachineView> available = new ArrayList<>();
     for (MachineView machine : view.machines()) {
       if (machine.isSchedulable()) {
@@ -286,7 +302,7 @@
         if (!machineView.status().type().equals(entry.getKey())) {
           continue;
         }
-        reserved.add(machineView.id());
+        reservedForUrgent.add(machineView.id());
         remaining--;
       }
     }
@@ -294,6 +310,6 @@
 
   /** Returns whether the machine is reserved for urgent jobs. */
   public boolean isReserved(String machine) {
-    return reserved.contains(machine);
+    return reservedForUrgent.contains(machine);
   }
 }
--- a/src/main/java/mallowstall/core/autoscaling/PendingMachines.java
+++ b/src/main/java/mallowstall/core/autoscaling/PendingMachines.java
@@ -9,8 +9,8 @@
 /** The machines that the cloud has provided and that haven't registered yet. Mutable. */
 public final class PendingMachines {
   /**
-   * A machine that hasn't registered yet, and the steady time in milliseconds at which it was
-   * requested.
+   * A machine that hasn't registered yet. The steady time in milliseconds is that of the cloud's
+   * response to the request, or is derived from the machine's age in the inventory.
    */
   record PendingMachine(String type, String zone, boolean spot, long requestedAtMs) {}
 
--- a/src/main/java/mallowstall/core/autoscaling/TypePlanner.java
+++ b/src/main/java/mallowstall/core/autoscaling/TypePlanner.java
@@ -17,13 +17,16 @@
    */
   private static final double SCALE_OUT_ROUNDING = 0.05;
 
-  /** Fraction of the average demand for which idle on-demand machines are kept. */
-  private static final double ON_DEMAND_FLOOR_FRACTION = 0.8;
+  /**
+   * Number of machines per machine of the average demand, at which no further on-demand machine is
+   * drained.
+   */
+  private static final double ON_DEMAND_RETENTION_AVERAGE_FACTOR = 0.8;
 
-  /** Number of machines kept per machine of the present demand. */
+  /** Number of machines retained per machine of the present demand. */
   private static final double RETENTION_FACTOR = 1.2;
 
-  /** Number of machines kept per machine of the average demand. */
+  /** Number of machines retained per machine of the average demand. */
   private static final double RETENTION_AVERAGE_FACTOR = 1.15;
 
   private final MachineDemand demand;
@@ -49,31 +52,31 @@
         && scaleOut.scaleOutConstrained(type, typeDemand, available, now)) {
       return;
     }
-    int target = targetCount(typeDemand);
-    if (target > current) {
+    int targetCount = computeTargetCount(typeDemand);
+    if (targetCount > current) {
       if (scaleOut.canRequest(now)) {
-        scaleOut.scaleOut(type, target - current, target, typeDemand.spotAllowed(), now);
+        scaleOut.scaleOut(type, targetCount - current, targetCount, typeDemand.spotAllowed(), now);
       }
       return;
     }
     if (scaleOut.canRequest(now) && scaleOut.scaleOutForUnplaceable(type, available, now)) {
       return;
     }
-    int keepTotal = keepTotal(typeDemand);
-    int keepOnDemand = Math.min(keepTotal, keepOnDemand(typeDemand));
-    if (current > keepOnDemand) {
-      idleScaleIn.scaleIn(type, current, keepTotal, keepOnDemand, available, now);
+    int retainedTotal = computeRetainedTotal(typeDemand);
+    int retainedOnDemand = Math.min(retainedTotal, computeRetainedOnDemand(typeDemand));
+    if (current > retainedOnDemand) {
+      idleScaleIn.scaleIn(type, current, retainedTotal, retainedOnDemand, available, now);
     }
   }
 
-  private static int targetCount(TypeDemand typeDemand) {
+  private static int computeTargetCount(TypeDemand typeDemand) {
     return (int)
         Math.ceil(
             Math.max(typeDemand.machines() * SCALE_OUT_FACTOR, typeDemand.averageMachines())
                 - SCALE_OUT_ROUNDING);
   }
 
-  private static int keepTotal(TypeDemand typeDemand) {
+  private static int computeRetainedTotal(TypeDemand typeDemand) {
     return (int)
         Math.ceil(
             Math.max(
@@ -81,12 +84,17 @@
                 typeDemand.averageMachines() * RETENTION_AVERAGE_FACTOR));
   }
 
-  /** On-demand machines cost more, so fewer of them are kept for past demand than for present. */
-  private static int keepOnDemand(TypeDemand typeDemand) {
-    double onDemandFloor =
+  /**
+   * Returns the number of machines of the type, spot machines included, at which no further
+   * on-demand machine is drained. On-demand machines cost more, so a smaller part of the average
+   * demand retains them. Urgent average demand counts {@link MachineDemand#RESERVE_FACTOR} times,
+   * as in the reservation of machines for urgent jobs.
+   */
+  private static int computeRetainedOnDemand(TypeDemand typeDemand) {
+    double retainedForAverage =
         Math.max(
             typeDemand.averageUrgentMachines() * MachineDemand.RESERVE_FACTOR,
-            typeDemand.averageMachines() * ON_DEMAND_FLOOR_FRACTION);
-    return (int) Math.ceil(Math.max(typeDemand.machines() * RETENTION_FACTOR, onDemandFloor));
+            typeDemand.averageMachines() * ON_DEMAND_RETENTION_AVERAGE_FACTOR);
+    return (int) Math.ceil(Math.max(typeDemand.machines() * RETENTION_FACTOR, retainedForAverage));
   }
 }
--- a/src/main/java/mallowstall/core/autoscaling/UnplaceableJobs.java
+++ b/src/main/java/mallowstall/core/autoscaling/UnplaceableJobs.java
@@ -35,13 +35,13 @@
   static final long REPLICA_UNPLACEABLE_MS = 5_000;
 
   /**
-   * Time in milliseconds after which a machine is requested for a batch job of which no task fits
-   * beside services.
+   * Time in milliseconds after which a machine is requested for a batch job none of whose tasks
+   * fits into the capacity that services and other tasks leave free on a machine.
    */
   private static final long BATCH_UNPLACEABLE_MS = 20_000;
 
   /** The reason for which a task of a job can't be placed. */
-  private enum Shortage {
+  private enum PlacementObstacle {
     NONE,
     NO_CAPACITY,
     RESULTS_KEPT
@@ -60,7 +60,7 @@
     this.view = view;
   }
 
-  /** Removes jobs that are terminal or no longer open. */
+  /** Removes jobs that have ended. */
   void retainOpen(Iterable<JobEntry> open) {
     Set<String> ids = new HashSet<>();
     for (JobEntry job : open) {
@@ -73,16 +73,18 @@
   }
 
   /**
-   * Returns the zones of the type in which a machine is to be requested for the job. The list is
-   * empty if the job may fit on a machine or hasn't been unplaceable for long enough.
+   * Returns the zones in any one of which one machine may be requested for the job. The list is
+   * empty if the job doesn't wait for capacity, fits on a machine, or is allowed in no zone of the
+   * type, and while no request for it is due.
    */
   List<String> zonesNeedingMachines(
       JobEntry jobEntry, MachineType type, List<MachineView> available, long now) {
     JobSpec job = jobEntry.spec();
     List<String> zones =
         isWaitingForCapacity(jobEntry) ? allowedZones(job, type, available) : List.of();
-    Shortage shortage = zones.isEmpty() ? Shortage.NONE : shortage(job, zones, available);
-    if (shortage == Shortage.NONE) {
+    PlacementObstacle obstacle =
+        zones.isEmpty() ? PlacementObstacle.NONE : findObstacle(job, zones, available);
+    if (obstacle == PlacementObstacle.NONE) {
       unplaceableSinceMs.remove(job.id());
       return List.of();
     }
@@ -90,17 +92,19 @@
     long timeoutMs = job.isService() ? REPLICA_UNPLACEABLE_MS : BATCH_UNPLACEABLE_MS;
     boolean due =
         now - sinceMs > timeoutMs
-            && (shortage != Shortage.RESULTS_KEPT || keptResultScaleOuts.isDue(job.id(), now));
+            && (obstacle != PlacementObstacle.RESULTS_KEPT
+                || keptResultScaleOuts.isDue(job.id(), now));
     return due ? zones : List.of();
   }
 
   /**
-   * Records that a machine was requested in one of the {@link #zonesNeedingMachines} of the job.
+   * Called when a machine was requested in one of the {@link #zonesNeedingMachines}. Extends the
+   * delay before the next request if machines keep the result of a pending replica.
    */
   void recordScaleOut(
       JobEntry jobEntry, List<MachineView> available, List<String> zones, long now) {
     JobSpec job = jobEntry.spec();
-    if (shortage(job, zones, available) == Shortage.RESULTS_KEPT) {
+    if (findObstacle(job, zones, available) == PlacementObstacle.RESULTS_KEPT) {
       keptResultScaleOuts.record(job.id(), now);
     }
   }
@@ -166,14 +170,15 @@
     return tasks;
   }
 
-  private Shortage shortage(JobSpec job, List<String> zones, List<MachineView> available) {
+  private PlacementObstacle findObstacle(
+      JobSpec job, List<String> zones, List<MachineView> available) {
     List<MachineView> machines = machinesWithCapacity(job, zones, available);
     if (machines.isEmpty()) {
-      return Shortage.NO_CAPACITY;
+      return PlacementObstacle.NO_CAPACITY;
     }
     return job.isService() && allKeepResultOfSameReplica(job, machines)
-        ? Shortage.RESULTS_KEPT
-        : Shortage.NONE;
+        ? PlacementObstacle.RESULTS_KEPT
+        : PlacementObstacle.NONE;
   }
 
   /** Returns whether all these machines keep the result of one and the same unplaced replica. */
--- a/src/main/java/mallowstall/core/placement/JobPlacements.java
+++ b/src/main/java/mallowstall/core/placement/JobPlacements.java
@@ -16,7 +16,10 @@
   private final QuotaLedger quotaLedger;
   private final ReplicaEligibility eligibility;
 
-  /** The policies are found by job class. The ledger has the quota reservations of led jobs. */
+  /**
+   * Creates a factory of placements. The policies are found by job class. The ledger has the quota
+   * reservations of led jobs.
+   */
   public JobPlacements(
       Policy.PolicyRegistry policies,
       JobRanking ranking,
@@ -40,7 +43,10 @@
         machines);
   }
 
-  /** Returns the number of tasks to be placed; a starving batch job places a part of its tasks. */
+  /**
+   * Returns the number of tasks to be placed, for a starving batch job at most {@link
+   * JobSpec#starvationTasks}.
+   */
   private int pendingTasks(LedJob ledJob) {
     JobSpec spec = ledJob.spec();
     return ranking.isStarving(ledJob) && !spec.isService()
@@ -48,7 +54,7 @@
         : ledJob.pending();
   }
 
-  /** Returns whether the team's quota prevents the job from starting any task now or soon. */
+  /** Returns whether the job may start no task now or soon because of its team's quota. */
   boolean isQuotaExhausted(LedJob ledJob) {
     return quotaOf(ledJob).isExhausted();
   }
@@ -58,6 +64,7 @@
       return JobQuota.UNLIMITED;
     }
     if (quotaLedger.mustReleaseQuota(ledJob)) {
+      // the unused part of the reservation is being released, so the job may start no task
       return new JobQuota(true, 0, 0);
     }
     int unused = ledJob.entry().quotaReservedTasks() - ledJob.activeAttempts().size();
