--- a/src/main/java/mallowstall/core/cluster/CancellationExchange.java
+++ b/src/main/java/mallowstall/core/cluster/CancellationExchange.java
@@ -16,18 +16,21 @@
  * receives them from its peers, so that it can stop the tasks of cancelled jobs and doesn't have to
  * let all worker leases expire.
  *
- * <p>Every status update names all cancellations in the sender's replica that are newer than the
- * revision that the receiver last published for its own replica. Updates name a cancellation again
- * until that revision has passed it, so a lost update does no harm. Acting on a peer's cancellation
- * is safe: the outcome of a job never changes, and the controller only stops tasks and rejects
- * starts. The cancellation isn't written to the replica, since the other fields of the job's entry
- * are unknown. See docs/design.md, "ran_cancelled".
+ * <p>A status update contains all cancellations in the sender's state replica that are newer than
+ * the revision that the receiver last published for its own state replica. If the receiver has
+ * published no revision or some of these cancellations are no longer kept, the update contains no
+ * cancellation and no acknowledgement. Updates contain a cancellation again until the receiver's
+ * revision has passed it, so a lost update does no harm. Acting on a peer's cancellation is safe:
+ * the outcome of a job never changes, and the controller only stops tasks and rejects starts. The
+ * cancellation isn't written to the state replica, since the other fields of the job's entry are
+ * unknown. See docs/design.md, "ran_cancelled".
  */
 public final class CancellationExchange {
   /**
-   * Maximum number of cancellations kept for peers that can't reach the state service. It covers
-   * hundreds of cancellations a minute for as long as workers may be kept alive without the state
-   * service. Beyond it, the lists of cancellations that peers exchange don't count as complete.
+   * Maximum number of cancellations kept for peers that can't reach the state service, and of
+   * cancellations kept that peers have sent. It covers hundreds of cancellations a minute for as
+   * long as workers may be kept alive without the state service. Beyond it, updates to peers with
+   * older state replicas contain no cancellations, and received ones aren't recorded as complete.
    */
   private static final int CANCELLATIONS_MAX = 2_000;
 
@@ -44,20 +47,20 @@
   private final StateStore store;
   private final Consumer<String> onCancelled;
 
-  /** Cancellations that the replica shows, in the order of their revisions. */
+  /** Cancellations that the state replica shows, in the order of their revisions. */
   private final TreeSet<Cancelled> recordedCancellations = new TreeSet<>();
 
   /** The highest revision of which a cancellation is no longer kept, or 0 if all are kept. */
   private long prunedRevision;
 
-  /** Jobs that peers have reported as cancelled and that the replica doesn't show as such yet. */
+  /** Jobs that peers have reported as cancelled and that the state replica doesn't show yet. */
   private final Set<String> reportedByPeers = new HashSet<>();
 
   /**
    * Creates an exchange without cancellations.
    *
-   * @param store the replica whose cancellations are sent to peers
-   * @param onCancelled called with the id of a job when the replica or a peer reports its
+   * @param store the state replica whose cancellations are sent to peers
+   * @param onCancelled called with the id of a job when the state replica or a peer reports its
    *     cancellation
    */
   public CancellationExchange(StateStore store, Consumer<String> onCancelled) {
@@ -85,7 +88,7 @@
     return (job != null && job.isTerminal()) || isReportedByPeer(id);
   }
 
-  /** Records a cancellation that the replica shows and that was written at this revision. */
+  /** Records a cancellation in the state replica that was written at this revision. */
   private void recordCancellation(String job, long revision) {
     reportedByPeers.remove(job);
     recordedCancellations.add(new Cancelled(revision, job));
@@ -129,7 +132,10 @@
     return allRecorded;
   }
 
-  /** Returns whether a peer has reported the job as cancelled and the replica doesn't show it. */
+  /**
+   * Returns whether a peer has reported the job as cancelled and the state replica doesn't show the
+   * cancellation yet.
+   */
   public boolean isReportedByPeer(String job) {
     return !reportedByPeers.isEmpty() && reportedByPeers.contains(job);
   }
--- a/src/main/java/mallowstall/core/cluster/ClusterVersion.java
+++ b/src/main/java/mallowstall/core/cluster/ClusterVersion.java
@@ -17,7 +17,7 @@
   private final CoreSettings settings;
   private final StateStore store;
 
-  /** Uses the versions in the replica and the list of controllers in the settings. */
+  /** Uses the versions in the state replica and the list of controllers in the settings. */
   public ClusterVersion(CoreSettings settings, StateStore store) {
     this.settings = settings;
     this.store = store;
@@ -28,7 +28,7 @@
     return lowestVersion() >= ProgramVersion.WITH_SERVICES;
   }
 
-  /** Returns whether every controller reads completion bitmaps in small pieces. */
+  /** Returns whether every controller reads completion bitmaps in the compact layout. */
   public boolean allowsSmallPieces() {
     return lowestVersion() >= ProgramVersion.WITH_SERVICES;
   }
@@ -40,7 +40,8 @@
 
   /**
    * Returns whether the leases that peers grant in reply to acceptance queries suffice to reject a
-   * user's request because the job was never accepted.
+   * user's request because the job was never accepted. Versions that have acceptance queries but
+   * shorter leases don't suffice.
    */
   public boolean allowsAcceptanceQueries() {
     return lowestVersion() >= ProgramVersion.WITH_LASTING_LEASES;
@@ -55,10 +56,10 @@
   }
 
   /**
-   * Returns the version that the node has published, or {@link ProgramVersion#UNKNOWN}. A process
-   * of an older version doesn't overwrite the version entry of its predecessor but has a new
-   * session, so an entry of another incarnation than the session's is ignored. A node without a
-   * session is down, and is expected to restart with the version in its entry.
+   * Returns the version that the node has published, or {@link ProgramVersion#UNKNOWN}. An entry of
+   * another incarnation than the current session's is ignored: a process of an older version
+   * registers a new session but leaves its predecessor's version entry. A node without a session is
+   * down, and is expected to restart with the version in its entry.
    */
   private int publishedVersion(String node) {
     StoredValue stored = store.entry(StateKeys.version(node));
--- a/src/main/java/mallowstall/core/cluster/ClusterView.java
+++ b/src/main/java/mallowstall/core/cluster/ClusterView.java
@@ -31,7 +31,7 @@
   private final TaskCounts taskCounts = new TaskCounts();
   private final KeptResults keptResults;
 
-  /** Machines whose status was applied while the replica held no entry for them. */
+  /** Machines whose status was applied while the state replica held no entry for them. */
   private final Set<String> machinesWithoutEntry = new HashSet<>();
 
   private long updatesReceived;
@@ -109,7 +109,7 @@
     return lastUpdateChangedMachines;
   }
 
-  /** Applies the machine statuses of an update; returns the machines that the sender leads. */
+  /** Applies the machine statuses of an update; returns the machines whose status was applied. */
   private Set<String> applyMachines(StatusUpdate update, PeerState sender) {
     Set<String> led = new HashSet<>();
     lastUpdateChangedMachines = false;
@@ -162,11 +162,11 @@
   }
 
   /**
-   * Removes machines that were returned although the replica reported no deletion of their entries.
-   * This happens if a status names a machine while the replica is being listed anew or is behind
-   * the machine's entry: a listing reports no deletion of an entry that the replica never held. A
-   * machine is returned if the replica has reached the entry revision in the machine's status and
-   * holds no entry for the machine (docs/design.md).
+   * Removes machines that were returned while the state replica held no entry for them, so that it
+   * reported no deletion. This happens if the machine's status arrives during a new listing, or
+   * before the state replica reaches the machine's entry: a listing reports no deletion of an entry
+   * that the state replica never held. A machine has been returned if the state replica has reached
+   * the entry revision in the machine's status and holds no entry for the machine (docs/design.md).
    *
    * @return the machines that were removed
    */
@@ -203,7 +203,7 @@
     return machines.values().stream().filter(this::isReturned).map(MachineView::id).toList();
   }
 
-  /** Returns which machines keep results of replicas and therefore can't serve these replicas. */
+  /** Returns which machines keep results of services' replicas and so can't run these replicas. */
   public KeptResults keptResults() {
     return keptResults;
   }
@@ -250,9 +250,9 @@
   }
 
   /**
-   * Returns the steady time in milliseconds of the last update from the machine's leader, or a time
-   * far in the past if the machine has no leader. Whatever that update doesn't name has not changed
-   * up to this time.
+   * Returns the steady time in milliseconds at which the last update of the machine's leader
+   * arrived, or a time far in the past if the machine has no leader. A machine that the update
+   * omits had not changed when the leader composed the update, which may have been earlier.
    */
   public long lastUpdateMs(MachineView machine) {
     return machine.leader() == null ? Long.MIN_VALUE / 2 : peer(machine.leader()).lastUpdateMs();
@@ -265,9 +265,9 @@
 
   /**
    * Returns whether the leader in the machine's entry has published everything that is on the
-   * machine, and commands of former machine leaders can't reach the machine any more. In this case,
-   * if a job leader claimed its job at or before the revision of the machine leader's replica, no
-   * start by an earlier leader of the job can reach the machine.
+   * machine, and commands of former machine leaders can't reach the machine any more. If so, no
+   * start by an earlier leader of a job can reach the machine, provided that the job was claimed at
+   * or before the revision of the machine leader's state replica.
    */
   public boolean isFullyReported(String id, MachineEntry entry) {
     MachineView machine = machines.get(id);
--- a/src/main/java/mallowstall/core/cluster/Connectivity.java
+++ b/src/main/java/mallowstall/core/cluster/Connectivity.java
@@ -18,7 +18,7 @@
   private final StateStore store;
   private final ClusterView view;
 
-  /** Uses the age of the replica and the status updates of the peers. */
+  /** Uses the age of the state replica and the status updates of the peers. */
   public Connectivity(EventClock clock, CoreSettings settings, StateStore store, ClusterView view) {
     this.clock = clock;
     this.settings = settings;
@@ -29,7 +29,7 @@
   /**
    * Returns whether this controller may answer heartbeats, which renews worker leases. A controller
    * that may have missed a confirmed cancellation lets the leases expire before the cancellation
-   * deadline. A controller has all cancellations up to the time at which its replica was last
+   * deadline. A controller has all cancellations up to the time at which its state replica was last
    * fresh, or else up to the time for which each of its peers has sent its cancellations.
    */
   public boolean mayRenewWorkerLeases() {
--- a/src/main/java/mallowstall/core/cluster/KeptResults.java
+++ b/src/main/java/mallowstall/core/cluster/KeptResults.java
@@ -38,8 +38,8 @@
   private static final long KEPT_RESULT_MS = 60_000;
 
   /**
-   * Time in milliseconds after which ends are forgotten. Before that, a single further end shows
-   * again that the result is kept.
+   * Time in milliseconds after which recorded ends are discarded. Before that, a single further end
+   * shows again that the result is kept.
    */
   private static final long KEPT_RESULT_MEMORY_MS = 2 * KEPT_RESULT_MS;
 
--- a/src/main/java/mallowstall/core/cluster/MachineView.java
+++ b/src/main/java/mallowstall/core/cluster/MachineView.java
@@ -137,8 +137,8 @@
   }
 
   /**
-   * Returns whether the machine will soon be gone, because the cloud has given notice or because
-   * the machine is faulty.
+   * Returns whether the machine will soon be interrupted or returned, because the cloud has given
+   * notice or the machine is faulty.
    */
   public boolean isDeparting() {
     return status != null
--- a/src/main/java/mallowstall/core/cluster/Membership.java
+++ b/src/main/java/mallowstall/core/cluster/Membership.java
@@ -11,7 +11,7 @@
   private final CoreSettings settings;
   private final StateStore store;
 
-  /** Uses the sessions in the replica and the zones of controllers in the settings. */
+  /** Uses the sessions in the state replica and the zones of controllers in the settings. */
   public Membership(CoreSettings settings, StateStore store) {
     this.settings = settings;
     this.store = store;
--- a/src/main/java/mallowstall/core/cluster/OpenJobs.java
+++ b/src/main/java/mallowstall/core/cluster/OpenJobs.java
@@ -5,22 +5,25 @@
 import java.util.Map;
 import mallowstall.core.model.JobEntry;
 
-/** Index of the jobs that still need a leader, whichever controller leads them. Mutable. */
+/**
+ * Index of the jobs that need a leader, whichever controller leads them: the jobs that haven't
+ * ended, and ended jobs that hold a quota reservation. Mutable.
+ */
 public final class OpenJobs {
-  private final Map<String, JobEntry> open = new LinkedHashMap<>();
+  private final Map<String, JobEntry> jobs = new LinkedHashMap<>();
 
   /** Adds or removes a job whose entry has changed; {@code before} is null if the job is new. */
   public void jobChanged(JobEntry before, JobEntry after) {
     String id = after.spec().id();
     if (after.needsLeader()) {
-      open.put(id, after);
+      jobs.put(id, after);
     } else {
-      open.remove(id);
+      jobs.remove(id);
     }
   }
 
-  /** Returns the open jobs in the order in which they became known, as a live view. */
+  /** Returns the jobs that need a leader, in the order in which they were added, as a live view. */
   public Collection<JobEntry> all() {
-    return open.values();
+    return jobs.values();
   }
 }
--- a/src/main/java/mallowstall/core/cluster/PeerState.java
+++ b/src/main/java/mallowstall/core/cluster/PeerState.java
@@ -103,15 +103,15 @@
     return lastUpdateOrdinal;
   }
 
-  /** Returns the revision of the peer's replica when the peer composed its last status update. */
+  /** Returns the revision of the peer's state replica as of the peer's last status update. */
   public long replicaRevision() {
     return replicaRevision;
   }
 
   /**
-   * Returns the steady time in milliseconds up to which the peer's replica was fresh, according to
-   * its last status update. The value is computed from the arrival time of the update, so it may be
-   * later than the true time but never earlier.
+   * Returns the steady time in milliseconds up to which the peer's state replica was fresh,
+   * according to its last status update. The value is computed from the arrival time of the update,
+   * so it may be later than the true time but never earlier.
    */
   public long replicaFreshAtMs() {
     return replicaFreshAtMs;
--- a/src/main/java/mallowstall/core/jobs/CompletionRecorder.java
+++ b/src/main/java/mallowstall/core/jobs/CompletionRecorder.java
@@ -87,8 +87,8 @@
 
   /**
    * Returns whether the state replica has all completion bits that were recorded in earlier leader
-   * epochs. The entry may have been read separately, before the replica has received those bits.
-   * Pieces written without them would clear them.
+   * epochs. The entry may have been read separately, before the state replica has received those
+   * bits. Pieces written without them would clear them.
    */
   private boolean completionBitsReplicated(LedJob ledJob) {
     return JobBitmaps.isInline(ledJob.spec()) || ledJob.claimRevision() <= store.revision();
--- a/src/main/java/mallowstall/core/jobs/JobLeader.java
+++ b/src/main/java/mallowstall/core/jobs/JobLeader.java
@@ -85,8 +85,8 @@
   }
 
   /**
-   * Returns whether this controller leads the job and its tasks have failed on so many machines
-   * that the job itself is considered faulty.
+   * Returns whether this controller leads the job and its tasks have failed on at least {@code
+   * Constants.JOB_FAULT_MACHINES} machines, so that the job itself is considered faulty.
    */
   public boolean atFault(String id) {
     return jobs.atFault(id);
--- a/src/main/java/mallowstall/core/machines/LeaderRedirects.java
+++ b/src/main/java/mallowstall/core/machines/LeaderRedirects.java
@@ -42,7 +42,7 @@
   /** Times of redirects to live leaders, in milliseconds of the steady clock, by machine. */
   private final Map<String, Long> liveRedirectMs = new HashMap<>();
 
-  /** Creates an instance that decides by the replica, status updates and the membership. */
+  /** Creates an instance that decides by the state replica, status updates and the membership. */
   public LeaderRedirects(
       CoreSettings settings, StateStore store, ClusterView view, Membership membership) {
     this.settings = settings;
--- a/src/main/java/mallowstall/core/machines/LeadershipChanges.java
+++ b/src/main/java/mallowstall/core/machines/LeadershipChanges.java
@@ -47,7 +47,7 @@
     if (entry == null) {
       release(id);
     } else if (entry.node().equals(settings.node()) && entry.incarnation() == store.incarnation()) {
-      // The replica may apply a write of this controller before its response is handled.
+      // The state replica may apply a write of this controller before its response is handled.
       if (!machine.commands().tokenWriteInFlight()
           && entry.fencingToken() > machine.fencingToken()) {
         release(id);
@@ -68,8 +68,8 @@
 
   /**
    * Requests a status update for machines that list tasks of a newly known job. A machine that was
-   * taken from a leader with a newer replica may list tasks of a job that is unknown here. The
-   * resources of these tasks count as used only once the job is known.
+   * taken from a leader with a newer state replica may list tasks of a job that is unknown here.
+   * The resources of these tasks count as used only once the job is known.
    */
   public void jobChanged(JobEntry before, JobEntry after) {
     if (before != null) {
--- a/src/main/java/mallowstall/core/machines/LeaseExpiryMonitor.java
+++ b/src/main/java/mallowstall/core/machines/LeaseExpiryMonitor.java
@@ -10,7 +10,10 @@
 public final class LeaseExpiryMonitor {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.machines");
 
-  /** Milliseconds beyond a worker's lease and the clock drift before its tasks count as lost. */
+  /**
+   * Time in milliseconds from the end of a worker's lease, extended by the clock drift, until the
+   * worker's tasks are considered ended.
+   */
   private static final long LEASE_EXPIRY_MARGIN_MS = 700;
 
   private final CoreSettings settings;
@@ -58,11 +61,11 @@
     }
     // Another controller may have led the machine between the former process and this one. Group
     // entries are written without a condition on a machine's entry, so that controller is unknown
-    // here until the replica has passed the revision of this controller's own write.
+    // here until the state replica has passed the revision of this controller's write.
     if (machine.recovered() && machine.fencingToken() > store.revision()) {
       return false;
     }
-    // The replica has passed the end of the lease and still names this controller as leader.
+    // The state replica has passed the end of the lease and still names this controller as leader.
     return store.freshAtMs() > machine.lastResponseMs() + leaseMs;
   }
 
--- a/src/main/java/mallowstall/core/machines/MachineStatuses.java
+++ b/src/main/java/mallowstall/core/machines/MachineStatuses.java
@@ -52,7 +52,7 @@
     return changed;
   }
 
-  /** Whether the status differs from the published one merely because time has passed. */
+  /** Returns whether the status differs from the published one merely because time has passed. */
   private boolean changedByTime(ManagedMachine machine, long now) {
     MachineStatus published = machine.published().status();
     return machines.usable(machine) != published.usable()
--- a/src/main/java/mallowstall/core/machines/MachineTasks.java
+++ b/src/main/java/mallowstall/core/machines/MachineTasks.java
@@ -51,7 +51,10 @@
     this.lastChangeMs = now;
   }
 
-  /** The time since which the machine is idle; only meaningful if {@link #isEmpty} is true. */
+  /**
+   * Returns the steady time in milliseconds since which the machine is idle; only meaningful if
+   * {@link #isEmpty} is true.
+   */
   long idleSinceMs() {
     return lastChangeMs;
   }
@@ -61,12 +64,12 @@
     markChanged.run();
   }
 
-  /** The tasks in the worker's last report, in the order of that report. */
+  /** Returns the tasks in the worker's last report, in the order of that report. */
   Iterable<TaskReport> reports() {
     return reports.values();
   }
 
-  /** The number of tasks in the worker's last report, including exited ones. */
+  /** Returns the number of tasks in the worker's last report, including exited ones. */
   int reportCount() {
     return reports.size();
   }
@@ -76,7 +79,7 @@
     return reports.get(attempt);
   }
 
-  /** Whether the worker's last report contains the attempt. */
+  /** Returns whether the worker's last report contains the attempt. */
   boolean isReported(TaskAttempt attempt) {
     return reports.containsKey(attempt);
   }
@@ -93,7 +96,7 @@
     return previous;
   }
 
-  /** Whether the worker reports any attempt of the task, or the task has a reservation. */
+  /** Returns whether the worker reports any attempt of the task, or the task has a reservation. */
   boolean hasTask(TaskKey key) {
     if (reservations.containsKey(key)) {
       return true;
@@ -106,7 +109,7 @@
     return false;
   }
 
-  /** Whether the worker reports no task and there is no reservation. */
+  /** Returns whether the worker reports no task and there is no reservation. */
   boolean isEmpty() {
     return reports.isEmpty() && reservations.isEmpty();
   }
@@ -122,7 +125,7 @@
     return reservations.get(key);
   }
 
-  /** The reservations in the order in which they were made; an unmodifiable live view. */
+  /** Returns the reservations in the order in which they were made; an unmodifiable live view. */
   Collection<Reservation> reservations() {
     return Collections.unmodifiableCollection(reservations.values());
   }
@@ -148,7 +151,7 @@
     return added;
   }
 
-  /** Whether the attempt is the victim of an accepted start. */
+  /** Returns whether the attempt is the victim of an accepted start. */
   boolean isPreempted(TaskAttempt attempt) {
     return preempted.contains(attempt);
   }
@@ -163,7 +166,7 @@
     return pendingStops.get(key);
   }
 
-  /** Whether the task has a pending stop. */
+  /** Returns whether the task has a pending stop. */
   boolean hasPendingStop(TaskKey key) {
     return pendingStops.containsKey(key);
   }
@@ -182,7 +185,7 @@
     pendingStops.keySet().removeIf(key -> !hasTask(key));
   }
 
-  /** Whether there may be a start or a stop to send. */
+  /** Returns whether there may be a start or a stop to send. */
   boolean hasPendingCommands() {
     return !pendingStops.isEmpty() || !reservations.isEmpty();
   }
--- a/src/main/java/mallowstall/core/machines/ManagedMachine.java
+++ b/src/main/java/mallowstall/core/machines/ManagedMachine.java
@@ -77,33 +77,34 @@
     return zone;
   }
 
-  /** Whether the cloud may interrupt the machine. */
+  /** Returns whether the cloud may interrupt the machine. */
   boolean spot() {
     return spot;
   }
 
-  /** The reported tasks, reservations and pending stops. */
+  /** Returns the reported tasks, reservations and pending stops. */
   MachineTasks tasks() {
     return tasks;
   }
 
-  /** The state of the commands sent to the worker's own address. */
+  /** Returns the state of the commands sent to the worker's own address. */
   CommandChannel commands() {
     return commands;
   }
 
-  /** The status of the machine that was last published to peers. */
+  /** Returns the status of the machine that was last published to peers. */
   PublishedStatus published() {
     return published;
   }
 
-  /** The images that the machine has most likely cached. */
+  /** Returns the images that the machine has most likely cached. */
   ImageCache images() {
     return images;
   }
 
   /**
-   * The fencing token: the revision at which this leadership was written to the machine's entry.
+   * Returns the fencing token, which is the revision at which this leadership was written to the
+   * machine's entry.
    */
   long fencingToken() {
     return fencingToken;
@@ -121,8 +122,8 @@
   }
 
   /**
-   * Whether the worker has acknowledged the fencing token. A worker that has done so ignores
-   * responses of former leaders.
+   * Returns whether the worker has acknowledged the fencing token. A worker that has done so
+   * ignores responses of former leaders.
    */
   boolean tokenAcknowledged() {
     return tokenAcknowledged;
@@ -144,7 +145,7 @@
     lastHeartbeatMs = heartbeatMs;
   }
 
-  /** Whether the machine was recovered from this controller's former process. */
+  /** Returns whether the machine was recovered from this controller's former process. */
   boolean recovered() {
     return recovered;
   }
@@ -156,27 +157,30 @@
     interveningLeader = true;
   }
 
-  /** Whether a former leader may still renew the worker's lease. */
+  /** Returns whether a former leader may still renew the worker's lease. */
   boolean formerLeaderMayAnswer() {
     return !tokenAcknowledged && (!recovered || interveningLeader);
   }
 
-  /** The worker's own address, or null before the first heartbeat. */
+  /** Returns the worker's own address, or null before the first heartbeat. */
   String address() {
     return address;
   }
 
-  /** The worker's session, or 0 before the first heartbeat. */
+  /** Returns the worker's session, or 0 before the first heartbeat. */
   long workerSession() {
     return workerSession;
   }
 
-  /** The number of the session's newest heartbeat, including answers to direct commands. */
+  /** Returns the number of the session's newest heartbeat, including answers to direct commands. */
   long latestHeartbeatSequence() {
     return latestHeartbeatSequence;
   }
 
-  /** The number of the session's newest handled heartbeat that did not answer a direct command. */
+  /**
+   * Returns the number of the session's newest handled heartbeat that did not answer a direct
+   * command.
+   */
   long handledHeartbeatSequence() {
     return handledHeartbeatSequence;
   }
@@ -186,7 +190,7 @@
     handledHeartbeatSequence = sequence;
   }
 
-  /** Whether the heartbeat is newer than the newest one recorded for the machine. */
+  /** Returns whether the heartbeat is newer than the newest one recorded for the machine. */
   boolean isNewer(Heartbeat heartbeat) {
     return heartbeat.session() > workerSession
         || (heartbeat.session() == workerSession && heartbeat.sequence() > latestHeartbeatSequence);
@@ -218,7 +222,7 @@
             : now + (long) (heartbeat.interruptionNoticeS() * 1000);
   }
 
-  /** The time of the last heartbeat, in milliseconds of the steady clock. */
+  /** Returns the time of the last heartbeat, in milliseconds of the steady clock. */
   long lastHeartbeatMs() {
     return lastHeartbeatMs;
   }
@@ -232,8 +236,8 @@
   }
 
   /**
-   * The time of the last response, in milliseconds of the steady clock. The worker's lease is
-   * counted from that time at the latest.
+   * Returns the time of the last response, in milliseconds of the steady clock. The worker's lease
+   * is counted from that time at the latest.
    */
   long lastResponseMs() {
     return lastResponseMs;
@@ -248,19 +252,19 @@
     published.markChanged();
   }
 
-  /** Whether the worker's lease has expired and no heartbeat has been received since. */
+  /** Returns whether the worker's lease has expired and no heartbeat has been received since. */
   boolean leaseExpired() {
     return leaseExpired;
   }
 
-  /** Whether the cloud has announced that it will take the machine. */
+  /** Returns whether the cloud has announced that it will take the machine. */
   boolean terminationAnnounced() {
     return terminationDeadlineMs != Long.MAX_VALUE;
   }
 
   /**
-   * The time at which the cloud will take the machine, in milliseconds of the steady clock, or
-   * {@code Long.MAX_VALUE} if none is announced.
+   * Returns the time at which the cloud will take the machine, in milliseconds of the steady clock,
+   * or {@code Long.MAX_VALUE} if none is announced.
    */
   long terminationDeadlineMs() {
     return terminationDeadlineMs;
@@ -284,8 +288,9 @@
   }
 
   /**
-   * Records that a task failed on the machine and that its job is not at fault. Several consecutive
-   * errors quarantine the machine, more of them mark it as faulty.
+   * Records that a task failed on the machine and that its job is not at fault. The machine is
+   * quarantined from {@link #QUARANTINE_ERRORS} consecutive errors on and marked as faulty from
+   * {@link #REPLACEMENT_ERRORS} on.
    */
   void recordError(long now) {
     consecutiveErrors++;
@@ -297,17 +302,23 @@
     }
   }
 
-  /** The number of tasks that failed on the machine since the last success. */
+  /** Returns the number of tasks that failed on the machine since the last success. */
   int consecutiveErrors() {
     return consecutiveErrors;
   }
 
-  /** Whether the machine gets no tasks for the moment, since several tasks failed on it. */
+  /**
+   * Returns whether the machine gets no tasks, because {@link #QUARANTINE_ERRORS} or more
+   * consecutive tasks failed on it, the last one less than {@link #QUARANTINE_MS} ago.
+   */
   boolean quarantined(long now) {
     return quarantineUntilMs > now;
   }
 
-  /** Whether so many consecutive tasks failed that the machine is to be replaced. */
+  /**
+   * Returns whether {@link #REPLACEMENT_ERRORS} consecutive tasks failed on the machine, so that it
+   * is to be replaced.
+   */
   boolean faulty() {
     return faulty;
   }
--- a/src/main/java/mallowstall/core/machines/ManagedMachines.java
+++ b/src/main/java/mallowstall/core/machines/ManagedMachines.java
@@ -52,17 +52,19 @@
     return machines.get(id);
   }
 
-  /** Whether this controller leads the machine. */
+  /** Returns whether this controller leads the machine. */
   boolean contains(String id) {
     return machines.containsKey(id);
   }
 
-  /** Whether this object represents the machine's current leadership, not an earlier one. */
+  /**
+   * Returns whether this object represents the machine's current leadership, not an earlier one.
+   */
   boolean isCurrent(ManagedMachine machine) {
     return machines.get(machine.id()) == machine;
   }
 
-  /** All machines, in the order in which their ids were first added; a live view. */
+  /** Returns all machines, in the order in which their ids were first added; a live view. */
   Collection<ManagedMachine> all() {
     return machines.values();
   }
@@ -88,8 +90,8 @@
   }
 
   /**
-   * Whether the task restarts after this exit. The exit of a task that restarts is recorded in
-   * status updates only.
+   * Returns whether the task restarts after this exit. The exit of a task that restarts is recorded
+   * in status updates only.
    */
   boolean restartsAfterExit(TaskReport task) {
     if (task.exitReason() != ExitReason.DONE) {
@@ -100,8 +102,8 @@
   }
 
   /**
-   * Whether the machine may get tasks: its worker's lease is being renewed, and the machine is
-   * neither unresponsive, quarantined, faulty nor about to be taken by the cloud.
+   * Returns whether the machine may get tasks: its worker's lease is being renewed, and the machine
+   * is neither unresponsive, quarantined, faulty nor about to be taken by the cloud.
    */
   boolean usable(ManagedMachine machine) {
     long now = clock.now();
@@ -117,7 +119,7 @@
     return Math.max(UNRESPONSIVE_AFTER_MS, settings.heartbeatIntervalMs() * 2);
   }
 
-  /** Whether the last heartbeat is so old that the machine gets no tasks. */
+  /** Returns whether the last heartbeat is so old that the machine gets no tasks. */
   boolean unresponsive(ManagedMachine machine) {
     return clock.now() - machine.lastHeartbeatMs() > unresponsiveAfterMs();
   }
--- a/src/main/java/mallowstall/core/machines/PublishedStatus.java
+++ b/src/main/java/mallowstall/core/machines/PublishedStatus.java
@@ -20,7 +20,9 @@
     changed = true;
   }
 
-  /** Whether the status may have changed since it was last compared with the published one. */
+  /**
+   * Returns whether the status may have changed since it was last compared with the published one.
+   */
   boolean changed() {
     return changed;
   }
@@ -37,17 +39,17 @@
     publishedMs = now;
   }
 
-  /** The last published status, or null if none was published. */
+  /** Returns the last published status, or null if none was published. */
   MachineStatus status() {
     return status;
   }
 
-  /** The number of the first status update that contained the status. */
+  /** Returns the number of the first status update that contained the status. */
   long updateNumber() {
     return updateNumber;
   }
 
-  /** The time at which the status was published, in milliseconds of the steady clock. */
+  /** Returns the time at which the status was published, in milliseconds of the steady clock. */
   long publishedMs() {
     return publishedMs;
   }
@@ -57,7 +59,7 @@
     exits.put(attempt.key(), attempt.attempt());
   }
 
-  /** Whether the last published exit of the task is that of this attempt. */
+  /** Returns whether the last published exit of the task is that of this attempt. */
   boolean isExitPublished(TaskAttempt attempt) {
     return exits.getLong(attempt.key()) == attempt.attempt();
   }
--- a/src/main/java/mallowstall/core/machines/Reservation.java
+++ b/src/main/java/mallowstall/core/machines/Reservation.java
@@ -20,22 +20,22 @@
     return request;
   }
 
-  /** The job's specification, which determines the amount of reserved capacity. */
+  /** Returns the job's specification, which determines the amount of reserved capacity. */
   JobSpec spec() {
     return spec;
   }
 
-  /** The task to start. */
+  /** Returns the task to start. */
   TaskKey key() {
     return new TaskKey(request.job(), request.task());
   }
 
-  /** The attempt to start. */
+  /** Returns the attempt to start. */
   TaskAttempt attempt() {
     return new TaskAttempt(request.job(), request.task(), request.attempt());
   }
 
-  /** Whether a command with this start has been sent to the worker. */
+  /** Returns whether a command with this start has been sent to the worker. */
   boolean sent() {
     return sent;
   }
--- a/src/main/java/mallowstall/core/machines/RestartRecovery.java
+++ b/src/main/java/mallowstall/core/machines/RestartRecovery.java
@@ -113,9 +113,9 @@
   }
 
   /**
-   * Whether the entry names a former process of this controller. That process has ended, so no
-   * controller answers the worker unless another one has become the machine's leader. In that case
-   * {@link #handleCompetingEntry} is called before the lease can expire.
+   * Returns whether the entry names a former process of this controller. That process has ended, so
+   * no controller answers the worker unless another one has become the machine's leader. In that
+   * case {@link #handleCompetingEntry} is called before the lease can expire.
    */
   private boolean isFromFormerIncarnation(MachineEntry machineEntry) {
     return machineEntry != null
--- a/src/main/java/mallowstall/core/machines/StaleHeartbeats.java
+++ b/src/main/java/mallowstall/core/machines/StaleHeartbeats.java
@@ -27,8 +27,8 @@
   }
 
   /**
-   * Whether the machine was returned, or its leader has published this heartbeat, a newer one or
-   * the expiry of the worker's lease.
+   * Returns whether the machine was returned, or its leader has published this heartbeat, a newer
+   * one or the expiry of the worker's lease.
    */
   boolean isStale(Heartbeat heartbeat) {
     // The entry is written before the worker gets its first token, and is deleted after the machine
--- a/src/main/java/mallowstall/core/machines/StartAdmission.java
+++ b/src/main/java/mallowstall/core/machines/StartAdmission.java
@@ -98,7 +98,7 @@
     return fits(machine, start, spec) ? null : "no room";
   }
 
-  /** Whether the task fits on the machine once the start's victims have ended. */
+  /** Returns whether the task fits on the machine once the start's victims have ended. */
   private boolean fits(ManagedMachine machine, StartRequest start, JobSpec spec) {
     FreeResources free = machines.freeResources(machine);
     for (TaskAttempt attempt : start.victims()) {
--- a/src/main/java/mallowstall/core/machines/StatusUpdateSequence.java
+++ b/src/main/java/mallowstall/core/machines/StatusUpdateSequence.java
@@ -69,8 +69,8 @@
   }
 
   /**
-   * Whether this process has its incarnation and a complete state replica. Updates contain the
-   * incarnation and the replica's revision.
+   * Returns whether this process has its incarnation and a complete state replica. Updates contain
+   * the incarnation and the state replica's revision.
    */
   boolean ready() {
     return store.incarnation() != 0 && store.synced();
@@ -96,7 +96,7 @@
       }
     }
     // An acknowledgement implies that this update contains all cancellations that are newer than
-    // the peer's replica.
+    // the peer's state replica.
     boolean acknowledges =
         peer.replicaRevision() > 0 && cancellations.retainsSince(peer.replicaRevision());
     return new StatusUpdate(
--- a/src/main/java/mallowstall/core/model/AcceptanceReply.java
+++ b/src/main/java/mallowstall/core/model/AcceptanceReply.java
@@ -8,8 +8,8 @@
  * @param node the controller that replies
  * @param incarnation incarnation of the process that sent the query
  * @param serial number of the query
- * @param possiblyAccepted the jobs of the query that the replying controller knows as accepted, is
- *     about to record, or can't guarantee not to report as accepted
+ * @param possiblyAccepted the jobs of the query that may have been accepted: the replying
+ *     controller has accepted or is recording them, or can grant no lease on their absence
  */
 public record AcceptanceReply(
     String node, long incarnation, long serial, List<String> possiblyAccepted)
--- a/src/main/java/mallowstall/core/model/JobEntry.java
+++ b/src/main/java/mallowstall/core/model/JobEntry.java
@@ -91,8 +91,8 @@
   }
 
   /**
-   * Returns whether a controller must still lead the job, because it is open or holds a quota
-   * reservation.
+   * Returns whether a controller must still lead the job, because the job hasn't ended or holds a
+   * quota reservation.
    */
   public boolean needsLeader() {
     return !isTerminal() || quotaReservedTasks > 0;
--- a/src/main/java/mallowstall/core/model/StatusUpdate.java
+++ b/src/main/java/mallowstall/core/model/StatusUpdate.java
@@ -22,8 +22,9 @@
  * @param acknowledgedStartsSequence number of that batch
  * @param replicaAgeMs time in milliseconds since the sender's state replica was last known to be
  *     current
- * @param cancelledJobs jobs that the sender knows to be cancelled since the revision that the
- *     receiver's replica has reached
+ * @param cancelledJobs jobs whose cancellation was written after the revision of the receiver's
+ *     state replica, as far as the sender's state replica has them; empty if the sender doesn't
+ *     keep all of them or the receiver has published no revision
  * @param machines status of the machines that have changed, or of all machines
  * @param releasedMachines machines that the sender has ceased to lead since the base
  * @param rejections start requests of the receiver that the sender has rejected
