--- a/src/main/java/mallowstall/cli/CannedWorld.java
+++ b/src/main/java/mallowstall/cli/CannedBackends.java
@@ -11,7 +11,7 @@
  * state service is empty and accepts every change, the cloud has one machine type, and the worker
  * rejects all commands.
  */
-final class CannedWorld implements Handler {
+final class CannedBackends implements Handler {
   private static final String NO_ENTRIES = "{\"entries\":[],\"has_next\":false,\"tirada\":";
   private static final String MACHINE_TYPES =
       "{\"calibres\":[{\"label\":\"x\",\"vcpus\":8,\"gpus\":0,\"mem_gb\":32,\"local_gb\":9,"
--- a/src/main/java/mallowstall/cli/WarmUp.java
+++ b/src/main/java/mallowstall/cli/WarmUp.java
@@ -41,7 +41,7 @@
   @Override
   public Integer call() throws Exception {
     NioEventLoopGroup group = new NioEventLoopGroup(1);
-    HttpServer backends = new HttpServer(new CannedWorld(), BACKEND_CONNECTIONS);
+    HttpServer backends = new HttpServer(new CannedBackends(), BACKEND_CONNECTIONS);
     try {
       InetSocketAddress bound =
           backends.listen(group, new InetSocketAddress("127.0.0.1", 0)).join();
--- a/src/main/java/mallowstall/core/AutoscalingModules.java
+++ b/src/main/java/mallowstall/core/AutoscalingModules.java
@@ -31,7 +31,11 @@
     this.cluster = cluster;
     machineDemand =
         new MachineDemand(
-            cluster.clock, cluster.settings, cluster.view, cluster.machineTypes, cluster.openJobs);
+            cluster.clock,
+            cluster.settings,
+            cluster.view,
+            cluster.machineTypes,
+            cluster.jobsNeedingLeader);
     cluster.machineTypes.subscribe(machineDemand::onTypesChanged);
     double callsPerSecond = cluster.settings.cloudRequestsPerS();
     TokenBucket calls =
@@ -94,7 +98,7 @@
     return new ScaleOut(
         cluster.view,
         cluster.machineTypes,
-        cluster.openJobs,
+        cluster.jobsNeedingLeader,
         machineDemand,
         new UnplaceableJobs(cluster.settings, cluster.store, cluster.view),
         pendingMachines,
--- a/src/main/java/mallowstall/core/ControllerCore.java
+++ b/src/main/java/mallowstall/core/ControllerCore.java
@@ -5,7 +5,7 @@
 import mallowstall.Constants;
 import mallowstall.core.api.AbsenceLeases;
 import mallowstall.core.api.AcceptanceLookup;
-import mallowstall.core.api.FormerLeases;
+import mallowstall.core.api.FormerProcessLeases;
 import mallowstall.core.api.HeartbeatReceiver;
 import mallowstall.core.api.JobApi;
 import mallowstall.core.api.OutcomeAnnouncer;
@@ -70,7 +70,7 @@
   private final OutcomeAnnouncer outcomes;
   private final AcceptanceLookup acceptances;
   private final AbsenceLeases absenceLeases;
-  private final FormerLeases formerLeases;
+  private final FormerProcessLeases formerProcessLeases;
   private final JobApi jobApi;
 
   /**
@@ -111,8 +111,9 @@
         new OutcomeAnnouncer(
             cluster.clock, settings, effects, cluster.store, cluster.clusterVersion);
     acceptances = newAcceptanceLookup();
-    formerLeases =
-        new FormerLeases(cluster.clock, settings, effects, cluster.store, cluster.clusterVersion);
+    formerProcessLeases =
+        new FormerProcessLeases(
+            cluster.clock, settings, effects, cluster.store, cluster.clusterVersion);
     absenceLeases = newAbsenceLeases();
     jobApi = newJobApi();
     cluster.store.subscribe(newDispatcher());
@@ -125,7 +126,7 @@
         cluster.store,
         cluster.jobBitmaps,
         cluster.view,
-        cluster.openJobs,
+        cluster.jobsNeedingLeader,
         cluster.membership,
         cluster.messenger,
         cluster.placementTrigger);
@@ -157,7 +158,7 @@
         cluster.settings,
         cluster.effects,
         cluster.store,
-        formerLeases,
+        formerProcessLeases,
         acceptances::giveUpUnanswered);
   }
 
@@ -174,7 +175,7 @@
         outcomes,
         acceptances,
         absenceLeases,
-        formerLeases,
+        formerProcessLeases,
         jobLeader::running);
   }
 
@@ -186,7 +187,7 @@
     return new StateChangeDispatcher(
         List.of(
             cluster.imageSizes::jobChanged,
-            cluster.openJobs::jobChanged,
+            cluster.jobsNeedingLeader::jobChanged,
             cluster.cancellations::jobChanged,
             outcomes::jobChanged,
             jobApi::jobChanged,
@@ -244,7 +245,7 @@
     }
     machines.maintenance.tick();
     jobLeader.tick();
-    formerLeases.tick();
+    formerProcessLeases.tick();
     placement.quotaLedger.tick();
     autoscaling.autoscaler.tick();
     digestPublisher.tick();
@@ -316,7 +317,7 @@
       absenceLeases.receive(query);
     } else if (message instanceof AcceptanceReply reply) {
       acceptances.receive(reply);
-      formerLeases.receive(reply);
+      formerProcessLeases.receive(reply);
     } else if (message instanceof AcceptanceQueryEnd queryEnd) {
       absenceLeases.receive(queryEnd);
     }
--- a/src/main/java/mallowstall/core/PlacementModules.java
+++ b/src/main/java/mallowstall/core/PlacementModules.java
@@ -4,9 +4,9 @@
 import mallowstall.core.autoscaling.MachineDemand;
 import mallowstall.core.jobs.JobLeader;
 import mallowstall.core.placement.BlockPlacer;
-import mallowstall.core.placement.CapacitySnapshot;
+import mallowstall.core.placement.CapacityRefresher;
 import mallowstall.core.placement.GroupPlacer;
-import mallowstall.core.placement.JobPlacements;
+import mallowstall.core.placement.JobPlacementFactory;
 import mallowstall.core.placement.JobRanking;
 import mallowstall.core.placement.MachineScoring;
 import mallowstall.core.placement.PendingJobs;
@@ -59,7 +59,7 @@
             cluster.settings,
             cluster.store,
             cluster.jobBitmaps,
-            cluster.openJobs,
+            cluster.jobsNeedingLeader,
             cluster.placementTrigger,
             jobLeader,
             ranking::compare);
@@ -67,7 +67,8 @@
   }
 
   private PlacementScheduler newScheduler(Policy.PolicyRegistry policies, SplittableRandom random) {
-    GuaranteedShares guaranteedShares = new GuaranteedShares(cluster.settings, cluster.openJobs);
+    GuaranteedShares guaranteedShares =
+        new GuaranteedShares(cluster.settings, cluster.jobsNeedingLeader);
     QueuedWork queuedWork = newQueuedWork();
     PolicyFacts policyFacts = newPolicyFacts(queuedWork);
     StartSender startSender = newStartSender();
@@ -83,7 +84,7 @@
             ranking,
             queuedWork,
             backoffs,
-            new JobPlacements(policies, ranking, quotaLedger, eligibility),
+            new JobPlacementFactory(policies, ranking, quotaLedger, eligibility),
             new BlockPlacer(new MachineScoring(policyFacts, random), queuedWork, startSender),
             new PreemptingPlacer(preemption, startSender));
     return new PlacementScheduler(
@@ -91,7 +92,7 @@
         cluster.store,
         cluster.machineTypes,
         jobLeader,
-        new CapacitySnapshot(cluster.view, jobLeader, ranking, guaranteedShares, queuedWork),
+        new CapacityRefresher(cluster.view, jobLeader, ranking, guaranteedShares, queuedWork),
         new PendingJobs(jobLeader, ranking, backoffs),
         backoffs,
         relocation,
@@ -107,7 +108,7 @@
         cluster.store,
         cluster.view,
         cluster.machineTypes,
-        cluster.openJobs,
+        cluster.jobsNeedingLeader,
         machineDemand,
         ranking);
   }
--- a/src/main/java/mallowstall/core/api/AbsenceLeases.java
+++ b/src/main/java/mallowstall/core/api/AbsenceLeases.java
@@ -37,7 +37,7 @@
   private final CoreSettings settings;
   private final Effects effects;
   private final StateStore store;
-  private final FormerLeases formerLeases;
+  private final FormerProcessLeases formerProcessLeases;
   private final Runnable onNewPeerProcess;
 
   /** The incarnation of the newest known process of each peer. */
@@ -74,13 +74,13 @@
       CoreSettings settings,
       Effects effects,
       StateStore store,
-      FormerLeases formerLeases,
+      FormerProcessLeases formerProcessLeases,
       Runnable onNewPeerProcess) {
     this.clock = clock;
     this.settings = settings;
     this.effects = effects;
     this.store = store;
-    this.formerLeases = formerLeases;
+    this.formerProcessLeases = formerProcessLeases;
     this.onNewPeerProcess = onNewPeerProcess;
   }
 
@@ -96,7 +96,7 @@
 
   /** Returns whether users may be informed now that the job was accepted. */
   boolean mayReportAccepted(String job) {
-    if (!formerLeases.areOver()) {
+    if (!formerProcessLeases.areOver()) {
       return false;
     }
     for (String peer : settings.peers()) {
--- a/src/main/java/mallowstall/core/api/AcceptanceLookup.java
+++ b/src/main/java/mallowstall/core/api/AcceptanceLookup.java
@@ -54,7 +54,7 @@
   /** Queries to which some peer has not replied yet, by their serial, the oldest first. */
   private final Map<Long, Query> unanswered = new LinkedHashMap<>();
 
-  private long lastSerial = FormerLeases.QUERY_SERIAL;
+  private long lastSerial = FormerProcessLeases.QUERY_SERIAL;
 
   /** Peers are or will be notified that the queries up to this one have ended. */
   private long lastEndedSerial = lastSerial;
--- a/src/main/java/mallowstall/core/api/FormerLeases.java
+++ b/src/main/java/mallowstall/core/api/FormerProcessLeases.java
@@ -17,7 +17,7 @@
  * replaced the former processes. A peer that replies has abandoned what relied on such a lease, and
  * its earlier responses to users have been sent. Mutable; confined to the event loop.
  */
-public final class FormerLeases {
+public final class FormerProcessLeases {
   /** Serial of the query without jobs, smaller than the serials of all other queries. */
   static final long QUERY_SERIAL = 0;
 
@@ -31,7 +31,7 @@
   private final Set<String> pendingPeers;
 
   /** Sends nothing before the first {@link #tick}. */
-  public FormerLeases(
+  public FormerProcessLeases(
       EventClock clock,
       CoreSettings settings,
       Effects effects,
--- a/src/main/java/mallowstall/core/api/JobApi.java
+++ b/src/main/java/mallowstall/core/api/JobApi.java
@@ -37,7 +37,7 @@
   private final JobBitmaps jobBitmaps;
   private final MachineTypeCatalog types;
   private final Connectivity connectivity;
-  private final FormerLeases formerLeases;
+  private final FormerProcessLeases formerProcessLeases;
   private final FreshJobReader reader;
   private final JobResponder responder;
   private final JobSubmission submissions;
@@ -68,13 +68,13 @@
       OutcomeAnnouncer outcomes,
       AcceptanceLookup acceptances,
       AbsenceLeases absenceLeases,
-      FormerLeases formerLeases,
+      FormerProcessLeases formerProcessLeases,
       ToIntFunction<String> runningTasks) {
     this.store = store;
     this.jobBitmaps = jobBitmaps;
     this.types = types;
     this.connectivity = connectivity;
-    this.formerLeases = formerLeases;
+    this.formerProcessLeases = formerProcessLeases;
     reader = new FreshJobReader(clock, store, acceptances);
     responder = new JobResponder(store, cancellations, outcomes, absenceLeases, runningTasks);
     submissions =
@@ -114,7 +114,7 @@
 
   /** Returns whether users' requests can be served. */
   public boolean isReady() {
-    return isInitialized() && formerLeases.areOver();
+    return isInitialized() && formerProcessLeases.areOver();
   }
 
   /**
--- a/src/main/java/mallowstall/core/autoscaling/KeptResultScaleOuts.java
+++ b/src/main/java/mallowstall/core/autoscaling/KeptResultScaleOutBackoff.java
@@ -12,7 +12,7 @@
  * leader starts without it, which costs one more machine. Times are in milliseconds of the steady
  * clock. Mutable.
  */
-final class KeptResultScaleOuts {
+final class KeptResultScaleOutBackoff {
   /**
    * Maximum delay in milliseconds between two requests for a service whose replicas end on each
    * machine.
--- a/src/main/java/mallowstall/core/autoscaling/MachineDemand.java
+++ b/src/main/java/mallowstall/core/autoscaling/MachineDemand.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.Set;
 import mallowstall.core.cluster.ClusterView;
+import mallowstall.core.cluster.JobsNeedingLeader;
 import mallowstall.core.cluster.MachineTypeCatalog;
 import mallowstall.core.cluster.MachineView;
-import mallowstall.core.cluster.OpenJobs;
 import mallowstall.core.kernel.EventClock;
 import mallowstall.core.model.CoreSettings;
 import mallowstall.core.model.JobEntry;
@@ -70,7 +70,7 @@
   private final CoreSettings settings;
   private final ClusterView view;
   private final MachineTypeCatalog types;
-  private final OpenJobs openJobs;
+  private final JobsNeedingLeader jobsNeedingLeader;
   private final Map<String, TypeDemand> demandByType = new HashMap<>();
 
   /** The smallest machine type on which a task fits, by job id. */
@@ -90,12 +90,12 @@
       CoreSettings settings,
       ClusterView view,
       MachineTypeCatalog types,
-      OpenJobs openJobs) {
+      JobsNeedingLeader jobsNeedingLeader) {
     this.clock = clock;
     this.settings = settings;
     this.view = view;
     this.types = types;
-    this.openJobs = openJobs;
+    this.jobsNeedingLeader = jobsNeedingLeader;
   }
 
   /** Returns the demand for this type, which is zero if no open job needs it. */
@@ -157,7 +157,7 @@
     demandByType.values().forEach(TypeDemand::resetCurrent);
     Map<String, Double> urgentByType = new HashMap<>();
     Map<String, Double> remainingCpusByTeam = teamCpuQuotas();
-    for (JobEntry job : openJobs.all()) {
+    for (JobEntry job : jobsNeedingLeader.all()) {
       if (!job.isTerminal()) {
         addJob(job, remainingCpusByTeam, urgentByType);
       }
--- a/src/main/java/mallowstall/core/autoscaling/ScaleOut.java
+++ b/src/main/java/mallowstall/core/autoscaling/ScaleOut.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import mallowstall.core.autoscaling.PendingMachines.PendingMachine;
 import mallowstall.core.cluster.ClusterView;
+import mallowstall.core.cluster.JobsNeedingLeader;
 import mallowstall.core.cluster.MachineTypeCatalog;
 import mallowstall.core.cluster.MachineView;
-import mallowstall.core.cluster.OpenJobs;
 import mallowstall.core.model.JobEntry;
 import mallowstall.core.model.JobSpec;
 import org.slf4j.Logger;
@@ -51,7 +51,7 @@
 
   private final ClusterView view;
   private final MachineTypeCatalog types;
-  private final OpenJobs openJobs;
+  private final JobsNeedingLeader jobsNeedingLeader;
   private final MachineDemand demand;
   private final UnplaceableJobs unplaceableJobs;
   private final PendingMachines pendingMachines;
@@ -63,14 +63,14 @@
   public ScaleOut(
       ClusterView view,
       MachineTypeCatalog types,
-      OpenJobs openJobs,
+      JobsNeedingLeader jobsNeedingLeader,
       MachineDemand demand,
       UnplaceableJobs unplaceableJobs,
       PendingMachines pendingMachines,
       ScaleOutRequests requests) {
     this.view = view;
     this.types = types;
-    this.openJobs = openJobs;
+    this.jobsNeedingLeader = jobsNeedingLeader;
     this.demand = demand;
     this.unplaceableJobs = unplaceableJobs;
     this.pendingMachines = pendingMachines;
@@ -149,11 +149,12 @@
    * @return whether a request was sent
    */
   boolean scaleOutForUnplaceable(String type, List<MachineView> available, long now) {
-    if (openJobs.all().stream().noneMatch(job -> job.spec().isService() && !job.isTerminal())) {
+    if (jobsNeedingLeader.all().stream()
+        .noneMatch(job -> job.spec().isService() && !job.isTerminal())) {
       return false;
     }
-    unplaceableJobs.retainOpen(openJobs.all());
-    for (JobEntry job : openJobs.all()) {
+    unplaceableJobs.retainOpen(jobsNeedingLeader.all());
+    for (JobEntry job : jobsNeedingLeader.all()) {
       JobSpec spec = job.spec();
       if (job.isTerminal() || !type.equals(demand.minimalType(spec))) {
         continue;
--- a/src/main/java/mallowstall/core/autoscaling/UnplaceableJobs.java
+++ b/src/main/java/mallowstall/core/autoscaling/UnplaceableJobs.java
@@ -51,7 +51,8 @@
   private final StateStore store;
   private final ClusterView view;
   private final Map<String, Long> unplaceableSinceMs = new HashMap<>();
-  private final KeptResultScaleOuts keptResultScaleOuts = new KeptResultScaleOuts();
+  private final KeptResultScaleOutBackoff keptResultScaleOutBackoff =
+      new KeptResultScaleOutBackoff();
 
   /** Creates a tracker without unplaceable jobs. */
   public UnplaceableJobs(CoreSettings settings, StateStore store, ClusterView view) {
@@ -69,7 +70,7 @@
       }
     }
     unplaceableSinceMs.keySet().retainAll(ids);
-    keptResultScaleOuts.retain(ids);
+    keptResultScaleOutBackoff.retain(ids);
   }
 
   /**
@@ -93,7 +94,7 @@
     boolean due =
         now - sinceMs > timeoutMs
             && (obstacle != PlacementObstacle.RESULTS_KEPT
-                || keptResultScaleOuts.isDue(job.id(), now));
+                || keptResultScaleOutBackoff.isDue(job.id(), now));
     return due ? zones : List.of();
   }
 
@@ -105,7 +106,7 @@
       JobEntry jobEntry, List<MachineView> available, List<String> zones, long now) {
     JobSpec job = jobEntry.spec();
     if (findObstacle(job, zones, available) == PlacementObstacle.RESULTS_KEPT) {
-      keptResultScaleOuts.record(job.id(), now);
+      keptResultScaleOutBackoff.record(job.id(), now);
     }
   }
 
--- a/src/main/java/mallowstall/core/cluster/OpenJobs.java
+++ b/src/main/java/mallowstall/core/cluster/JobsNeedingLeader.java
@@ -9,7 +9,7 @@
  * Index of the jobs that need a leader, whichever controller leads them: the jobs that haven't
  * ended, and ended jobs that hold a quota reservation. Mutable.
  */
-public final class OpenJobs {
+public final class JobsNeedingLeader {
   private final Map<String, JobEntry> jobs = new LinkedHashMap<>();
 
   /** Adds or removes a job whose entry has changed; {@code before} is null if the job is new. */
--- a/src/main/java/mallowstall/core/jobs/JobFailover.java
+++ b/src/main/java/mallowstall/core/jobs/JobFailover.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Map;
 import mallowstall.Constants;
+import mallowstall.core.cluster.JobsNeedingLeader;
 import mallowstall.core.cluster.Membership;
-import mallowstall.core.cluster.OpenJobs;
 import mallowstall.core.kernel.EventClock;
 import mallowstall.core.kernel.ResultCode;
 import mallowstall.core.kernel.RetryDelay;
@@ -41,7 +41,7 @@
   private final CoreSettings settings;
   private final StateStore store;
   private final JobBitmaps jobBitmaps;
-  private final OpenJobs openJobs;
+  private final JobsNeedingLeader jobsNeedingLeader;
   private final Membership membership;
 
   /** The jobs without a live leader, by job id. */
@@ -65,13 +65,13 @@
       CoreSettings settings,
       StateStore store,
       JobBitmaps jobBitmaps,
-      OpenJobs openJobs,
+      JobsNeedingLeader jobsNeedingLeader,
       Membership membership) {
     this.clock = clock;
     this.settings = settings;
     this.store = store;
     this.jobBitmaps = jobBitmaps;
-    this.openJobs = openJobs;
+    this.jobsNeedingLeader = jobsNeedingLeader;
     this.membership = membership;
   }
 
@@ -84,7 +84,7 @@
     nextScanMs = now + Constants.JOB_FAILOVER_SCAN_INTERVAL_MS;
     List<String> liveNodes = membership.liveNodes();
     int claims = 0;
-    for (JobEntry job : new ArrayList<>(openJobs.all())) {
+    for (JobEntry job : new ArrayList<>(jobsNeedingLeader.all())) {
       String id = job.spec().id();
       if (store.isLive(job.leader(), job.incarnation())) {
         leaderlessJobs.remove(id);
--- a/src/main/java/mallowstall/core/jobs/JobLeader.java
+++ b/src/main/java/mallowstall/core/jobs/JobLeader.java
@@ -4,8 +4,8 @@
 import java.util.Collection;
 import java.util.List;
 import mallowstall.core.cluster.ClusterView;
+import mallowstall.core.cluster.JobsNeedingLeader;
 import mallowstall.core.cluster.Membership;
-import mallowstall.core.cluster.OpenJobs;
 import mallowstall.core.cluster.PeerMessenger;
 import mallowstall.core.kernel.EventClock;
 import mallowstall.core.kernel.PlacementTrigger;
@@ -41,7 +41,7 @@
       StateStore store,
       JobBitmaps jobBitmaps,
       ClusterView view,
-      OpenJobs openJobs,
+      JobsNeedingLeader jobsNeedingLeader,
       Membership membership,
       PeerMessenger messenger,
       PlacementTrigger placementTrigger) {
@@ -64,7 +64,7 @@
             attempts,
             reconciliation);
     recovery = new LeadershipRecovery(store, view, placementTrigger, jobs);
-    failover = new JobFailover(clock, settings, store, jobBitmaps, openJobs, membership);
+    failover = new JobFailover(clock, settings, store, jobBitmaps, jobsNeedingLeader, membership);
     completions = new CompletionRecorder(clock, store, jobBitmaps);
   }
 
--- a/src/main/java/mallowstall/core/placement/CapacitySnapshot.java
+++ b/src/main/java/mallowstall/core/placement/CapacityRefresher.java
@@ -14,7 +14,7 @@
  * Refreshes, at the beginning of a scheduling pass, the data on capacity and on queued work that
  * the pass uses.
  */
-public final class CapacitySnapshot {
+public final class CapacityRefresher {
   /** Number of free processors that a machine must exceed to be considered in a pass. */
   private static final double FREE_CPUS_MIN = 0.01;
 
@@ -25,7 +25,7 @@
   private final QueuedWork queuedWork;
 
   /** The ranking, the guaranteed shares and the queued work keep the refreshed totals. */
-  public CapacitySnapshot(
+  public CapacityRefresher(
       ClusterView view,
       JobLeader jobLeader,
       JobRanking ranking,
--- a/src/main/java/mallowstall/core/placement/GroupPlacer.java
+++ b/src/main/java/mallowstall/core/placement/GroupPlacer.java
@@ -17,7 +17,7 @@
   private final JobRanking ranking;
   private final QueuedWork queuedWork;
   private final PlacementBackoffs backoffs;
-  private final JobPlacements placements;
+  private final JobPlacementFactory placementFactory;
   private final BlockPlacer blockPlacer;
   private final PreemptingPlacer preemptingPlacer;
 
@@ -28,13 +28,13 @@
       JobRanking ranking,
       QueuedWork queuedWork,
       PlacementBackoffs backoffs,
-      JobPlacements placements,
+      JobPlacementFactory placementFactory,
       BlockPlacer blockPlacer,
       PreemptingPlacer preemptingPlacer) {
     this.ranking = ranking;
     this.queuedWork = queuedWork;
     this.backoffs = backoffs;
-    this.placements = placements;
+    this.placementFactory = placementFactory;
     this.blockPlacer = blockPlacer;
     this.preemptingPlacer = preemptingPlacer;
   }
@@ -77,11 +77,12 @@
       boolean mayYield = !ranking.isStarving(ledJob) && !ledJob.spec().isService();
       // Without the check of the quota, a job whose team has used up its quota would search in each
       // pass for capacity that it can't use.
-      boolean mustWait = backoffs.isWaiting(ledJob, now) || placements.isQuotaExhausted(ledJob);
+      boolean mustWait =
+          backoffs.isWaiting(ledJob, now) || placementFactory.isQuotaExhausted(ledJob);
       if (mustWait || (mayYield && queuedWork.mustYield(ledJob, now))) {
         continue;
       }
-      due.add(placements.begin(ledJob, machines));
+      due.add(placementFactory.begin(ledJob, machines));
     }
     return due;
   }
--- a/src/main/java/mallowstall/core/placement/JobPlacements.java
+++ b/src/main/java/mallowstall/core/placement/JobPlacementFactory.java
@@ -10,7 +10,7 @@
  * Creates the placement of a job in a scheduling pass, with the number of tasks to be placed and
  * the quota that the job may use.
  */
-public final class JobPlacements {
+public final class JobPlacementFactory {
   private final Policy.PolicyRegistry policies;
   private final JobRanking ranking;
   private final QuotaLedger quotaLedger;
@@ -20,7 +20,7 @@
    * Creates a factory of placements. The policies are found by job class. The ledger has the quota
    * reservations of led jobs.
    */
-  public JobPlacements(
+  public JobPlacementFactory(
       Policy.PolicyRegistry policies,
       JobRanking ranking,
       QuotaLedger quotaLedger,
--- a/src/main/java/mallowstall/core/placement/PlacementScheduler.java
+++ b/src/main/java/mallowstall/core/placement/PlacementScheduler.java
@@ -21,7 +21,7 @@
   private final StateStore store;
   private final MachineTypeCatalog types;
   private final JobLeader jobLeader;
-  private final CapacitySnapshot capacity;
+  private final CapacityRefresher capacityRefresher;
   private final PendingJobs pendingJobs;
   private final PlacementBackoffs backoffs;
   private final ReplicaRelocation relocation;
@@ -35,7 +35,7 @@
       StateStore store,
       MachineTypeCatalog types,
       JobLeader jobLeader,
-      CapacitySnapshot capacity,
+      CapacityRefresher capacityRefresher,
       PendingJobs pendingJobs,
       PlacementBackoffs backoffs,
       ReplicaRelocation relocation,
@@ -46,7 +46,7 @@
     this.store = store;
     this.types = types;
     this.jobLeader = jobLeader;
-    this.capacity = capacity;
+    this.capacityRefresher = capacityRefresher;
     this.pendingJobs = pendingJobs;
     this.backoffs = backoffs;
     this.relocation = relocation;
@@ -69,10 +69,10 @@
     if (!anyDue && !anyService) {
       return;
     }
-    capacity.refreshTotals();
+    capacityRefresher.refreshTotals();
     pendingJobs.sort();
-    List<MachineView> machines = capacity.availableMachines();
-    capacity.refreshReservations();
+    List<MachineView> machines = capacityRefresher.availableMachines();
+    capacityRefresher.refreshReservations();
     if (anyService) {
       relocation.runPass(machines, now);
     }
--- a/src/main/java/mallowstall/core/placement/QueuedWork.java
+++ b/src/main/java/mallowstall/core/placement/QueuedWork.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 import mallowstall.core.autoscaling.MachineDemand;
 import mallowstall.core.cluster.ClusterView;
+import mallowstall.core.cluster.JobsNeedingLeader;
 import mallowstall.core.cluster.MachineTypeCatalog;
 import mallowstall.core.cluster.MachineView;
-import mallowstall.core.cluster.OpenJobs;
 import mallowstall.core.jobs.LedJob;
 import mallowstall.core.kernel.EventClock;
 import mallowstall.core.kv.StateStore;
@@ -49,7 +49,7 @@
   private final CoreSettings settings;
   private final ClusterView view;
   private final MachineTypeCatalog types;
-  private final OpenJobs openJobs;
+  private final JobsNeedingLeader jobsNeedingLeader;
   private final MachineDemand demand;
   private final StateStore store;
   private final JobRanking ranking;
@@ -79,14 +79,14 @@
       StateStore store,
       ClusterView view,
       MachineTypeCatalog types,
-      OpenJobs openJobs,
+      JobsNeedingLeader jobsNeedingLeader,
       MachineDemand demand,
       JobRanking ranking) {
     this.clock = clock;
     this.settings = settings;
     this.view = view;
     this.types = types;
-    this.openJobs = openJobs;
+    this.jobsNeedingLeader = jobsNeedingLeader;
     this.demand = demand;
     this.store = store;
     this.ranking = ranking;
@@ -189,7 +189,7 @@
     warmSlotsByImage.clear();
     starvingSinceMs.keySet().removeIf(id -> store.job(id) == null || store.job(id).isTerminal());
     Map<String, JobSpec> specByImage = new HashMap<>();
-    for (JobEntry job : openJobs.all()) {
+    for (JobEntry job : jobsNeedingLeader.all()) {
       if (!job.isTerminal()) {
         specByImage.put(job.spec().image(), job.spec());
         addQueuedJob(job);
--- a/src/main/java/mallowstall/core/quota/GuaranteedShares.java
+++ b/src/main/java/mallowstall/core/quota/GuaranteedShares.java
@@ -6,7 +6,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import mallowstall.core.cluster.OpenJobs;
+import mallowstall.core.cluster.JobsNeedingLeader;
 import mallowstall.core.model.CoreSettings;
 import mallowstall.core.model.JobEntry;
 import mallowstall.core.model.JobSpec;
@@ -21,13 +21,13 @@
   private static final double TOLERANCE = 1e-9;
 
   private final CoreSettings settings;
-  private final OpenJobs openJobs;
+  private final JobsNeedingLeader jobsNeedingLeader;
   private final Set<String> guaranteedJobs = new HashSet<>();
 
   /** Creates shares that cover no job before the first {@link #recompute}. */
-  public GuaranteedShares(CoreSettings settings, OpenJobs openJobs) {
+  public GuaranteedShares(CoreSettings settings, JobsNeedingLeader jobsNeedingLeader) {
     this.settings = settings;
-    this.openJobs = openJobs;
+    this.jobsNeedingLeader = jobsNeedingLeader;
   }
 
   /** Returns whether the last {@link #recompute} found the job covered by its team's share. */
@@ -68,7 +68,7 @@
   /** Returns the unfinished jobs in the order of their submission. */
   private List<JobEntry> unfinishedBySubmission() {
     List<JobEntry> unfinished = new ArrayList<>();
-    for (JobEntry job : openJobs.all()) {
+    for (JobEntry job : jobsNeedingLeader.all()) {
       if (!job.isTerminal()) {
         unfinished.add(job);
       }
--- a/src/main/java/mallowstall/core/quota/QuotaLedger.java
+++ b/src/main/java/mallowstall/core/quota/QuotaLedger.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import mallowstall.Constants;
-import mallowstall.core.cluster.OpenJobs;
+import mallowstall.core.cluster.JobsNeedingLeader;
 import mallowstall.core.jobs.JobLeader;
 import mallowstall.core.jobs.LedJob;
 import mallowstall.core.kernel.EventClock;
@@ -65,7 +65,7 @@
       CoreSettings settings,
       StateStore store,
       JobBitmaps jobBitmaps,
-      OpenJobs openJobs,
+      JobsNeedingLeader jobsNeedingLeader,
       PlacementTrigger placementTrigger,
       JobLeader jobLeader,
       Comparator<LedJob> order) {
@@ -77,7 +77,7 @@
     this.jobLeader = jobLeader;
     this.order = order;
     teamQuotas = new TeamQuotas(settings, store);
-    quotaRelease = new QuotaRelease(clock, openJobs, teamQuotas);
+    quotaRelease = new QuotaRelease(clock, jobsNeedingLeader, teamQuotas);
   }
 
   /** Adjusts the reservations that need a change, by at most one transaction per team. */
--- a/src/main/java/mallowstall/core/quota/QuotaRelease.java
+++ b/src/main/java/mallowstall/core/quota/QuotaRelease.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Set;
 import mallowstall.Constants;
-import mallowstall.core.cluster.OpenJobs;
+import mallowstall.core.cluster.JobsNeedingLeader;
 import mallowstall.core.kernel.EventClock;
 import mallowstall.core.model.JobEntry;
 
@@ -20,7 +20,7 @@
   private static final double GPU_WEIGHT = 1e-3;
 
   private final EventClock clock;
-  private final OpenJobs openJobs;
+  private final JobsNeedingLeader jobsNeedingLeader;
   private final TeamQuotas teamQuotas;
 
   /** Id of the job that must release quota, by team. */
@@ -28,9 +28,9 @@
 
   private long nextSelectionMs;
 
-  QuotaRelease(EventClock clock, OpenJobs openJobs, TeamQuotas teamQuotas) {
+  QuotaRelease(EventClock clock, JobsNeedingLeader jobsNeedingLeader, TeamQuotas teamQuotas) {
     this.clock = clock;
-    this.openJobs = openJobs;
+    this.jobsNeedingLeader = jobsNeedingLeader;
     this.teamQuotas = teamQuotas;
   }
 
@@ -48,7 +48,7 @@
     releasingJobs.clear();
     Map<String, JobEntry> largestByTeam = new HashMap<>();
     Set<String> starvedTeams = new HashSet<>();
-    for (JobEntry job : openJobs.all()) {
+    for (JobEntry job : jobsNeedingLeader.all()) {
       if (job.isTerminal() || !teamQuotas.hasQuota(job.spec())) {
         continue;
       }
--- a/src/test/java/mallowstall/OneController.java
+++ b/src/test/java/mallowstall/SingleControllerHarness.java
@@ -36,7 +36,7 @@
  * A controller core with an in-memory state service and cloud; its time is simulated, so that runs
  * are repeatable.
  */
-public final class OneController implements Effects {
+public final class SingleControllerHarness implements Effects {
   private static final long BEGIN_WALL_MS = 1_700_000_000_000L;
   private static final long STEP_MS = 10;
 
@@ -55,7 +55,7 @@
   private boolean stateServiceAnswers = true;
 
   /** Creates the controller n1 with these peers and the machine types that the cloud offers. */
-  public OneController(List<String> peers, List<MachineType> types) {
+  public SingleControllerHarness(List<String> peers, List<MachineType> types) {
     this.types = types;
     CoreSettings settings =
         CoreSettingsBuilder.settingsOf("n1")
--- a/src/test/java/mallowstall/core/placement/PreemptionOrderTest.java
+++ b/src/test/java/mallowstall/core/placement/PreemptionOrderTest.java
@@ -12,7 +12,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.SplittableRandom;
-import mallowstall.core.cluster.OpenJobs;
+import mallowstall.core.cluster.JobsNeedingLeader;
 import mallowstall.core.model.CoreSettingsBuilder;
 import mallowstall.core.model.JobEntry;
 import mallowstall.core.model.JobSpec;
@@ -27,7 +27,7 @@
   private static final int JOBS = 8;
   private static final List<String> TEAMS = List.of("one", "two", "three");
 
-  private final OpenJobs openJobs = new OpenJobs();
+  private final JobsNeedingLeader jobsNeedingLeader = new JobsNeedingLeader();
   private final GuaranteedShares shares =
       new GuaranteedShares(
           CoreSettingsBuilder.settingsOf("n1")
@@ -37,12 +37,12 @@
                       "two", new Team("two", 16, 0, 0, 0),
                       "three", new Team("three", 0, 0, 0, 0)))
               .build(),
-          openJobs);
+          jobsNeedingLeader);
   private final PreemptionOrder order = new PreemptionOrder(shares);
 
   private JobSpec openJob(String id, String team, Priority priority, int cpus, long submittedMs) {
     JobSpec spec = batchJob(id).team(team).priority(priority).cpus(cpus).build();
-    openJobs.jobChanged(null, JobEntry.newlyAccepted(spec, submittedMs, "n1", 1));
+    jobsNeedingLeader.jobChanged(null, JobEntry.newlyAccepted(spec, submittedMs, "n1", 1));
     shares.recompute();
     return spec;
   }
--- a/src/test/java/mallowstall/users/GoldenAnswersTest.java
+++ b/src/test/java/mallowstall/users/GoldenAnswersTest.java
@@ -4,7 +4,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import mallowstall.Fixtures;
-import mallowstall.OneController;
+import mallowstall.SingleControllerHarness;
 import mallowstall.core.model.MachineType;
 import mallowstall.core.model.StoredEntry;
 import mallowstall.json.JsonReader;
@@ -19,7 +19,8 @@
       new MachineType("g8", 32, 8, 256, 400, 1.5, 12, 4, 90, List.of("a", "b"));
 
   private final StringBuilder responses = new StringBuilder();
-  private OneController controller = new OneController(List.of(), List.of(TYPE));
+  private SingleControllerHarness controller =
+      new SingleControllerHarness(List.of(), List.of(TYPE));
 
   private Responder recordResponse(String label) {
     return (status, json, retryAfterS) ->
@@ -138,18 +139,18 @@
 
   @Test
   void requestsThatCannotBeDecidedYetAreToBeRetried() throws IOException {
-    controller = new OneController(List.of(), List.of());
+    controller = new SingleControllerHarness(List.of(), List.of());
     controller.pass(2_000);
     submit("no types", SubmissionTest.GOOD);
 
-    controller = new OneController(List.of(), List.of(TYPE));
+    controller = new SingleControllerHarness(List.of(), List.of(TYPE));
     controller.stateServiceAnswers(false);
     controller.pass(2_000);
     submit("never synced", SubmissionTest.GOOD);
     query("never synced, asked", "wk-000412");
     cancel("never synced, cancelled", "wk-000412");
 
-    controller = new OneController(List.of(), List.of(TYPE));
+    controller = new SingleControllerHarness(List.of(), List.of(TYPE));
     controller.pass(2_000);
     submit("recorded", SubmissionTest.GOOD);
     controller.stateServiceAnswers(false);
--- a/src/test/java/mallowstall/users/MalformedRepetitionTest.java
+++ b/src/test/java/mallowstall/users/MalformedRepetitionTest.java
@@ -5,7 +5,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import mallowstall.OneController;
+import mallowstall.SingleControllerHarness;
 import mallowstall.core.model.MachineType;
 import mallowstall.net.HttpServer.Request;
 import org.junit.jupiter.api.BeforeEach;
@@ -19,7 +19,8 @@
   private static final MachineType TYPE =
       new MachineType("g8", 128, 8, 1_024, 400, 1.5, 12, 4, 90, List.of("a", "b"));
 
-  private final OneController controller = new OneController(List.of(), List.of(TYPE));
+  private final SingleControllerHarness controller =
+      new SingleControllerHarness(List.of(), List.of(TYPE));
   private final UserApiHandler users = new UserApiHandler(controller.core());
 
   @BeforeEach
--- a/src/test/java/mallowstall/workers/GoldenReportAnswersTest.java
+++ b/src/test/java/mallowstall/workers/GoldenReportAnswersTest.java
@@ -4,7 +4,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import mallowstall.Fixtures;
-import mallowstall.OneController;
+import mallowstall.SingleControllerHarness;
 import mallowstall.core.model.MachineType;
 import mallowstall.core.model.SessionEntry;
 import mallowstall.net.HttpServer.Request;
@@ -29,7 +29,7 @@
     };
   }
 
-  private void sendHeartbeat(OneController controller, String label, String fields)
+  private void sendHeartbeat(SingleControllerHarness controller, String label, String fields)
       throws IOException {
     WorkerHttpAdapter workers = new WorkerHttpAdapter(controller.core(), null, Runnable::run, 1);
     String json = "{\"calibre\":\"g8\",\"patio\":\"a\",\"turno\":1," + fields + "}";
@@ -45,7 +45,7 @@
 
   @Test
   void heartbeatResponsesHoldCommands() throws IOException {
-    OneController controller = new OneController(List.of(), List.of(TYPE));
+    SingleControllerHarness controller = new SingleControllerHarness(List.of(), List.of(TYPE));
     String machineFields = "\"sierra\":\"m-000001\",\"addr\":\"10.0.0.1:90\",\"folio\":";
     String job =
         Examples.JOB.replace("\"piezas\":16", "\"piezas\":1").replace("\"gpus\":1.0", "\"gpus\":0");
@@ -83,7 +83,7 @@
 
   @Test
   void workersAreRedirectedToTheirController() throws IOException {
-    OneController controller = new OneController(List.of("n2"), List.of(TYPE));
+    SingleControllerHarness controller = new SingleControllerHarness(List.of("n2"), List.of(TYPE));
     controller.put("c/n/n2", new SessionEntry("n2", 1));
     controller.pass(2_000);
 
