--- a/src/main/java/mallowstall/AdapterEffects.java
+++ b/src/main/java/mallowstall/AdapterEffects.java
@@ -61,7 +61,7 @@
 
   @Override
   public int encodedSizeBytes(StoredEntry value) {
-    return state.encodedSize(value);
+    return state.encodedSizeBytes(value);
   }
 
   @Override
--- a/src/main/java/mallowstall/ControllerMetrics.java
+++ b/src/main/java/mallowstall/ControllerMetrics.java
@@ -62,7 +62,7 @@
   }
 
   /** Returns all metrics in the text format of Prometheus, with latencies in seconds. */
-  String text() {
+  String prometheusText() {
     StringBuilder text = new StringBuilder();
     for (Map.Entry<String, Counter> entry : counters.entrySet()) {
       text.append("mallowstall_")
--- a/src/main/java/mallowstall/RequestRouter.java
+++ b/src/main/java/mallowstall/RequestRouter.java
@@ -93,7 +93,7 @@
 
   private void metrics(Request request, Responder responder) {
     if (requireMethod(GET, request, responder)) {
-      responder.answer(HttpStatus.OK, metrics.text().getBytes(StandardCharsets.UTF_8), 0);
+      responder.answer(HttpStatus.OK, metrics.prometheusText().getBytes(StandardCharsets.UTF_8), 0);
     }
   }
 
@@ -120,9 +120,9 @@
     }
 
     @Override
-    public void answerAtDeparture(LongFunction<Response> responseAt) {
+    public void answerAtWriteTime(LongFunction<Response> responseAt) {
       recordDuration();
-      responder.answerAtDeparture(responseAt);
+      responder.answerAtWriteTime(responseAt);
     }
 
     private void recordDuration() {
--- a/src/main/java/mallowstall/cli/Main.java
+++ b/src/main/java/mallowstall/cli/Main.java
@@ -42,7 +42,7 @@
    */
   public static void main(String[] args) throws Exception {
     LibraryProperties.set();
-    int code = isPlainServe(args) ? serve(Path.of(args[1]), null) : execute(args);
+    int code = isConfigOnly(args) ? serve(Path.of(args[1]), null) : execute(args);
     if (code != SERVING) {
       System.exit(code);
     }
@@ -58,7 +58,7 @@
    * of the processor time from process start to serving. The class archive can't contain these
    * classes, because their class-file version is too old.
    */
-  static boolean isPlainServe(String[] args) {
+  static boolean isConfigOnly(String[] args) {
     return args.length == 2 && args[0].equals(CONFIG) && !args[1].startsWith("-");
   }
 
--- a/src/main/java/mallowstall/core/ClusterModules.java
+++ b/src/main/java/mallowstall/core/ClusterModules.java
@@ -73,7 +73,7 @@
     clusterVersion = new ClusterVersion(settings, store);
     jobBitmaps =
         new JobBitmaps(
-            settings, effects::encodedSizeBytes, clusterVersion::allowsSmallPieces, store::entry);
+            settings, effects::encodedSizeBytes, clusterVersion::allowsCompactLayout, store::entry);
     messenger = new PeerMessenger(settings, effects, store, view, ownStarts, ownStops);
     placementTrigger = new PlacementTrigger(clock, eventLoopLag);
   }
--- a/src/main/java/mallowstall/core/ControllerCore.java
+++ b/src/main/java/mallowstall/core/ControllerCore.java
@@ -159,7 +159,7 @@
         cluster.effects,
         cluster.store,
         formerProcessLeases,
-        acceptances::giveUpUnanswered);
+        acceptances::closeUnanswered);
   }
 
   private JobApi newJobApi() {
@@ -196,7 +196,7 @@
         jobLeader::reloadCompletionBits,
         machines.leadershipChanges::machineChanged,
         List.of(cluster.view::removeMachine, jobLeader::removeMachineAttempts),
-        machines.restartRecovery::handleCompetingEntry,
+        machines.restartRecovery::handleSupersededEntry,
         cluster.returnedMachines::add,
         machines.statusPublisher::requestPublish,
         this::replicaComplete);
@@ -298,7 +298,7 @@
   @Override
   public void peerConnected(String node, long connection) {
     cluster.messenger.peerConnected(node, connection);
-    acceptances.giveUpUnanswered();
+    acceptances.closeUnanswered();
   }
 
   @Override
@@ -362,8 +362,8 @@
   /**
    * Returns the ids of machines with attempts that nothing would ever end. Each of them is a fault.
    */
-  List<String> unknownAttemptMachines() {
-    return jobLeader.unknownAttemptMachines();
+  List<String> unknownMachinesWithAttempts() {
+    return jobLeader.unknownMachinesWithAttempts();
   }
 
   /** Sends a stop request to a machine leader. */
--- a/src/main/java/mallowstall/core/api/AcceptanceLookup.java
+++ b/src/main/java/mallowstall/core/api/AcceptanceLookup.java
@@ -84,7 +84,7 @@
       callback = null;
       pendingLookups--;
       // a peer may have restarted with an older version, whose leases end sooner
-      boolean isValid = clock.now() <= validUntilMs && clusterVersion.allowsAcceptanceQueries();
+      boolean isValid = clock.now() <= validUntilMs && clusterVersion.allowsAbsenceLeases();
       completed.accept(isValid ? absence : Absence.UNCONFIRMED);
     }
   }
@@ -144,8 +144,8 @@
       callback.accept(Absence.CONFIRMED);
       return;
     }
-    if (!clusterVersion.allowsAcceptanceQueries()
-        || !connectivity.hearsAllPeers()
+    if (!clusterVersion.allowsAbsenceLeases()
+        || !connectivity.hasRecentUpdatesFromAllPeers()
         || pendingLookups >= LOOKUPS_MAX) {
       callback.accept(Absence.UNCONFIRMED);
       return;
@@ -206,7 +206,7 @@
    * does not know the leases that its predecessor granted, so lookups that rely on those leases are
    * not confirmed.
    */
-  public void giveUpUnanswered() {
+  public void closeUnanswered() {
     List.copyOf(unanswered.keySet()).forEach(this::close);
   }
 
--- a/src/main/java/mallowstall/core/api/FormerProcessLeases.java
+++ b/src/main/java/mallowstall/core/api/FormerProcessLeases.java
@@ -50,7 +50,7 @@
    */
   public void tick() {
     // An older version does not know the message, or continues to rely on the leases.
-    if (areOver() || store.incarnation() == 0 || !clusterVersion.allowsAcceptanceQueries()) {
+    if (areOver() || store.incarnation() == 0 || !clusterVersion.allowsAbsenceLeases()) {
       return;
     }
     AcceptanceQuery query =
--- a/src/main/java/mallowstall/core/autoscaling/MachineDemand.java
+++ b/src/main/java/mallowstall/core/autoscaling/MachineDemand.java
@@ -108,12 +108,12 @@
    * type is the smallest one on which some open job fits.
    */
   public boolean isScarce(JobSpec spec, String type) {
-    String smallest = minimalType(spec);
+    String smallest = smallestType(spec);
     return smallest != null && !smallest.equals(type) && smallestTypesInUse.contains(type);
   }
 
   /** Returns the smallest type on which a task of the job fits, or null if it fits on none. */
-  public String minimalType(JobSpec spec) {
+  public String smallestType(JobSpec spec) {
     String cached = smallestTypeByJob.get(spec.id());
     if (cached != null) {
       return cached;
@@ -177,7 +177,7 @@
   private void addJob(
       JobEntry job, Map<String, Double> remainingCpusByTeam, Map<String, Double> urgentByType) {
     JobSpec spec = job.spec();
-    String typeName = minimalType(spec);
+    String typeName = smallestType(spec);
     if (typeName == null) {
       return;
     }
@@ -309,7 +309,7 @@
   }
 
   /** Returns whether the machine is reserved for urgent jobs. */
-  public boolean isReserved(String machine) {
+  public boolean isReservedForUrgent(String machine) {
     return reservedForUrgent.contains(machine);
   }
 }
--- a/src/main/java/mallowstall/core/autoscaling/ScaleOut.java
+++ b/src/main/java/mallowstall/core/autoscaling/ScaleOut.java
@@ -156,7 +156,7 @@
     unplaceableJobs.retainOpen(jobsNeedingLeader.all());
     for (JobEntry job : jobsNeedingLeader.all()) {
       JobSpec spec = job.spec();
-      if (job.isTerminal() || !type.equals(demand.minimalType(spec))) {
+      if (job.isTerminal() || !type.equals(demand.smallestType(spec))) {
         continue;
       }
       List<String> zones =
--- a/src/main/java/mallowstall/core/cluster/CancellationExchange.java
+++ b/src/main/java/mallowstall/core/cluster/CancellationExchange.java
@@ -84,7 +84,7 @@
    *
    * @param job the job's entry; null if it is unknown
    */
-  public boolean isOver(String id, JobEntry job) {
+  public boolean hasEnded(String id, JobEntry job) {
     return (job != null && job.isTerminal()) || isReportedByPeer(id);
   }
 
--- a/src/main/java/mallowstall/core/cluster/ClusterVersion.java
+++ b/src/main/java/mallowstall/core/cluster/ClusterVersion.java
@@ -29,7 +29,7 @@
   }
 
   /** Returns whether every controller reads completion bitmaps in the compact layout. */
-  public boolean allowsSmallPieces() {
+  public boolean allowsCompactLayout() {
     return lowestVersion() >= ProgramVersion.WITH_SERVICES;
   }
 
@@ -43,7 +43,7 @@
    * user's request because the job was never accepted. Versions that have acceptance queries but
    * shorter leases don't suffice.
    */
-  public boolean allowsAcceptanceQueries() {
+  public boolean allowsAbsenceLeases() {
     return lowestVersion() >= ProgramVersion.WITH_LASTING_LEASES;
   }
 
--- a/src/main/java/mallowstall/core/cluster/ClusterView.java
+++ b/src/main/java/mallowstall/core/cluster/ClusterView.java
@@ -115,7 +115,7 @@
     lastUpdateChangedMachines = false;
     for (MachineStatus status : update.machines()) {
       // The machine's entry is deleted, but the machine leader hasn't seen the deletion yet.
-      if (store.returned(status.machine(), status.entryRevision())) {
+      if (store.isMachineReturned(status.machine(), status.entryRevision())) {
         continue;
       }
       MachineView machine = machines.computeIfAbsent(status.machine(), MachineView::new);
@@ -191,7 +191,7 @@
   /** Returns whether the entry on which the machine's newest status is based has been deleted. */
   private boolean isReturned(MachineView machine) {
     return machine.status() != null
-        && store.returned(machine.id(), machine.status().entryRevision());
+        && store.isMachineReturned(machine.id(), machine.status().entryRevision());
   }
 
   /**
@@ -219,7 +219,7 @@
   }
 
   /** Collects the machine's images again if its status has changed since the last collection. */
-  public void updateDerivedState(MachineView machine) {
+  public void refreshImages(MachineView machine) {
     if (machine.hasCurrentImages()) {
       return;
     }
--- a/src/main/java/mallowstall/core/cluster/Connectivity.java
+++ b/src/main/java/mallowstall/core/cluster/Connectivity.java
@@ -53,7 +53,7 @@
   }
 
   /** Returns whether this controller has recently received a status update from every peer. */
-  public boolean hearsAllPeers() {
+  public boolean hasRecentUpdatesFromAllPeers() {
     for (String peer : settings.peers()) {
       if (!hasRecentUpdate(view.peer(peer))) {
         return false;
--- a/src/main/java/mallowstall/core/cluster/MachineView.java
+++ b/src/main/java/mallowstall/core/cluster/MachineView.java
@@ -169,7 +169,7 @@
 
   /**
    * Returns the images on the machine and the images that its tasks need, as of the last {@link
-   * ClusterView#updateDerivedState}. The array must not be changed.
+   * ClusterView#refreshImages}. The array must not be changed.
    */
   public String[] images() {
     return images;
@@ -177,7 +177,7 @@
 
   /**
    * Returns the image of each task that is fetching its image or has only been accepted, as of the
-   * last {@link ClusterView#updateDerivedState}. The list must not be changed.
+   * last {@link ClusterView#refreshImages}. The list must not be changed.
    */
   public List<String> fetchingImages() {
     return fetchingImages;
@@ -193,7 +193,7 @@
   }
 
   /** Removes recorded preemptions that may be requested again at this steady time. */
-  public void forgetPreemptions(long now) {
+  public void removeExpiredPreemptions(long now) {
     preemptedUntilMs.values().removeIf(untilMs -> untilMs <= now);
   }
 
--- a/src/main/java/mallowstall/core/jobs/JobLeader.java
+++ b/src/main/java/mallowstall/core/jobs/JobLeader.java
@@ -167,7 +167,7 @@
    * the state replica. No event would release these attempts any more, so the list must be empty.
    * Used by tests.
    */
-  public List<String> unknownAttemptMachines() {
+  public List<String> unknownMachinesWithAttempts() {
     return attempts.machines().stream()
         .filter(id -> view.machine(id) == null && store.machine(id) == null)
         .toList();
--- a/src/main/java/mallowstall/core/kv/StateChangeDispatcher.java
+++ b/src/main/java/mallowstall/core/kv/StateChangeDispatcher.java
@@ -93,7 +93,7 @@
   }
 
   @Override
-  public void advanced() {
+  public void replicaAdvanced() {
     advanced.run();
   }
 
--- a/src/main/java/mallowstall/core/kv/StateChangeListener.java
+++ b/src/main/java/mallowstall/core/kv/StateChangeListener.java
@@ -31,7 +31,7 @@
   void entryChanged(String key, StoredEntry before, StoredEntry after);
 
   /** Called when a watch has returned, so that the replica is up to date as of a later time. */
-  void advanced();
+  void replicaAdvanced();
 
   /** Called when all keys have been listed. The listing is complete up to this revision. */
   void replicaSynced(long revision);
--- a/src/main/java/mallowstall/core/kv/StateReplica.java
+++ b/src/main/java/mallowstall/core/kv/StateReplica.java
@@ -250,7 +250,7 @@
 
   /** Notifies the listener that a watch has returned without missing a change. */
   void notifyAdvanced() {
-    listener.advanced();
+    listener.replicaAdvanced();
   }
 
   /** Notifies the listener that all keys have been listed, completely up to this revision. */
--- a/src/main/java/mallowstall/core/kv/StateStore.java
+++ b/src/main/java/mallowstall/core/kv/StateStore.java
@@ -110,7 +110,7 @@
   }
 
   /** Returns whether the machine's entry written at this revision has been deleted since. */
-  public boolean returned(String machine, long entryRevision) {
+  public boolean isMachineReturned(String machine, long entryRevision) {
     return machine(machine) == null && entryRevision <= revision();
   }
 
--- a/src/main/java/mallowstall/core/machines/DirectCommands.java
+++ b/src/main/java/mallowstall/core/machines/DirectCommands.java
@@ -156,7 +156,7 @@
           !reservation.sent()
               && !machine.tasks().hasPendingStop(reservation.key())
               && job != null
-              && !cancellations.isOver(start.job(), job)
+              && !cancellations.hasEnded(start.job(), job)
               && clock.wallClockMs() <= start.expiryWallMs();
       if (due && starts.size() < limit) {
         starts.add(reservation);
--- a/src/main/java/mallowstall/core/machines/HeartbeatResponder.java
+++ b/src/main/java/mallowstall/core/machines/HeartbeatResponder.java
@@ -89,7 +89,7 @@
     if (job == null || machine.commands().isUnacknowledged(attempt.key())) {
       return false;
     }
-    return cancellations.isOver(task.job(), job)
+    return cancellations.hasEnded(task.job(), job)
         || jobBitmaps.isRecordedCompleted(job, task.task())
         || (machines.restartsAfterExit(task) && machine.published().isExitPublished(attempt));
   }
@@ -112,7 +112,7 @@
   }
 
   private boolean noLongerNeeded(String id, JobEntry job, int task) {
-    return cancellations.isOver(id, job)
+    return cancellations.hasEnded(id, job)
         || (job != null && jobBitmaps.isRecordedCompleted(job, task));
   }
 
--- a/src/main/java/mallowstall/core/machines/LeadershipChanges.java
+++ b/src/main/java/mallowstall/core/machines/LeadershipChanges.java
@@ -38,7 +38,7 @@
   /** Applies a change of a machine's entry, null if deleted because the machine was returned. */
   public void machineChanged(String id, MachineEntry entry) {
     if (entry != null) {
-      restartRecovery.noteInterveningLeader(id, entry);
+      restartRecovery.recordInterveningLeader(id, entry);
     }
     ManagedMachine machine = machines.get(id);
     if (machine == null) {
--- a/src/main/java/mallowstall/core/machines/RestartRecovery.java
+++ b/src/main/java/mallowstall/core/machines/RestartRecovery.java
@@ -62,8 +62,8 @@
    * the former process and this one. That controller may have renewed the worker's lease, so the
    * lease can't expire before the worker has acknowledged the new fencing token.
    */
-  public void handleCompetingEntry(String id, MachineEntry machineEntry) {
-    noteInterveningLeader(id, machineEntry);
+  public void handleSupersededEntry(String id, MachineEntry machineEntry) {
+    recordInterveningLeader(id, machineEntry);
     ManagedMachine machine = machines.get(id);
     if (machine != null && machine.recovered() && !machineEntry.node().equals(settings.node())) {
       machine.markInterveningLeader();
@@ -74,7 +74,7 @@
    * Records that another controller wrote the machine's entry while the write of this process's own
    * entry for the recovery is in flight.
    */
-  void noteInterveningLeader(String id, MachineEntry machineEntry) {
+  void recordInterveningLeader(String id, MachineEntry machineEntry) {
     if (!machineEntry.node().equals(settings.node())) {
       recoveriesInFlight.computeIfPresent(id, (k, v) -> true);
     }
@@ -115,7 +115,7 @@
   /**
    * Returns whether the entry names a former process of this controller. That process has ended, so
    * no controller answers the worker unless another one has become the machine's leader. In that
-   * case {@link #handleCompetingEntry} is called before the lease can expire.
+   * case {@link #handleSupersededEntry} is called before the lease can expire.
    */
   private boolean isFromFormerIncarnation(MachineEntry machineEntry) {
     return machineEntry != null
--- a/src/main/java/mallowstall/core/machines/StartAdmission.java
+++ b/src/main/java/mallowstall/core/machines/StartAdmission.java
@@ -65,7 +65,7 @@
 
   /** Returns the reason for which the request itself is obsolete, or null if it is current. */
   private String obsoleteReason(StartBatch startBatch, StartRequest start, JobEntry job) {
-    if (cancellations.isOver(start.job(), job)) {
+    if (cancellations.hasEnded(start.job(), job)) {
       return "job is over";
     }
     if (start.leaderEpoch() < job.epoch()) {
--- a/src/main/java/mallowstall/core/placement/GroupPlacer.java
+++ b/src/main/java/mallowstall/core/placement/GroupPlacer.java
@@ -44,7 +44,7 @@
    * capacity, at most {@code maxStarts}.
    */
   int place(List<LedJob> group, List<MachineView> machines, int maxStarts, long now) {
-    List<JobPlacement> jobPlacements = beginPlacements(group, machines, now);
+    List<JobPlacement> jobPlacements = createPlacements(group, machines, now);
     int blockCount = 0;
     for (JobPlacement placement : jobPlacements) {
       blockCount = Math.max(blockCount, placement.policy().blocks().size());
@@ -67,10 +67,10 @@
   }
 
   /**
-   * Begins the placements of those jobs that aren't backing off, have quota left and needn't yield
+   * Creates the placements of those jobs that aren't backing off, have quota left and needn't yield
    * to jobs of other controllers.
    */
-  private List<JobPlacement> beginPlacements(
+  private List<JobPlacement> createPlacements(
       List<LedJob> group, List<MachineView> machines, long now) {
     List<JobPlacement> due = new ArrayList<>();
     for (LedJob ledJob : group) {
@@ -82,7 +82,7 @@
       if (mustWait || (mayYield && queuedWork.mustYield(ledJob, now))) {
         continue;
       }
-      due.add(placementFactory.begin(ledJob, machines));
+      due.add(placementFactory.create(ledJob, machines));
     }
     return due;
   }
--- a/src/main/java/mallowstall/core/placement/JobPlacementFactory.java
+++ b/src/main/java/mallowstall/core/placement/JobPlacementFactory.java
@@ -32,7 +32,7 @@
   }
 
   /** Creates the placement of a job on these machines, which have free capacity. */
-  JobPlacement begin(LedJob ledJob, List<MachineView> machines) {
+  JobPlacement create(LedJob ledJob, List<MachineView> machines) {
     JobSpec spec = ledJob.spec();
     return new JobPlacement(
         ledJob,
--- a/src/main/java/mallowstall/core/placement/JobRanking.java
+++ b/src/main/java/mallowstall/core/placement/JobRanking.java
@@ -150,7 +150,7 @@
     JobSpec spec = ledJob.spec();
     double slots =
         Math.max(
-            1, totalCpusByType.getDouble(demand.minimalType(spec)) / Math.max(0.01, spec.cpus()));
+            1, totalCpusByType.getDouble(demand.smallestType(spec)) / Math.max(0.01, spec.cpus()));
     double workS = ledJob.pending() * spec.estimatedRunS() / slots;
     double slackS =
         spec.deadlineS() == null
--- a/src/main/java/mallowstall/core/placement/PolicyFacts.java
+++ b/src/main/java/mallowstall/core/placement/PolicyFacts.java
@@ -48,7 +48,7 @@
     evaluateMachine(machine, type);
     evaluateImage(machine, type, ledJob.spec());
     evaluateJob(ledJob, now);
-    facts.reservedForUrgent = demand.isReserved(machine.id());
+    facts.reservedForUrgent = demand.isReservedForUrgent(machine.id());
     facts.scarceType = demand.isScarce(ledJob.spec(), machine.status().type());
     return facts;
   }
@@ -71,7 +71,7 @@
     facts.imagePresent = machine.status().images().contains(spec.image());
     int fetching = 0;
     boolean fetchingSameImage = false;
-    view.updateDerivedState(machine);
+    view.refreshImages(machine);
     for (String other : machine.fetchingImages()) {
       if (other.equals(spec.image())) {
         fetchingSameImage = true;
--- a/src/main/java/mallowstall/core/placement/Preemption.java
+++ b/src/main/java/mallowstall/core/placement/Preemption.java
@@ -192,7 +192,7 @@
   /** Returns the tasks on the machine that the job may preempt. */
   private List<TaskStatus> preemptibleTasks(LedJob ledJob, MachineView machine, long now) {
     boolean claimsShare = mayClaimGuaranteedShare(ledJob, now);
-    machine.forgetPreemptions(now);
+    machine.removeExpiredPreemptions(now);
     List<TaskStatus> preemptible = new ArrayList<>();
     for (TaskStatus task : machine.status().tasks()) {
       JobEntry job = task.state() == null ? null : store.job(task.job());
--- a/src/main/java/mallowstall/core/placement/QueuedWork.java
+++ b/src/main/java/mallowstall/core/placement/QueuedWork.java
@@ -127,7 +127,7 @@
    * capacity.
    */
   boolean mustYield(LedJob ledJob, long now) {
-    String type = demand.minimalType(ledJob.spec());
+    String type = demand.smallestType(ledJob.spec());
     if (type == null) {
       return false;
     }
@@ -223,7 +223,7 @@
     }
     int rank = starves ? 0 : ranking.rank(job, spec);
     double cpus = (starves ? spec.starvationTasks() : tasks) * spec.cpus();
-    String minimalType = demand.minimalType(spec);
+    String minimalType = demand.smallestType(spec);
     queuedJobs.add(new QueuedJob(spec.id(), rank, minimalType, job.leader(), cpus));
     if (starves && !spec.isService() && minimalType != null) {
       starvingJobs.add(new StarvingJob(job, minimalType));
@@ -237,7 +237,7 @@
 
   /** Adds the machine's task slots, divided evenly among its images that tasks wait for. */
   private void addWarmSlots(MachineView machine, Map<String, JobSpec> specByImage) {
-    view.updateDerivedState(machine);
+    view.refreshImages(machine);
     int queuedImages = 0;
     for (String image : machine.images()) {
       if (queuedSecondsByImage.containsKey(image)) {
--- a/src/main/java/mallowstall/net/HttpServer.java
+++ b/src/main/java/mallowstall/net/HttpServer.java
@@ -55,7 +55,7 @@
      * {@link SteadyClock}. A responder without a connection has no time of the write and passes
      * {@link Long#MIN_VALUE}, for which no response is too late.
      */
-    default void answerAtDeparture(LongFunction<Response> responseAt) {
+    default void answerAtWriteTime(LongFunction<Response> responseAt) {
       Response response = responseAt.apply(Long.MIN_VALUE);
       answer(response.status(), response.json(), response.retryAfterS());
     }
@@ -344,7 +344,7 @@
        * rest would be sent too late.
        */
       @Override
-      public void answerAtDeparture(LongFunction<Response> responseAt) {
+      public void answerAtWriteTime(LongFunction<Response> responseAt) {
         if (answered) {
           return;
         }
--- a/src/main/java/mallowstall/state/StateServiceClient.java
+++ b/src/main/java/mallowstall/state/StateServiceClient.java
@@ -86,7 +86,7 @@
   }
 
   /** Returns the size in bytes of the value as it is sent. */
-  public int encodedSize(StoredEntry value) {
+  public int encodedSizeBytes(StoredEntry value) {
     return StoredEntries.encode(value).length;
   }
 
--- a/src/main/java/mallowstall/users/UserApiHandler.java
+++ b/src/main/java/mallowstall/users/UserApiHandler.java
@@ -85,7 +85,7 @@
     if (response.validUntilMs() == ApiResponse.ALWAYS_VALID) {
       responder.answer(encoded.status(), encoded.json(), encoded.retryAfterS());
     } else {
-      responder.answerAtDeparture(steadyMs -> response.mayLeaveAt(steadyMs) ? encoded : EXPIRED);
+      responder.answerAtWriteTime(steadyMs -> response.mayLeaveAt(steadyMs) ? encoded : EXPIRED);
     }
   }
 
--- a/src/test/java/mallowstall/ControllerTest.java
+++ b/src/test/java/mallowstall/ControllerTest.java
@@ -166,7 +166,7 @@
       exchanges.append(exchange(line + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"));
     }
     exchanges.append(exchange("no request\r\n\r\n"));
-    Fixtures.assertSame("service-answers.txt", exchanges.toString().stripTrailing());
+    Fixtures.assertMatchesFixture("service-answers.txt", exchanges.toString().stripTrailing());
   }
 
   @Test
--- a/src/test/java/mallowstall/Fixtures.java
+++ b/src/test/java/mallowstall/Fixtures.java
@@ -27,7 +27,7 @@
   }
 
   /** Asserts that the text equals the file, and stores it under target/golden for comparison. */
-  public static void assertSame(String file, String actual) throws IOException {
+  public static void assertMatchesFixture(String file, String actual) throws IOException {
     Path copy = Path.of("target", "golden", file);
     Files.createDirectories(copy.getParent());
     Files.writeString(copy, actual + "\n");
--- a/src/test/java/mallowstall/SingleControllerHarness.java
+++ b/src/test/java/mallowstall/SingleControllerHarness.java
@@ -52,7 +52,7 @@
   private long revision;
   private long lastLease;
   private long now = 1_000;
-  private boolean stateServiceAnswers = true;
+  private boolean stateServiceAvailable = true;
 
   /** Creates the controller n1 with these peers and the machine types that the cloud offers. */
   public SingleControllerHarness(List<String> peers, List<MachineType> types) {
@@ -61,9 +61,9 @@
         CoreSettingsBuilder.settingsOf("n1")
             .peers(peers)
             .teams(Map.of("vision", new Team("vision", 0, 40, 0, 4)))
-            .stateRates(1_000, 500)
+            .stateRateLimits(1_000, 500)
             .stateLimits(24, 16_384)
-            .cloud(0.01, 10_000)
+            .cloudLimits(0.01, 10_000)
             .build();
     core = new ControllerCore(settings, this, Policies.bundled(), new Uncounted(), 7);
   }
@@ -89,12 +89,12 @@
   }
 
   /** Sets whether the state service serves requests (true) or rejects them (false). */
-  public void stateServiceAnswers(boolean answers) {
-    stateServiceAnswers = answers;
+  public void setStateServiceAvailable(boolean available) {
+    stateServiceAvailable = available;
   }
 
   /** Advances the time by this many milliseconds and processes the events that come due. */
-  public void pass(long ms) {
+  public void advanceTime(long ms) {
     for (long end = now + ms; now < end; now += STEP_MS) {
       core.setTime(now, BEGIN_WALL_MS + now);
       for (Runnable event = events.poll(); event != null; event = events.poll()) {
@@ -135,7 +135,7 @@
   @Override
   public void transact(Transaction txn, Consumer<TransactionResult> then) {
     TransactionResult reply =
-        stateServiceAnswers ? apply(txn) : new TransactionResult(ResultCode.REJECTED, 0);
+        stateServiceAvailable ? apply(txn) : new TransactionResult(ResultCode.REJECTED, 0);
     events.add(() -> then.accept(reply));
   }
 
@@ -160,7 +160,7 @@
   @Override
   public void get(String key, Consumer<GetResult> then) {
     GetResult reply =
-        stateServiceAnswers
+        stateServiceAvailable
             ? new GetResult(ResultCode.OK, keys.getOrDefault(key, new KeyValue(key, null, 0)))
             : new GetResult(ResultCode.REJECTED, null);
     events.add(() -> then.accept(reply));
@@ -169,7 +169,7 @@
   @Override
   public void list(String after, Consumer<ListResult> then) {
     ListResult reply =
-        stateServiceAnswers
+        stateServiceAvailable
             ? new ListResult(ResultCode.OK, List.copyOf(keys.values()), false, revision)
             : new ListResult(ResultCode.REJECTED, List.of(), false, 0);
     events.add(() -> then.accept(reply));
@@ -195,7 +195,7 @@
   }
 
   private LeaseResult lease(long lease) {
-    return new LeaseResult(stateServiceAnswers ? ResultCode.OK : ResultCode.REJECTED, lease);
+    return new LeaseResult(stateServiceAvailable ? ResultCode.OK : ResultCode.REJECTED, lease);
   }
 
   @Override
--- a/src/test/java/mallowstall/cli/MainTest.java
+++ b/src/test/java/mallowstall/cli/MainTest.java
@@ -9,7 +9,7 @@
 class MainTest {
   @Test
   void onlyArgumentsOfDeployFileBypassTheParser() {
-    assertTrue(Main.isPlainServe(new String[] {"--config", "settings.json"}));
+    assertTrue(Main.isConfigOnly(new String[] {"--config", "settings.json"}));
     String[][] others = {
       {},
       {"--config"},
@@ -20,7 +20,7 @@
       {"--policies", "file"},
     };
     for (String[] other : others) {
-      assertFalse(Main.isPlainServe(other), String.join(" ", other));
+      assertFalse(Main.isConfigOnly(other), String.join(" ", other));
     }
   }
 }
--- a/src/test/java/mallowstall/cloud/GoldenCloudTest.java
+++ b/src/test/java/mallowstall/cloud/GoldenCloudTest.java
@@ -53,7 +53,7 @@
       assertEquals(new InventoryPage(true, List.of(), false), last);
       assertEquals(FAILED_PAGE, failed);
       assertEquals(FAILED_PAGE, truncated);
-      Fixtures.assertSame("cloud-reading.txt", server.requests());
+      Fixtures.assertMatchesFixture("cloud-reading.txt", server.requests());
     }
   }
 
@@ -78,7 +78,7 @@
       assertEquals(new ScaleOutResult(429, List.of()), rejected);
       assertEquals(true, returned);
       assertEquals(false, kept);
-      Fixtures.assertSame("cloud-rentals.txt", server.requests());
+      Fixtures.assertMatchesFixture("cloud-rentals.txt", server.requests());
     }
   }
 }
--- a/src/test/java/mallowstall/config/GoldenSettingsTest.java
+++ b/src/test/java/mallowstall/config/GoldenSettingsTest.java
@@ -55,6 +55,6 @@
           assertThrows(Settings.Invalid.class, () -> Settings.parse(bad), file);
       messages.append(file).append(": ").append(fault.getMessage()).append('\n');
     }
-    Fixtures.assertSame("settings/faults.txt", messages.toString().stripTrailing());
+    Fixtures.assertMatchesFixture("settings/faults.txt", messages.toString().stripTrailing());
   }
 }
--- a/src/test/java/mallowstall/core/AnswersOnTheirWayTest.java
+++ b/src/test/java/mallowstall/core/AnswersOnTheirWayTest.java
@@ -19,7 +19,7 @@
   private static final String OTHER = ForcedHistory.OTHER;
 
   private static ForcedHistory history(long seed, long runMs) {
-    return new ForcedHistory(seed, runMs, LateAnswersTest::write);
+    return new ForcedHistory(seed, runMs, LateAnswersTest::writeAnswer);
   }
 
   /** A lease on the job's absence delays the report "pending", but not "cancelled" or "done". */
@@ -29,19 +29,19 @@
     HistoryTally tally = new HistoryTally();
     for (int i = 0; i < 10; i++) {
       ForcedHistory history = history(30_000 + i, 300_000);
-      history.delayLeases(0);
+      history.stallWatchAndDelayReplies(0);
       history.process(ASKED).planStall(StallPoint.AFTER_VALIDITY_CHECK, 1_840);
       ForcedHistory.Exchange asked = history.ask(ASKED, request);
       history.run(130);
       ForcedHistory.Exchange submission = history.ask(OTHER, UserRequest.SUBMISSION);
       history.run(60 + 10 * i);
       ForcedHistory.Attempts cancellation =
-          history.askUntilTold(OTHER, UserRequest.CANCELLATION, 1_000);
+          history.requestUntilStateReported(OTHER, UserRequest.CANCELLATION, 1_000);
       history.finish(cancellation);
       assertEquals(1, submission.answers);
       tally.add(history, history.endRecordedMs > 0 && history.endRecordedMs < asked.leftMs);
     }
-    tally.assertNoneBroken();
+    tally.assertNoViolations();
   }
 
   /**
@@ -53,16 +53,16 @@
     HistoryTally tally = new HistoryTally();
     for (int i = 0; i < 20; i++) {
       ForcedHistory history = history(31_000 + i, 300);
-      history.delayLeases(0);
+      history.stallWatchAndDelayReplies(0);
       history.process(ASKED).planStall(StallPoint.AFTER_VALIDITY_CHECK, 4_800);
       ForcedHistory.Exchange asked = history.ask(ASKED, request);
       history.run(130);
       history.ask(OTHER, UserRequest.SUBMISSION);
-      history.askUntilTold(OTHER, UserRequest.QUERY, 100);
+      history.requestUntilStateReported(OTHER, UserRequest.QUERY, 100);
       history.run(8_000);
       tally.add(history, history.endRecordedMs > 0 && history.endRecordedMs < asked.leftMs);
     }
-    tally.assertNoneBroken();
+    tally.assertNoViolations();
   }
 
   /** The rejection has left its process in time, and TCP delivers it late. */
@@ -78,12 +78,13 @@
               32_000 + i,
               300_000,
               (process, decided, user) ->
-                  LateAnswersTest.write(process, decided, delayRejections(holder, user, delayMs)));
+                  LateAnswersTest.writeAnswer(
+                      process, decided, delayRejections(holder, user, delayMs)));
       holder[0] = history;
-      history.delayLeases(0);
+      history.stallWatchAndDelayReplies(0);
       tally.add(history, history.askThenSubmit(request, 130));
     }
-    tally.assertNoneBroken();
+    tally.assertNoViolations();
   }
 
   private static Consumer<ApiResponse> delayRejections(
@@ -114,7 +115,7 @@
               33_000 + i,
               300_000,
               (process, decided, user) ->
-                  LateAnswersTest.write(
+                  LateAnswersTest.writeAnswer(
                       process,
                       decided,
                       response -> {
@@ -129,10 +130,10 @@
                         }
                       }));
       holder[0] = history;
-      history.askUntilTold(OTHER, UserRequest.SUBMISSION, 1_000);
+      history.requestUntilStateReported(OTHER, UserRequest.SUBMISSION, 1_000);
       history.run(6_000);
       tally.add(history, history.askThenCancel(UserRequest.QUERY, 60));
     }
-    tally.assertNoneBroken();
+    tally.assertNoViolations();
   }
 }
--- a/src/test/java/mallowstall/core/DerivedCountsCheck.java
+++ b/src/test/java/mallowstall/core/DerivedCountsCheck.java
@@ -18,7 +18,7 @@
    * returned machine; it is a violation if the machine is still in the view after two more ticks.
    */
   static void checkReturnedMachines(Simulation simulation, SimulatedController node) {
-    for (String id : node.core.unknownAttemptMachines()) {
+    for (String id : node.core.unknownMachinesWithAttempts()) {
       simulation.checker.violations.add(
           simulation.nowMs + " attempt on unknown machine: " + id + " by " + node.name);
     }
--- a/src/test/java/mallowstall/core/ForcedHistory.java
+++ b/src/test/java/mallowstall/core/ForcedHistory.java
@@ -214,7 +214,7 @@
   }
 
   /** Sends a user's request repeatedly until an answer contains the job's state. */
-  Attempts askUntilTold(String node, UserRequest request, long retryMs) {
+  Attempts requestUntilStateReported(String node, UserRequest request, long retryMs) {
     Attempts attempts = new Attempts(nowMs());
     attempt(node, request, retryMs, attempts);
     return attempts;
@@ -251,7 +251,7 @@
 
   /** Submits the job and checks that the controller accepts it without delay. */
   void submitNow() {
-    Attempts submission = askUntilTold(OTHER, UserRequest.SUBMISSION, RETRY_MS);
+    Attempts submission = requestUntilStateReported(OTHER, UserRequest.SUBMISSION, RETRY_MS);
     run(3_000);
     long tookMs = submission.toldMs - submission.begunMs;
     assertTrue(tookMs >= 0 && tookMs <= MAX_ACCEPTANCE_MS, "accepted after " + tookMs + " ms");
@@ -275,7 +275,7 @@
   boolean askThenSubmit(UserRequest request, long submitAfterMs) {
     Exchange asked = ask(ASKED, request);
     run(submitAfterMs);
-    finish(askUntilTold(OTHER, UserRequest.SUBMISSION, RETRY_MS));
+    finish(requestUntilStateReported(OTHER, UserRequest.SUBMISSION, RETRY_MS));
     assertEquals(1, asked.answers, () -> "answered once: " + trace);
     return recordedMs > asked.askedMs && asked.leftMs > recordedMs;
   }
@@ -289,7 +289,7 @@
   boolean askThenCancel(UserRequest request, long cancelAfterMs) {
     Exchange asked = ask(ASKED, request);
     run(cancelAfterMs);
-    finish(askUntilTold(OTHER, UserRequest.CANCELLATION, RETRY_MS));
+    finish(requestUntilStateReported(OTHER, UserRequest.CANCELLATION, RETRY_MS));
     assertEquals(1, asked.answers, () -> "answered once: " + trace);
     return endRecordedMs > asked.askedMs && asked.leftMs > endRecordedMs;
   }
@@ -298,7 +298,7 @@
    * Delays the acceptance replies of the third controller, and stalls the watch of the asked
    * controller so that the controller does not see the job's entry.
    */
-  void delayLeases(long replyDelayMs) {
+  void stallWatchAndDelayReplies(long replyDelayMs) {
     controller(ASKED).watchStalled = true;
     messageDelays =
         (from, to, message) ->
--- a/src/test/java/mallowstall/core/HistoryTally.java
+++ b/src/test/java/mallowstall/core/HistoryTally.java
@@ -30,7 +30,7 @@
     }
   }
 
-  void assertNoneBroken() {
+  void assertNoViolations() {
     assertTrue(orderOccurredCount > 0, "the order of events under test occurred in no history");
     String counts =
         violatingCount
--- a/src/test/java/mallowstall/core/LateAnswersTest.java
+++ b/src/test/java/mallowstall/core/LateAnswersTest.java
@@ -40,23 +40,24 @@
   private static final long RUN_MS = 300_000;
 
   /** Writes an answer to its user. All answers leave the process through this method. */
-  static void write(StallableProcess process, ApiResponse decided, Consumer<ApiResponse> user) {
+  static void writeAnswer(
+      StallableProcess process, ApiResponse decided, Consumer<ApiResponse> user) {
     process.reach(StallPoint.BEFORE_WRITE);
-    process.leave(
+    process.runAfterStall(
         () -> {
           ApiResponse checked = process.checkedAtWrite(decided);
           process.reach(StallPoint.AFTER_VALIDITY_CHECK);
-          process.leave(() -> user.accept(checked));
+          process.runAfterStall(() -> user.accept(checked));
         });
   }
 
   private static ForcedHistory history(long seed) {
-    return new ForcedHistory(seed, RUN_MS, LateAnswersTest::write);
+    return new ForcedHistory(seed, RUN_MS, LateAnswersTest::writeAnswer);
   }
 
   private static ForcedHistory historyWithLateReplies(long seed, long replyDelayMs) {
     ForcedHistory history = history(seed);
-    history.delayLeases(replyDelayMs);
+    history.stallWatchAndDelayReplies(replyDelayMs);
     return history;
   }
 
@@ -97,7 +98,7 @@
   @ParameterizedTest
   @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "SUBMISSION")
   void rejectionStalledBeforeWriteDoesNotFollowAcceptance(UserRequest request) {
-    rejectionsWithStall(request, ASKED, StallPoint.BEFORE_WRITE).assertNoneBroken();
+    rejectionsWithStall(request, ASKED, StallPoint.BEFORE_WRITE).assertNoViolations();
   }
 
   /**
@@ -108,14 +109,14 @@
   @ParameterizedTest
   @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "SUBMISSION")
   void rejectionStalledAfterLastCheckDoesNotFollowAcceptance(UserRequest request) {
-    rejectionsWithStall(request, ASKED, StallPoint.AFTER_VALIDITY_CHECK).assertNoneBroken();
+    rejectionsWithStall(request, ASKED, StallPoint.AFTER_VALIDITY_CHECK).assertNoViolations();
   }
 
   /** The read on which a 404, 400 or 422 is based leaves the process late. */
   @ParameterizedTest
   @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "SUBMISSION")
   void rejectionWithReadSentLateDoesNotFollowAcceptance(UserRequest request) {
-    rejectionsWithStall(request, ASKED, StallPoint.BEFORE_READ_SENT).assertNoneBroken();
+    rejectionsWithStall(request, ASKED, StallPoint.BEFORE_READ_SENT).assertNoViolations();
   }
 
   /**
@@ -125,7 +126,7 @@
   @ParameterizedTest
   @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "SUBMISSION")
   void rejectionWithQueriesSentLateDoesNotFollowAcceptance(UserRequest request) {
-    rejectionsWithStall(request, ASKED, StallPoint.AFTER_READ_ANSWERED).assertNoneBroken();
+    rejectionsWithStall(request, ASKED, StallPoint.AFTER_READ_ANSWERED).assertNoViolations();
   }
 
   /**
@@ -136,8 +137,8 @@
   @ParameterizedTest
   @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "SUBMISSION")
   void rejectionDoesNotFollowAcceptanceByStalledLeaseGranter(UserRequest request) {
-    rejectionsWithStall(request, OTHER, StallPoint.BEFORE_GRANT_SENT).assertNoneBroken();
-    rejectionsWithStall(request, OTHER, StallPoint.AFTER_GRANT_SENT).assertNoneBroken();
+    rejectionsWithStall(request, OTHER, StallPoint.BEFORE_GRANT_SENT).assertNoViolations();
+    rejectionsWithStall(request, OTHER, StallPoint.AFTER_GRANT_SENT).assertNoViolations();
   }
 
   /**
@@ -158,7 +159,7 @@
         }
       }
     }
-    tally.assertNoneBroken();
+    tally.assertNoViolations();
   }
 
   private static HistoryTally rejectionsWithRestartedGranter(UserRequest request, long[] stallsMs) {
@@ -173,7 +174,7 @@
           history.run(40);
           history.controller(OTHER).crash(restartMs);
           ForcedHistory.Attempts submission =
-              history.askUntilTold(OTHER, UserRequest.SUBMISSION, 50);
+              history.requestUntilStateReported(OTHER, UserRequest.SUBMISSION, 50);
           history.finish(submission);
           assertEquals(1, exchange.answers, "answered once: " + history.trace);
           tally.add(history, history.recordedMs > 0 && exchange.leftMs > history.recordedMs);
@@ -190,7 +191,7 @@
   @ParameterizedTest
   @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "SUBMISSION")
   void rejectionDoesNotFollowAcceptanceByRestartedLeaseGranter(UserRequest request) {
-    rejectionsWithRestartedGranter(request, new long[] {0}).assertNoneBroken();
+    rejectionsWithRestartedGranter(request, new long[] {0}).assertNoViolations();
   }
 
   /**
@@ -199,7 +200,7 @@
   @ParameterizedTest
   @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "SUBMISSION")
   void stalledRejectionDoesNotFollowAcceptanceByRestartedLeaseGranter(UserRequest request) {
-    rejectionsWithRestartedGranter(request, STALLS_MS).assertNoneBroken();
+    rejectionsWithRestartedGranter(request, STALLS_MS).assertNoViolations();
   }
 
   private static HistoryTally openStatesWithStall(UserRequest request, StallPoint point) {
@@ -222,7 +223,7 @@
   @ParameterizedTest
   @EnumSource
   void openStateStalledBeforeWriteDoesNotFollowCancellation(UserRequest request) {
-    openStatesWithStall(request, StallPoint.BEFORE_WRITE).assertNoneBroken();
+    openStatesWithStall(request, StallPoint.BEFORE_WRITE).assertNoViolations();
   }
 
   /**
@@ -232,7 +233,7 @@
   @ParameterizedTest
   @EnumSource
   void openStateThatLeavesLateAfterItsLastCheck(UserRequest request) {
-    openStatesWithStall(request, StallPoint.AFTER_VALIDITY_CHECK).assertNoneBroken();
+    openStatesWithStall(request, StallPoint.AFTER_VALIDITY_CHECK).assertNoViolations();
   }
 
   /**
@@ -242,8 +243,8 @@
   @ParameterizedTest
   @EnumSource
   void openStateWithLateReadDoesNotFollowCancellation(UserRequest request) {
-    openStatesWithStall(request, StallPoint.BEFORE_READ_SENT).assertNoneBroken();
-    openStatesWithStall(request, StallPoint.AFTER_READ_ANSWERED).assertNoneBroken();
+    openStatesWithStall(request, StallPoint.BEFORE_READ_SENT).assertNoViolations();
+    openStatesWithStall(request, StallPoint.AFTER_READ_ANSWERED).assertNoViolations();
   }
 
   private static HistoryTally openStatesWithLongStall(UserRequest request, StallPoint point) {
@@ -268,7 +269,7 @@
   @ParameterizedTest
   @EnumSource
   void openStateStalledForSecondsDoesNotFollowCancellation(UserRequest request) {
-    openStatesWithLongStall(request, StallPoint.BEFORE_WRITE).assertNoneBroken();
+    openStatesWithLongStall(request, StallPoint.BEFORE_WRITE).assertNoViolations();
   }
 
   /**
@@ -278,7 +279,7 @@
   @ParameterizedTest
   @EnumSource
   void openStateThatLeavesSecondsLateAfterItsLastCheck(UserRequest request) {
-    openStatesWithLongStall(request, StallPoint.AFTER_VALIDITY_CHECK).assertNoneBroken();
+    openStatesWithLongStall(request, StallPoint.AFTER_VALIDITY_CHECK).assertNoViolations();
   }
 
   /**
@@ -300,7 +301,7 @@
         tally.add(history, history.askThenCancel(UserRequest.SUBMISSION, CANCEL_DELAY_MS));
       }
     }
-    tally.assertNoneBroken();
+    tally.assertNoViolations();
   }
 
   /** An open state leaves after another controller has answered that the job is done. */
@@ -308,7 +309,7 @@
   void stalledOpenStateDoesNotFollowDone() {
     HistoryTally tally = new HistoryTally();
     for (int i = 0; i < 60; i++) {
-      ForcedHistory history = new ForcedHistory(17_000 + i, 4_000, LateAnswersTest::write);
+      ForcedHistory history = new ForcedHistory(17_000 + i, 4_000, LateAnswersTest::writeAnswer);
       history.submitNow();
       while (history.simulation.checker.remainingTasks(ForcedHistory.JOB) > 0) {
         history.run(5);
@@ -330,6 +331,6 @@
           history.endRecordedMs > exchange.askedMs && exchange.leftMs > history.endRecordedMs;
       tally.add(history, endRecordedBeforeAnswer);
     }
-    tally.assertNoneBroken();
+    tally.assertNoViolations();
   }
 }
--- a/src/test/java/mallowstall/core/PeerLink.java
+++ b/src/test/java/mallowstall/core/PeerLink.java
@@ -121,7 +121,7 @@
         message instanceof AcceptanceQuery
             || message instanceof AcceptanceReply
             || message instanceof AcceptanceQueryEnd;
-    return isAcceptanceMessage ? simulation.randomQuestionDelayMs() : simulation.randomDelayMs();
+    return isAcceptanceMessage ? simulation.randomQueryDelayMs() : simulation.randomDelayMs();
   }
 
   /** Closes all connections when the node's process ends. */
--- a/src/test/java/mallowstall/core/SimulatedController.java
+++ b/src/test/java/mallowstall/core/SimulatedController.java
@@ -155,10 +155,10 @@
                 .nodeZones(Simulation.ZONE_BY_NODE)
                 .teams(simulation.teams)
                 .timesMs(Simulation.HEARTBEAT_MS, Simulation.LEASE_MS, Simulation.CANCEL_MS)
-                .stateRates(300, simulation.controllerLimits.changesPerSecond())
+                .stateRateLimits(300, simulation.controllerLimits.changesPerSecond())
                 .stateLimits(
                     simulation.controllerLimits.txnOps(), simulation.controllerLimits.valueBytes())
-                .cloud(5, 2_000)
+                .cloudLimits(5, 2_000)
                 .programVersion(runningVersion)
                 .build(),
             simulation.recorder.effects(this, this),
--- a/src/test/java/mallowstall/core/Simulation.java
+++ b/src/test/java/mallowstall/core/Simulation.java
@@ -211,7 +211,7 @@
   }
 
   /** Returns a random delay for a message that only a user's query causes, in milliseconds. */
-  long randomQuestionDelayMs() {
+  long randomQueryDelayMs() {
     return randomDelayMs(queryRandom);
   }
 
--- a/src/test/java/mallowstall/core/StallableProcess.java
+++ b/src/test/java/mallowstall/core/StallableProcess.java
@@ -86,7 +86,7 @@
   }
 
   /** Runs the action now, or at the end of the present stall if the process still runs then. */
-  void leave(Runnable action) {
+  void runAfterStall(Runnable action) {
     if (stalledUntilMs <= history.nowMs()) {
       action.run();
       return;
@@ -107,11 +107,11 @@
   @Override
   public void get(String key, Consumer<GetResult> callback) {
     if (!key.equals(StateKeys.job(ForcedHistory.JOB))) {
-      leave(() -> delegate.get(key, callback));
+      runAfterStall(() -> delegate.get(key, callback));
       return;
     }
     reach(StallPoint.BEFORE_READ_SENT);
-    leave(() -> sendRead(key, callback));
+    runAfterStall(() -> sendRead(key, callback));
   }
 
   private void sendRead(String key, Consumer<GetResult> callback) {
@@ -138,7 +138,7 @@
     if (grant) {
       reach(StallPoint.BEFORE_GRANT_SENT);
     }
-    leave(() -> history.send(node, peer, message, () -> delegate.send(peer, message)));
+    runAfterStall(() -> history.send(node, peer, message, () -> delegate.send(peer, message)));
     if (grant) {
       reach(StallPoint.AFTER_GRANT_SENT);
     }
@@ -151,27 +151,27 @@
 
   @Override
   public void transact(Transaction transaction, Consumer<TransactionResult> callback) {
-    leave(() -> delegate.transact(transaction, callback));
+    runAfterStall(() -> delegate.transact(transaction, callback));
   }
 
   @Override
   public void list(String afterKey, Consumer<ListResult> callback) {
-    leave(() -> delegate.list(afterKey, callback));
+    runAfterStall(() -> delegate.list(afterKey, callback));
   }
 
   @Override
   public void watch(long afterRevision, long waitMs, Consumer<WatchResult> callback) {
-    leave(() -> delegate.watch(afterRevision, waitMs, callback));
+    runAfterStall(() -> delegate.watch(afterRevision, waitMs, callback));
   }
 
   @Override
   public void grantLease(long ttlMs, Consumer<LeaseResult> callback) {
-    leave(() -> delegate.grantLease(ttlMs, callback));
+    runAfterStall(() -> delegate.grantLease(ttlMs, callback));
   }
 
   @Override
   public void renewLease(long leaseId, Consumer<LeaseResult> callback) {
-    leave(() -> delegate.renewLease(leaseId, callback));
+    runAfterStall(() -> delegate.renewLease(leaseId, callback));
   }
 
   @Override
@@ -181,26 +181,26 @@
       long session,
       List<WorkerCommand> commands,
       Consumer<CommandResult> callback) {
-    leave(() -> delegate.sendCommands(address, fencingToken, session, commands, callback));
+    runAfterStall(() -> delegate.sendCommands(address, fencingToken, session, commands, callback));
   }
 
   @Override
   public void fetchMachineTypes(Consumer<List<MachineType>> callback) {
-    leave(() -> delegate.fetchMachineTypes(callback));
+    runAfterStall(() -> delegate.fetchMachineTypes(callback));
   }
 
   @Override
   public void scaleOut(ScaleOutRequest request, Consumer<ScaleOutResult> callback) {
-    leave(() -> delegate.scaleOut(request, callback));
+    runAfterStall(() -> delegate.scaleOut(request, callback));
   }
 
   @Override
   public void scaleIn(List<String> machines, Consumer<Boolean> callback) {
-    leave(() -> delegate.scaleIn(machines, callback));
+    runAfterStall(() -> delegate.scaleIn(machines, callback));
   }
 
   @Override
   public void listMachines(String afterId, Consumer<InventoryPage> callback) {
-    leave(() -> delegate.listMachines(afterId, callback));
+    runAfterStall(() -> delegate.listMachines(afterId, callback));
   }
 }
--- a/src/test/java/mallowstall/core/UnconfirmedRefusalsTest.java
+++ b/src/test/java/mallowstall/core/UnconfirmedRefusalsTest.java
@@ -30,7 +30,7 @@
   private static final long ACCEPTED_SOON_MS = 3_000;
 
   private static ForcedHistory history(long seed) {
-    return new ForcedHistory(seed, RUN_MS, LateAnswersTest::write);
+    return new ForcedHistory(seed, RUN_MS, LateAnswersTest::writeAnswer);
   }
 
   /**
@@ -45,7 +45,7 @@
       ForcedHistory history = history(24_000 + i);
       history.run(5L * i);
       ForcedHistory.Attempts submission =
-          history.askUntilTold(OTHER, UserRequest.SUBMISSION, ForcedHistory.RETRY_MS);
+          history.requestUntilStateReported(OTHER, UserRequest.SUBMISSION, ForcedHistory.RETRY_MS);
       while (submission.toldMs < 0) {
         history.run(1);
       }
@@ -54,7 +54,7 @@
       assertEquals(1, asked.answers, "answered once: " + history.trace);
       tally.add(history, asked.received != null);
     }
-    tally.assertNoneBroken();
+    tally.assertNoViolations();
   }
 
   /** A controller that can't reach the state service must not reject a job accepted elsewhere. */
@@ -68,14 +68,14 @@
       history.controller(ASKED).watchStalled = true;
       history.run(300);
       ForcedHistory.Attempts submission =
-          history.askUntilTold(OTHER, UserRequest.SUBMISSION, ForcedHistory.RETRY_MS);
+          history.requestUntilStateReported(OTHER, UserRequest.SUBMISSION, ForcedHistory.RETRY_MS);
       history.run(700 + 20L * i);
       ForcedHistory.Exchange asked = history.ask(ASKED, request);
       history.finish(submission);
       assertEquals(1, asked.answers, "answered once: " + history.trace);
       tally.add(history, submission.toldMs <= asked.leftMs);
     }
-    tally.assertNoneBroken();
+    tally.assertNoViolations();
   }
 
   /** A restarted controller must not reject accepted jobs while its state replica is incomplete. */
@@ -93,7 +93,7 @@
       assertEquals(1, asked.answers, "answered once: " + history.trace);
       tally.add(history, asked.received != null);
     }
-    tally.assertNoneBroken();
+    tally.assertNoViolations();
   }
 
   /**
@@ -106,7 +106,7 @@
     HistoryTally tally = new HistoryTally();
     for (int i = 0; i < 60; i++) {
       ForcedHistory history = history(20_000 + i);
-      history.delayLeases(0);
+      history.stallWatchAndDelayReplies(0);
       long queryDelayMs = 200 + 10L * i;
       history.messageDelays =
           (from, to, message) -> {
@@ -120,7 +120,7 @@
       history.run(120);
       tally.add(history, history.askThenSubmit(request, queryDelayMs));
     }
-    tally.assertNoneBroken();
+    tally.assertNoViolations();
   }
 
   /**
@@ -134,7 +134,7 @@
     for (int i = 0; i < 60; i++) {
       boolean endIsRepeated = i % 2 == 0;
       ForcedHistory history = history(21_000 + i);
-      history.delayLeases(0);
+      history.stallWatchAndDelayReplies(0);
       long former = history.controller(ASKED).core.incarnation();
       long askedAgainMs = history.nowMs() + 6_000;
       history.messageDelays =
@@ -158,7 +158,7 @@
       history.controller(ASKED).watchStalled = true;
       tally.add(history, history.askThenSubmit(request, 100 + 10L * (i / 2)));
     }
-    tally.assertNoneBroken();
+    tally.assertNoViolations();
   }
 
   /** An acceptance query that is given up for lack of a reply delays submissions only briefly. */
@@ -177,13 +177,13 @@
       }
       assertEquals(503, asked.received.status());
       ForcedHistory.Attempts submission =
-          history.askUntilTold(OTHER, UserRequest.SUBMISSION, ForcedHistory.RETRY_MS);
+          history.requestUntilStateReported(OTHER, UserRequest.SUBMISSION, ForcedHistory.RETRY_MS);
       history.finish(submission);
       long tookMs = submission.toldMs - submission.begunMs;
       assertTrue(tookMs <= ACCEPTED_SOON_MS, "accepted after " + tookMs + " ms");
       tally.add(history, true);
     }
-    tally.assertNoneBroken();
+    tally.assertNoViolations();
   }
 
   /** Requests about unknown jobs are answered at once, and delay no submission then or later. */
--- a/src/test/java/mallowstall/core/kv/ReplicaSyncTest.java
+++ b/src/test/java/mallowstall/core/kv/ReplicaSyncTest.java
@@ -58,7 +58,7 @@
           public void entryChanged(String key, StoredEntry before, StoredEntry after) {}
 
           @Override
-          public void advanced() {}
+          public void replicaAdvanced() {}
 
           @Override
           public void replicaSynced(long revision) {
--- a/src/test/java/mallowstall/core/model/CoreSettingsBuilder.java
+++ b/src/test/java/mallowstall/core/model/CoreSettingsBuilder.java
@@ -60,7 +60,7 @@
   }
 
   /** Sets the maximum requests to the state service per second, and the writes among them. */
-  public CoreSettingsBuilder stateRates(double requestsPerS, double writesPerS) {
+  public CoreSettingsBuilder stateRateLimits(double requestsPerS, double writesPerS) {
     stateRequestsPerS = requestsPerS;
     stateWritesPerS = writesPerS;
     return this;
@@ -74,7 +74,7 @@
   }
 
   /** Sets the maximum requests to the cloud per second and the maximum lag of its inventory. */
-  public CoreSettingsBuilder cloud(double requestsPerS, long lagMs) {
+  public CoreSettingsBuilder cloudLimits(double requestsPerS, long lagMs) {
     cloudRequestsPerS = requestsPerS;
     inventoryLagMs = lagMs;
     return this;
--- a/src/test/java/mallowstall/net/ExpiringResponseTest.java
+++ b/src/test/java/mallowstall/net/ExpiringResponseTest.java
@@ -43,7 +43,7 @@
     while (SteadyClock.nowMs() < busyUntilMs) {
       Thread.onSpinWait();
     }
-    responder.answerAtDeparture(steadyMs -> steadyMs <= validUntilMs ? IN_TIME : LATE);
+    responder.answerAtWriteTime(steadyMs -> steadyMs <= validUntilMs ? IN_TIME : LATE);
     responder.answer(200, json("a second response"), 0);
   }
 
--- a/src/test/java/mallowstall/peers/GoldenMessagesTest.java
+++ b/src/test/java/mallowstall/peers/GoldenMessagesTest.java
@@ -139,7 +139,7 @@
   @Test
   void messagesAreEncodedToGoldenBytes() throws IOException {
     for (Map.Entry<String, PeerMessage> entry : messages().entrySet()) {
-      Fixtures.assertSame(
+      Fixtures.assertMatchesFixture(
           "messages/" + entry.getKey() + ".hex",
           HexFormat.of().formatHex(PeerCodec.encode(entry.getValue())));
     }
@@ -186,7 +186,8 @@
         written.append(HexFormat.of().formatHex(bytes)).append('\n');
       }
     }
-    Fixtures.assertSame("messages/states-and-reasons.hex", written.toString().stripTrailing());
+    Fixtures.assertMatchesFixture(
+        "messages/states-and-reasons.hex", written.toString().stripTrailing());
   }
 
   @Test
--- a/src/test/java/mallowstall/policy/GoldenPolicyTest.java
+++ b/src/test/java/mallowstall/policy/GoldenPolicyTest.java
@@ -30,6 +30,6 @@
                 .map(diagnostic -> diagnostic.format("faulty.policy"))
                 .toList());
 
-    Fixtures.assertSame("policy-faults.txt", messages);
+    Fixtures.assertMatchesFixture("policy-faults.txt", messages);
   }
 }
--- a/src/test/java/mallowstall/state/GoldenEntriesTest.java
+++ b/src/test/java/mallowstall/state/GoldenEntriesTest.java
@@ -115,7 +115,8 @@
   @Test
   void entriesAreEncodedToGoldenBytes() throws IOException {
     for (Map.Entry<String, Stored> each : entries().entrySet()) {
-      Fixtures.assertSame("entries/" + each.getKey() + ".json", encoded(each.getValue().entry()));
+      Fixtures.assertMatchesFixture(
+          "entries/" + each.getKey() + ".json", encoded(each.getValue().entry()));
     }
   }
 
--- a/src/test/java/mallowstall/state/GoldenStateServiceTest.java
+++ b/src/test/java/mallowstall/state/GoldenStateServiceTest.java
@@ -60,7 +60,7 @@
                 (int) c[0], (String) c[1], then -> state.transact(EMPTY_TRANSACTION, then));
         assertEquals(c[2], reply, c[0] + " " + c[1]);
       }
-      Fixtures.assertSame("state-changes.txt", server.requests());
+      Fixtures.assertMatchesFixture("state-changes.txt", server.requests());
     }
   }
 
@@ -89,7 +89,7 @@
       assertEquals(new ListResult(ResultCode.OK, List.of(session, team), true, 600), first);
       assertEquals(new ListResult(ResultCode.OK, List.of(), false, 9), last);
       assertEquals(new ListResult(ResultCode.REJECTED, List.of(), false, 0), rejected);
-      Fixtures.assertSame("state-reads.txt", server.requests());
+      Fixtures.assertMatchesFixture("state-reads.txt", server.requests());
     }
   }
 
@@ -103,7 +103,7 @@
               200, Fixtures.text("state-events.json"), then -> state.watch(600, 5_000, then));
       WatchResult compacted = server.answer(410, "{}", then -> state.watch(1, 5_000, then));
       WatchResult failed = server.answer(503, "{}", then -> state.watch(1, 5_000, then));
-      Fixtures.assertSame("state-watches.txt", server.requests());
+      Fixtures.assertMatchesFixture("state-watches.txt", server.requests());
 
       KeyValue put = new KeyValue("c/t/vision", new TeamUsageEntry(1.5, 2), 601);
       KeyValue deletion = new KeyValue("c/n/n1", null, 602);
@@ -125,7 +125,7 @@
       assertEquals(new LeaseResult(ResultCode.OK, 77), renewed);
       assertEquals(new LeaseResult(ResultCode.EXPIRED, 77), expired);
       assertEquals(new LeaseResult(ResultCode.REJECTED, 77), failed);
-      Fixtures.assertSame("state-leases.txt", server.requests());
+      Fixtures.assertMatchesFixture("state-leases.txt", server.requests());
     }
   }
 }
--- a/src/test/java/mallowstall/users/GoldenAnswersTest.java
+++ b/src/test/java/mallowstall/users/GoldenAnswersTest.java
@@ -42,21 +42,21 @@
   private void submit(String label, String job) {
     byte[] body = job.getBytes(StandardCharsets.UTF_8);
     users().submit(new Request("POST", "/submissions", body), recordResponse(label));
-    controller.pass(100);
+    controller.advanceTime(100);
   }
 
   private void query(String label, String id) {
     users().query(id, recordResponse(label));
-    controller.pass(100);
+    controller.advanceTime(100);
   }
 
   private void cancel(String label, String id) {
     users().cancel(id, recordResponse(label));
-    controller.pass(100);
+    controller.advanceTime(100);
   }
 
   private void assertResponses(String file) throws IOException {
-    Fixtures.assertSame(file, responses.toString().stripTrailing());
+    Fixtures.assertMatchesFixture(file, responses.toString().stripTrailing());
   }
 
   @Test
@@ -70,7 +70,7 @@
         JsonReader.read(
             Fixtures.bytes("entries/batch-done.json"),
             in -> StoredEntries.read("c/j/wk-000999", in));
-    controller.pass(2_000);
+    controller.advanceTime(2_000);
 
     submit("submitted", SubmissionTest.GOOD);
     submit("submitted again", SubmissionTest.GOOD);
@@ -96,7 +96,7 @@
   void submissionsThatCanNeverRunAreRejected() throws IOException {
     String good = SubmissionTest.GOOD;
     String service = good.replace("\"batch\"", "\"daemon\"");
-    controller.pass(2_000);
+    controller.advanceTime(2_000);
 
     submit("team", good.replace("\"vision\"", "\"\u00e9 \\\"x\\\"\""));
     submit("type", good.replace("[\"g8\"]", "[\"t16\"]"));
@@ -115,8 +115,8 @@
     String good = SubmissionTest.GOOD;
     // no job is accepted without the state service; its state would be returned in place of the
     // error
-    controller.stateServiceAnswers(false);
-    controller.pass(2_000);
+    controller.setStateServiceAvailable(false);
+    controller.advanceTime(2_000);
 
     for (String body : List.of("", "null", "[1]", "{", "{}", "5", "\"x\"")) {
       submit(body, body);
@@ -140,20 +140,20 @@
   @Test
   void requestsThatCannotBeDecidedYetAreToBeRetried() throws IOException {
     controller = new SingleControllerHarness(List.of(), List.of());
-    controller.pass(2_000);
+    controller.advanceTime(2_000);
     submit("no types", SubmissionTest.GOOD);
 
     controller = new SingleControllerHarness(List.of(), List.of(TYPE));
-    controller.stateServiceAnswers(false);
-    controller.pass(2_000);
+    controller.setStateServiceAvailable(false);
+    controller.advanceTime(2_000);
     submit("never synced", SubmissionTest.GOOD);
     query("never synced, asked", "wk-000412");
     cancel("never synced, cancelled", "wk-000412");
 
     controller = new SingleControllerHarness(List.of(), List.of(TYPE));
-    controller.pass(2_000);
+    controller.advanceTime(2_000);
     submit("recorded", SubmissionTest.GOOD);
-    controller.stateServiceAnswers(false);
+    controller.setStateServiceAvailable(false);
     submit("not recorded", SubmissionTest.GOOD.replace("wk-000412", "wk-000414"));
     query("not read", "wk-000412");
     cancel("not read, cancelled", "wk-000412");
--- a/src/test/java/mallowstall/users/MalformedRepetitionTest.java
+++ b/src/test/java/mallowstall/users/MalformedRepetitionTest.java
@@ -25,7 +25,7 @@
 
   @BeforeEach
   void start() {
-    controller.pass(3_000);
+    controller.advanceTime(3_000);
   }
 
   private int statusOf(String body) {
@@ -33,7 +33,7 @@
     users.submit(
         new Request("POST", "/submissions", body.getBytes(StandardCharsets.UTF_8)),
         (status, json, retryAfterS) -> statuses.add(status));
-    controller.pass(100);
+    controller.advanceTime(100);
     assertEquals(1, statuses.size(), "answered once");
     return statuses.get(0);
   }
--- a/src/test/java/mallowstall/workers/GoldenOrdersTest.java
+++ b/src/test/java/mallowstall/workers/GoldenOrdersTest.java
@@ -79,7 +79,7 @@
       assertEquals(new CommandResult(ResultCode.CONFLICT, null), invalid);
       assertEquals(new CommandResult(ResultCode.OUTCOME_UNKNOWN, null), unknown);
       assertEquals(new CommandResult(ResultCode.OK, null), unreadable);
-      Fixtures.assertSame("worker-orders.txt", server.requests());
+      Fixtures.assertMatchesFixture("worker-orders.txt", server.requests());
     }
   }
 }
--- a/src/test/java/mallowstall/workers/GoldenReportAnswersTest.java
+++ b/src/test/java/mallowstall/workers/GoldenReportAnswersTest.java
@@ -35,7 +35,7 @@
     String json = "{\"calibre\":\"g8\",\"patio\":\"a\",\"turno\":1," + fields + "}";
     byte[] body = json.getBytes(StandardCharsets.UTF_8);
     workers.handleHeartbeat(new Request("POST", "/hello", body), recordResponse(label));
-    controller.pass(500);
+    controller.advanceTime(500);
   }
 
   /** Returns the number in the field with this name of the latest response. */
@@ -51,7 +51,7 @@
         Examples.JOB.replace("\"piezas\":16", "\"piezas\":1").replace("\"gpus\":1.0", "\"gpus\":0");
     UserApiHandler users = new UserApiHandler(controller.core());
     sendHeartbeat(controller, "not ready", machineFields + 1);
-    controller.pass(2_000);
+    controller.advanceTime(2_000);
 
     sendHeartbeat(controller, "new", machineFields + 2);
     String token = "\"baston\":" + numberField("baston") + ",";
@@ -60,7 +60,7 @@
     users.submit(
         new Request("POST", "/submissions", job.getBytes(StandardCharsets.UTF_8)),
         recordResponse("job"));
-    controller.pass(500);
+    controller.advanceTime(500);
     sendHeartbeat(controller, "run", token + machineFields + 4);
     String task =
         ",\"piezas\":[{\"pieza\":\"wk-000412/0\",\"intento\":"
@@ -68,9 +68,9 @@
             + ",\"estado\":";
     sendHeartbeat(controller, "running", token + machineFields + 5 + task + "\"running\"}]");
     users.query("wk-000412", recordResponse("job running"));
-    controller.pass(500);
+    controller.advanceTime(500);
     users.cancel("wk-000412", recordResponse("job cancelled"));
-    controller.pass(500);
+    controller.advanceTime(500);
     sendHeartbeat(controller, "kill", token + machineFields + 6 + task + "\"running\"}]");
     sendHeartbeat(
         controller,
@@ -78,19 +78,19 @@
         token + machineFields + 7 + task + "\"ended\",\"motivo\":\"stopped\"}]");
     sendHeartbeat(controller, "empty again", token + machineFields + 8);
 
-    Fixtures.assertSame("worker-answers.txt", responses.toString().stripTrailing());
+    Fixtures.assertMatchesFixture("worker-answers.txt", responses.toString().stripTrailing());
   }
 
   @Test
   void workersAreRedirectedToTheirController() throws IOException {
     SingleControllerHarness controller = new SingleControllerHarness(List.of("n2"), List.of(TYPE));
     controller.put("c/n/n2", new SessionEntry("n2", 1));
-    controller.pass(2_000);
+    controller.advanceTime(2_000);
 
     for (int i = 1; i <= 4; i++) {
       sendHeartbeat(controller, "machine " + i, "\"sierra\":\"m-00000" + i + "\",\"folio\":1");
     }
 
-    Fixtures.assertSame("worker-redirects.txt", responses.toString().stripTrailing());
+    Fixtures.assertMatchesFixture("worker-redirects.txt", responses.toString().stripTrailing());
   }
 }
