--- a/src/main/java/mallowstall/Constants.java
+++ b/src/main/java/mallowstall/Constants.java
@@ -56,13 +56,13 @@
    * Fraction of the shared rate limits of the state service and the cloud that all controllers
    * together plan to use.
    */
-  public static final double STATE_RATE_FRACTION = 0.9;
+  public static final double RATE_LIMIT_FRACTION = 0.9;
 
   /**
    * Time in milliseconds without a response of the state service after which this controller is
    * isolated, if a peer does receive responses.
    */
-  public static final long STATE_CUT_OFF_MS = 2_600;
+  public static final long STATE_ISOLATION_TIMEOUT_MS = 2_600;
 
   /** Number of tasks whose completion bits are in one value of the first layout, 2 KiB raw. */
   public static final int BITS_PER_CHUNK = 16_384;
--- a/src/main/java/mallowstall/cloud/CloudClient.java
+++ b/src/main/java/mallowstall/cloud/CloudClient.java
@@ -113,7 +113,7 @@
           if (page == null || page.machines() == null) {
             callback.accept(new InventoryPage(false, List.of(), false));
           } else {
-            callback.accept(new InventoryPage(true, page.machines(), page.more()));
+            callback.accept(new InventoryPage(true, page.machines(), page.hasMore()));
           }
         });
   }
--- a/src/main/java/mallowstall/cloud/CloudCodec.java
+++ b/src/main/java/mallowstall/cloud/CloudCodec.java
@@ -17,9 +17,9 @@
 
   /**
    * A page of the inventory. {@code machines} is null if the response has no list of machines, and
-   * {@code more} is true if another page follows.
+   * {@code hasMore} is true if another page follows.
    */
-  record Page(List<ListedMachine> machines, boolean more) {}
+  record Page(List<ListedMachine> machines, boolean hasMore) {}
 
   /** Returns the machine types in a response, or null if the response has none. */
   static List<MachineType> readTypes(JsonReader in) throws IOException {
@@ -84,18 +84,18 @@
   /** Reads a page of the inventory. Returns null if the response is JSON null. */
   static Page readPage(JsonReader in) throws IOException {
     List<ListedMachine> machines = null;
-    boolean more = false;
+    boolean hasMore = false;
     if (!in.enterObjectIfPresent()) {
       return null;
     }
     while (in.nextField()) {
       switch (in.field()) {
         case CloudProtocol.MACHINES -> machines = in.list(CloudCodec::readMachine);
-        case CloudProtocol.HAS_MORE -> more = in.booleanOrFalse();
+        case CloudProtocol.HAS_MORE -> hasMore = in.booleanOrFalse();
         default -> in.skip();
       }
     }
-    return new Page(machines, more);
+    return new Page(machines, hasMore);
   }
 
   private static ListedMachine readMachine(JsonReader in) throws IOException {
--- a/src/main/java/mallowstall/core/AutoscalingModules.java
+++ b/src/main/java/mallowstall/core/AutoscalingModules.java
@@ -40,8 +40,8 @@
     double callsPerSecond = cluster.settings.cloudRequestsPerS();
     TokenBucket calls =
         new TokenBucket(
-            callsPerSecond * Constants.STATE_RATE_FRACTION,
-            callsPerSecond * 2 * Constants.STATE_RATE_FRACTION);
+            callsPerSecond * Constants.RATE_LIMIT_FRACTION,
+            callsPerSecond * 2 * Constants.RATE_LIMIT_FRACTION);
     CloudInventory cloudInventory = new CloudInventory(cluster.clock, cluster.effects, calls);
     PendingMachines pendingMachines = new PendingMachines();
     ScaleIn scaleIn = newScaleIn(calls, cloudInventory, pendingMachines);
--- a/src/main/java/mallowstall/core/autoscaling/PendingMachines.java
+++ b/src/main/java/mallowstall/core/autoscaling/PendingMachines.java
@@ -12,7 +12,7 @@
    * A machine that hasn't registered yet. The steady time in milliseconds is that of the cloud's
    * response to the request, or is derived from the machine's age in the inventory.
    */
-  record PendingMachine(String type, String zone, boolean spot, long requestedAtMs) {}
+  record PendingMachine(String type, String zone, boolean spot, long providedAtMs) {}
 
   private final Map<String, PendingMachine> pendingMachines = new LinkedHashMap<>();
 
--- a/src/main/java/mallowstall/core/autoscaling/UnregisteredMachines.java
+++ b/src/main/java/mallowstall/core/autoscaling/UnregisteredMachines.java
@@ -63,9 +63,9 @@
       if (listed.state().equals("failed") || (type != null && ageS > bootTimeoutS(type))) {
         census.addToReturn(id);
       } else {
-        long requestedAtMs = now - (long) (ageS * 1000);
+        long providedAtMs = now - (long) (ageS * 1000);
         pendingMachines.addListed(
-            id, new PendingMachine(listed.type(), listed.zone(), listed.spot(), requestedAtMs));
+            id, new PendingMachine(listed.type(), listed.zone(), listed.spot(), providedAtMs));
       }
     }
   }
@@ -79,10 +79,10 @@
       MachineType type = types.find(pending.type());
       double timeoutS = type == null ? BOOT_TIMEOUT_UNKNOWN_TYPE_S : bootTimeoutS(type);
       boolean unlisted =
-          now - pending.requestedAtMs() > 4 * inventoryLagMs
-              && cloudInventory.readAtMs() > pending.requestedAtMs() + 3 * inventoryLagMs
+          now - pending.providedAtMs() > 4 * inventoryLagMs
+              && cloudInventory.readAtMs() > pending.providedAtMs() + 3 * inventoryLagMs
               && !cloudInventory.contains(id);
-      if (now - pending.requestedAtMs() > timeoutS * 1000 || unlisted) {
+      if (now - pending.providedAtMs() > timeoutS * 1000 || unlisted) {
         pendingMachines.remove(id);
         census.addToReturn(id);
       } else {
--- a/src/main/java/mallowstall/core/cluster/Connectivity.java
+++ b/src/main/java/mallowstall/core/cluster/Connectivity.java
@@ -48,7 +48,7 @@
 
   /** Returns whether the state service serves a peer but not this controller. */
   public boolean isIsolatedFromStateService() {
-    return clock.now() - store.lastContactMs() >= Constants.STATE_CUT_OFF_MS
+    return clock.now() - store.lastContactMs() >= Constants.STATE_ISOLATION_TIMEOUT_MS
         && peerWithStateAccess() != null;
   }
 
@@ -75,7 +75,7 @@
       PeerState peer = view.peer(name);
       if (hasRecentUpdate(peer)
           && clock.now() - peer.replicaFreshAtMs()
-              < Constants.STATE_CUT_OFF_MS + Constants.WATCH_TIMEOUT_MS) {
+              < Constants.STATE_ISOLATION_TIMEOUT_MS + Constants.WATCH_TIMEOUT_MS) {
         return name;
       }
     }
--- a/src/main/java/mallowstall/core/jobs/JobFailover.java
+++ b/src/main/java/mallowstall/core/jobs/JobFailover.java
@@ -45,7 +45,7 @@
   private final Membership membership;
 
   /** The jobs without a live leader, by job id. */
-  private final Map<String, Vacancy> leaderlessJobs = new HashMap<>();
+  private final Map<String, LeaderlessJob> leaderlessJobs = new HashMap<>();
 
   /** The time at which the unanswered claim of a job was sent, by job id. */
   private final Map<String, Long> claimsInFlight = new HashMap<>();
@@ -58,7 +58,7 @@
    * @param sinceMs the time at which this controller first found the job without a live leader
    * @param claimRetry the delay before the job may be claimed again after a rejected claim
    */
-  private record Vacancy(long sinceMs, RetryDelay claimRetry) {}
+  private record LeaderlessJob(long sinceMs, RetryDelay claimRetry) {}
 
   JobFailover(
       EventClock clock,
@@ -90,8 +90,8 @@
         leaderlessJobs.remove(id);
         continue;
       }
-      Vacancy leaderlessJob =
-          leaderlessJobs.computeIfAbsent(id, key -> new Vacancy(now, new RetryDelay()));
+      LeaderlessJob leaderlessJob =
+          leaderlessJobs.computeIfAbsent(id, key -> new LeaderlessJob(now, new RetryDelay()));
       if (!claimable(id, leaderlessJob, liveNodes, now)) {
         continue;
       }
@@ -107,7 +107,8 @@
    * Returns whether this controller may claim the job now: it is the preferred controller or the
    * preferred controller's time is over, no recent claim is unanswered, and no retry delay runs.
    */
-  private boolean claimable(String id, Vacancy leaderlessJob, List<String> liveNodes, long now) {
+  private boolean claimable(
+      String id, LeaderlessJob leaderlessJob, List<String> liveNodes, long now) {
     String preferredNode =
         liveNodes.isEmpty()
             ? settings.node()
@@ -123,7 +124,7 @@
     return leaderlessJob.claimRetry().isDue(now);
   }
 
-  private void claim(JobEntry job, Vacancy leaderlessJob, long now) {
+  private void claim(JobEntry job, LeaderlessJob leaderlessJob, long now) {
     String id = job.spec().id();
     claimsInFlight.put(id, now);
     JobEntry claimed = job.withLeader(settings.node(), store.incarnation());
--- a/src/main/java/mallowstall/core/kv/RequestQueue.java
+++ b/src/main/java/mallowstall/core/kv/RequestQueue.java
@@ -49,8 +49,8 @@
   RequestQueue(EventClock clock, CoreSettings settings) {
     this.clock = clock;
     int controllers = settings.peers().size() + 1;
-    totalRequestsPerS = settings.stateRequestsPerS() * Constants.STATE_RATE_FRACTION;
-    totalWritesPerS = settings.stateWritesPerS() * Constants.STATE_RATE_FRACTION;
+    totalRequestsPerS = settings.stateRequestsPerS() * Constants.RATE_LIMIT_FRACTION;
+    totalWritesPerS = settings.stateWritesPerS() * Constants.RATE_LIMIT_FRACTION;
     requestBucket =
         new TokenBucket(totalRequestsPerS / controllers, totalRequestsPerS / controllers);
     writeBucket = new TokenBucket(totalWritesPerS / controllers, totalWritesPerS / controllers);
--- a/src/main/java/mallowstall/core/machines/LeaderRedirects.java
+++ b/src/main/java/mallowstall/core/machines/LeaderRedirects.java
@@ -89,7 +89,7 @@
         && now - leader.lastUpdateMs()
             < StatusPublisher.STATUS_UPDATE_INTERVAL_MS + STATUS_UPDATE_LATE_MS
         && now - leader.replicaFreshAtMs()
-            < Constants.STATE_CUT_OFF_MS + Constants.WATCH_TIMEOUT_MS;
+            < Constants.STATE_ISOLATION_TIMEOUT_MS + Constants.WATCH_TIMEOUT_MS;
   }
 
   private Optional<String> redirectToPreferred(Heartbeat heartbeat, long now) {
--- a/src/main/java/mallowstall/core/placement/QueuedWork.java
+++ b/src/main/java/mallowstall/core/placement/QueuedWork.java
@@ -40,10 +40,10 @@
 
   /** The waiting tasks of one job: rank, smallest type that holds one, leader, processors. */
   private record QueuedJob(
-      String jobId, int rank, String minimalType, String leader, double cpus) {}
+      String jobId, int rank, String smallestType, String leader, double cpus) {}
 
   /** A batch job without a placed task, longer after its submission than the starvation time. */
-  record StarvingJob(JobEntry entry, String minimalType) {}
+  record StarvingJob(JobEntry entry, String smallestType) {}
 
   private final EventClock clock;
   private final CoreSettings settings;
@@ -178,7 +178,7 @@
 
   /** Returns whether another controller leads the job and the job waits for the machine type. */
   private boolean isOtherLeadersJob(QueuedJob queuedJob, String type) {
-    return type.equals(queuedJob.minimalType) && !settings.node().equals(queuedJob.leader);
+    return type.equals(queuedJob.smallestType) && !settings.node().equals(queuedJob.leader);
   }
 
   /** Recomputes the waiting work and, by image, the slots of the machines that have the image. */
@@ -223,10 +223,10 @@
     }
     int rank = starves ? 0 : ranking.rank(job, spec);
     double cpus = (starves ? spec.starvationTasks() : tasks) * spec.cpus();
-    String minimalType = demand.smallestType(spec);
-    queuedJobs.add(new QueuedJob(spec.id(), rank, minimalType, job.leader(), cpus));
-    if (starves && !spec.isService() && minimalType != null) {
-      starvingJobs.add(new StarvingJob(job, minimalType));
+    String smallestType = demand.smallestType(spec);
+    queuedJobs.add(new QueuedJob(spec.id(), rank, smallestType, job.leader(), cpus));
+    if (starves && !spec.isService() && smallestType != null) {
+      starvingJobs.add(new StarvingJob(job, smallestType));
     }
   }
 
--- a/src/main/java/mallowstall/core/placement/StarvationReservations.java
+++ b/src/main/java/mallowstall/core/placement/StarvationReservations.java
@@ -58,7 +58,7 @@
     Map<String, JobEntry> largest = new HashMap<>();
     for (QueuedWork.StarvingJob starving : queuedWork.starvingJobs()) {
       if (mayUseQuota(starving.entry())) {
-        largest.merge(starving.minimalType(), starving.entry(), StarvationReservations::larger);
+        largest.merge(starving.smallestType(), starving.entry(), StarvationReservations::larger);
       }
     }
     return largest;
--- a/src/main/java/mallowstall/net/HttpServer.java
+++ b/src/main/java/mallowstall/net/HttpServer.java
@@ -242,7 +242,7 @@
   }
 
   /** A received request, null if it is not valid HTTP, and whether the connection stays open. */
-  private record Received(Request request, boolean keep) {}
+  private record Received(Request request, boolean keepAlive) {}
 
   /** A connection, whose requests are handled and answered one after the other. */
   private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
@@ -285,7 +285,7 @@
       if (received.request == null) {
         write(ctx, HttpStatus.BAD_REQUEST, INVALID_REQUEST, 0, false);
       } else {
-        handler.handle(received.request, new ConnectionResponder(ctx, received.keep));
+        handler.handle(received.request, new ConnectionResponder(ctx, received.keepAlive));
       }
     }
 
--- a/src/main/java/mallowstall/state/StateCodec.java
+++ b/src/main/java/mallowstall/state/StateCodec.java
@@ -24,10 +24,10 @@
   private StateCodec() {}
 
   /**
-   * A page of entries, or the changes after a revision. {@code more} is true if another page
+   * A page of entries, or the changes after a revision. {@code hasMore} is true if another page
    * follows.
    */
-  record Page(List<KeyValue> items, boolean more, long revision) {}
+  record Page(List<KeyValue> items, boolean hasMore, long revision) {}
 
   /** Returns the revision in a response, or 0 if the response has none. */
   static Long readRevision(JsonReader in) throws IOException {
@@ -81,22 +81,22 @@
   /** Reads a page of entries or of changes, without the items that are unreadable. */
   static Page readPage(JsonReader in) throws IOException {
     List<KeyValue> items = null;
-    boolean more = false;
+    boolean hasMore = false;
     long revision = 0;
     in.enterObject();
     while (in.nextField()) {
       switch (in.field()) {
         case StateProtocol.ENTRIES, StateProtocol.EVENTS -> items = in.list(StateCodec::readItem);
-        case StateProtocol.HAS_MORE -> more = in.booleanOrFalse();
+        case StateProtocol.HAS_MORE -> hasMore = in.booleanOrFalse();
         case StateProtocol.REVISION -> revision = in.longOrZero();
         default -> in.skip();
       }
     }
     if (items == null) {
-      return new Page(List.of(), more, revision);
+      return new Page(List.of(), hasMore, revision);
     }
     items.removeIf(Objects::isNull);
-    return new Page(items, more, revision);
+    return new Page(items, hasMore, revision);
   }
 
   /**
--- a/src/main/java/mallowstall/state/StateServiceClient.java
+++ b/src/main/java/mallowstall/state/StateServiceClient.java
@@ -157,7 +157,7 @@
             return;
           }
           callback.accept(
-              new ListResult(ResultCode.OK, page.items(), page.more(), page.revision()));
+              new ListResult(ResultCode.OK, page.items(), page.hasMore(), page.revision()));
         });
   }
 
--- a/src/test/java/mallowstall/core/AnswersOnTheirWayTest.java
+++ b/src/test/java/mallowstall/core/AnswersOnTheirWayTest.java
@@ -39,7 +39,7 @@
           history.requestUntilStateReported(OTHER, UserRequest.CANCELLATION, 1_000);
       history.finish(cancellation);
       assertEquals(1, submission.answers);
-      tally.add(history, history.endRecordedMs > 0 && history.endRecordedMs < asked.leftMs);
+      tally.add(history, history.outcomeRecordedMs > 0 && history.outcomeRecordedMs < asked.sentMs);
     }
     tally.assertNoViolations();
   }
@@ -60,7 +60,7 @@
       history.ask(OTHER, UserRequest.SUBMISSION);
       history.requestUntilStateReported(OTHER, UserRequest.QUERY, 100);
       history.run(8_000);
-      tally.add(history, history.endRecordedMs > 0 && history.endRecordedMs < asked.leftMs);
+      tally.add(history, history.outcomeRecordedMs > 0 && history.outcomeRecordedMs < asked.sentMs);
     }
     tally.assertNoViolations();
   }
--- a/src/test/java/mallowstall/core/ForcedHistory.java
+++ b/src/test/java/mallowstall/core/ForcedHistory.java
@@ -79,31 +79,31 @@
   static final class Exchange {
     final UserRequest request;
     final String node;
-    final long askedMs;
+    final long requestedMs;
     long decidedMs = -1;
-    long leftMs = -1;
+    long sentMs = -1;
     int answers;
 
     /** The answer that the user received, or null if none arrived before the timeout. */
     ApiResponse received;
 
-    Exchange(UserRequest request, String node, long askedMs) {
+    Exchange(UserRequest request, String node, long requestedMs) {
       this.request = request;
       this.node = node;
-      this.askedMs = askedMs;
+      this.requestedMs = requestedMs;
     }
   }
 
   /**
-   * The attempts of one user until an answer contains the job's state; {@code toldMs} is -1 until
-   * then.
+   * The attempts of one user until an answer contains the job's state; {@code stateReportedMs} is
+   * -1 until then.
    */
   static final class Attempts {
-    final long begunMs;
-    long toldMs = -1;
+    final long startedMs;
+    long stateReportedMs = -1;
 
-    Attempts(long begunMs) {
-      this.begunMs = begunMs;
+    Attempts(long startedMs) {
+      this.startedMs = startedMs;
     }
   }
 
@@ -115,7 +115,7 @@
   long recordedMs = -1;
 
   /** The time at which the state service stores the job's outcome, or -1 before that. */
-  long endRecordedMs = -1;
+  long outcomeRecordedMs = -1;
 
   private final AnswerWriter answerWriter;
   private final Map<String, StallableProcess> processes = new HashMap<>();
@@ -165,8 +165,8 @@
         recordedMs = nowMs();
         trace("the job is recorded");
       }
-      if (entry.isTerminal() && endRecordedMs < 0) {
-        endRecordedMs = nowMs();
+      if (entry.isTerminal() && outcomeRecordedMs < 0) {
+        outcomeRecordedMs = nowMs();
         trace("the job's end is recorded");
       }
     }
@@ -198,8 +198,8 @@
   }
 
   private void onArrival(Exchange exchange, ApiResponse response, Consumer<Exchange> onReceived) {
-    exchange.leftMs = nowMs();
-    boolean inTime = nowMs() - exchange.askedMs <= exchange.request.timeoutMs();
+    exchange.sentMs = nowMs();
+    boolean inTime = nowMs() - exchange.requestedMs <= exchange.request.timeoutMs();
     trace(
         exchange.node
             + (inTime ? " answers " : " answers after the timeout ")
@@ -209,7 +209,7 @@
     }
     exchange.received = response;
     simulation.checker.onAnswer(
-        nowMs(), exchange.askedMs, JOB, response.status(), response.state());
+        nowMs(), exchange.requestedMs, JOB, response.status(), response.state());
     onReceived.accept(exchange);
   }
 
@@ -221,7 +221,7 @@
   }
 
   private void attempt(String node, UserRequest request, long retryMs, Attempts attempts) {
-    if (attempts.toldMs >= 0) {
+    if (attempts.stateReportedMs >= 0) {
       return;
     }
     if (!controller(node).running) {
@@ -236,8 +236,8 @@
             exchange -> {
               if (exchange.received.state() == null) {
                 simulation.schedule(retryMs, retry);
-              } else if (attempts.toldMs < 0) {
-                attempts.toldMs = nowMs();
+              } else if (attempts.stateReportedMs < 0) {
+                attempts.stateReportedMs = nowMs();
               }
             });
     simulation.schedule(
@@ -253,45 +253,46 @@
   void submitNow() {
     Attempts submission = requestUntilStateReported(OTHER, UserRequest.SUBMISSION, RETRY_MS);
     run(3_000);
-    long tookMs = submission.toldMs - submission.begunMs;
+    long tookMs = submission.stateReportedMs - submission.startedMs;
     assertTrue(tookMs >= 0 && tookMs <= MAX_ACCEPTANCE_MS, "accepted after " + tookMs + " ms");
   }
 
   /** Runs until the attempts have succeeded and every other user's request has timed out. */
   void finish(Attempts attempts) {
     run(ALL_ANSWERED_MS);
-    while (attempts.toldMs < 0 && nowMs() - attempts.begunMs < MAX_UNANSWERED_MS) {
+    while (attempts.stateReportedMs < 0 && nowMs() - attempts.startedMs < MAX_UNANSWERED_MS) {
       run(100);
     }
-    assertTrue(attempts.toldMs >= 0, () -> "without an answer: " + trace);
+    assertTrue(attempts.stateReportedMs >= 0, () -> "without an answer: " + trace);
   }
 
   /**
    * Sends a request about the job, which is submitted to the other controller {@code submitAfterMs}
    * later.
    *
-   * @return whether the job was recorded after the request and before the request's answer left
+   * @return whether the job was recorded after the request and before the request's answer was sent
    */
   boolean askThenSubmit(UserRequest request, long submitAfterMs) {
     Exchange asked = ask(ASKED, request);
     run(submitAfterMs);
     finish(requestUntilStateReported(OTHER, UserRequest.SUBMISSION, RETRY_MS));
     assertEquals(1, asked.answers, () -> "answered once: " + trace);
-    return recordedMs > asked.askedMs && asked.leftMs > recordedMs;
+    return recordedMs > asked.requestedMs && asked.sentMs > recordedMs;
   }
 
   /**
    * Sends a request about the job, which is cancelled at the other controller {@code cancelAfterMs}
    * later.
    *
-   * @return whether the outcome was recorded after the request and before the request's answer left
+   * @return whether the outcome was recorded after the request and before the request's answer was
+   *     sent
    */
   boolean askThenCancel(UserRequest request, long cancelAfterMs) {
     Exchange asked = ask(ASKED, request);
     run(cancelAfterMs);
     finish(requestUntilStateReported(OTHER, UserRequest.CANCELLATION, RETRY_MS));
     assertEquals(1, asked.answers, () -> "answered once: " + trace);
-    return endRecordedMs > asked.askedMs && asked.leftMs > endRecordedMs;
+    return outcomeRecordedMs > asked.requestedMs && asked.sentMs > outcomeRecordedMs;
   }
 
   /**
--- a/src/test/java/mallowstall/core/LateAnswersTest.java
+++ b/src/test/java/mallowstall/core/LateAnswersTest.java
@@ -177,7 +177,7 @@
               history.requestUntilStateReported(OTHER, UserRequest.SUBMISSION, 50);
           history.finish(submission);
           assertEquals(1, exchange.answers, "answered once: " + history.trace);
-          tally.add(history, history.recordedMs > 0 && exchange.leftMs > history.recordedMs);
+          tally.add(history, history.recordedMs > 0 && exchange.sentMs > history.recordedMs);
         }
       }
     }
@@ -328,7 +328,8 @@
       history.run(ForcedHistory.ALL_ANSWERED_MS);
       assertEquals(1, exchange.answers, "answered once: " + history.trace);
       boolean endRecordedBeforeAnswer =
-          history.endRecordedMs > exchange.askedMs && exchange.leftMs > history.endRecordedMs;
+          history.outcomeRecordedMs > exchange.requestedMs
+              && exchange.sentMs > history.outcomeRecordedMs;
       tally.add(history, endRecordedBeforeAnswer);
     }
     tally.assertNoViolations();
--- a/src/test/java/mallowstall/core/UnconfirmedRefusalsTest.java
+++ b/src/test/java/mallowstall/core/UnconfirmedRefusalsTest.java
@@ -46,7 +46,7 @@
       history.run(5L * i);
       ForcedHistory.Attempts submission =
           history.requestUntilStateReported(OTHER, UserRequest.SUBMISSION, ForcedHistory.RETRY_MS);
-      while (submission.toldMs < 0) {
+      while (submission.stateReportedMs < 0) {
         history.run(1);
       }
       ForcedHistory.Exchange asked = history.ask(ASKED, request);
@@ -73,7 +73,7 @@
       ForcedHistory.Exchange asked = history.ask(ASKED, request);
       history.finish(submission);
       assertEquals(1, asked.answers, "answered once: " + history.trace);
-      tally.add(history, submission.toldMs <= asked.leftMs);
+      tally.add(history, submission.stateReportedMs <= asked.sentMs);
     }
     tally.assertNoViolations();
   }
@@ -179,7 +179,7 @@
       ForcedHistory.Attempts submission =
           history.requestUntilStateReported(OTHER, UserRequest.SUBMISSION, ForcedHistory.RETRY_MS);
       history.finish(submission);
-      long tookMs = submission.toldMs - submission.begunMs;
+      long tookMs = submission.stateReportedMs - submission.startedMs;
       assertTrue(tookMs <= ACCEPTED_SOON_MS, "accepted after " + tookMs + " ms");
       tally.add(history, true);
     }
