--- a/src/test/java/mallowstall/core/UpgradeTest.java
+++ b/src/test/java/mallowstall/core/UpgradeTest.java
@@ -135,8 +135,8 @@
   }
 
   /**
-   * The downgrade of a controller is unsupported but does no harm: the old controller doesn't run,
-   * delete or end a service that it can't read.
+   * The downgrade of a controller is unsupported but must do no harm: the old controller must not
+   * run, delete or end a service that it can't read. This does not always hold; see KNOWN-RED.txt.
    */
   @Test
   void restartedOldControllerLeavesServicesToOthers() {
