--- a/src/main/java/mallowstall/core/AutoscalingModules.java
+++ b/src/main/java/mallowstall/core/AutoscalingModules.java
@@ -31,13 +31,17 @@
     this.cluster = cluster;
     machineDemand =
         new MachineDemand(
-            cluster.clock, cluster.settings, cluster.view, cluster.machineTypes, cluster.openJobs);
+            cluster.clock,
+            cluster.settings,
+            cluster.view,
+            cluster.machineTypes,
+            cluster.jobsNeedingLeader);
     cluster.machineTypes.subscribe(machineDemand::onTypesChanged);
     double callsPerSecond = cluster.settings.cloudRequestsPerS();
     TokenBucket calls =
         new TokenBucket(
-            callsPerSecond * Constants.STATE_RATE_FRACTION,
-            callsPerSecond * 2 * Constants.STATE_RATE_FRACTION);
+            callsPerSecond * Constants.RATE_LIMIT_FRACTION,
+            callsPerSecond * 2 * Constants.RATE_LIMIT_FRACTION);
     CloudInventory cloudInventory = new CloudInventory(cluster.clock, cluster.effects, calls);
     PendingMachines pendingMachines = new PendingMachines();
     ScaleIn scaleIn = newScaleIn(calls, cloudInventory, pendingMachines);
@@ -94,7 +98,7 @@
     return new ScaleOut(
         cluster.view,
         cluster.machineTypes,
-        cluster.openJobs,
+        cluster.jobsNeedingLeader,
         machineDemand,
         new UnplaceableJobs(cluster.settings, cluster.store, cluster.view),
         pendingMachines,
--- a/src/main/java/mallowstall/core/ClusterModules.java
+++ b/src/main/java/mallowstall/core/ClusterModules.java
@@ -6,9 +6,9 @@
 import mallowstall.core.cluster.ClusterView;
 import mallowstall.core.cluster.Connectivity;
 import mallowstall.core.cluster.ImageSizes;
+import mallowstall.core.cluster.JobsNeedingLeader;
 import mallowstall.core.cluster.MachineTypeCatalog;
 import mallowstall.core.cluster.Membership;
-import mallowstall.core.cluster.OpenJobs;
 import mallowstall.core.cluster.PeerMessenger;
 import mallowstall.core.cluster.ReturnedMachines;
 import mallowstall.core.kernel.Effects;
@@ -37,7 +37,7 @@
   final ClusterView view;
   final MachineTypeCatalog machineTypes;
   final ImageSizes imageSizes = new ImageSizes();
-  final OpenJobs openJobs = new OpenJobs();
+  final JobsNeedingLeader jobsNeedingLeader = new JobsNeedingLeader();
   final ReturnedMachines returnedMachines = new ReturnedMachines();
   final Membership membership;
   final Connectivity connectivity;
@@ -73,7 +73,7 @@
     clusterVersion = new ClusterVersion(settings, store);
     jobBitmaps =
         new JobBitmaps(
-            settings, effects::encodedSizeBytes, clusterVersion::allowsSmallPieces, store::entry);
+            settings, effects::encodedSizeBytes, clusterVersion::allowsCompactLayout, store::entry);
     messenger = new PeerMessenger(settings, effects, store, view, ownStarts, ownStops);
     placementTrigger = new PlacementTrigger(clock, eventLoopLag);
   }
--- a/src/main/java/mallowstall/core/api/AcceptanceLookup.java
+++ b/src/main/java/mallowstall/core/api/AcceptanceLookup.java
@@ -54,7 +54,7 @@
   /** Queries to which some peer has not replied yet, by their serial, the oldest first. */
   private final Map<Long, Query> unanswered = new LinkedHashMap<>();
 
-  private long lastSerial = FormerLeases.QUERY_SERIAL;
+  private long lastSerial = FormerProcessLeases.QUERY_SERIAL;
 
   /** Peers are or will be notified that the queries up to this one have ended. */
   private long lastEndedSerial = lastSerial;
@@ -84,7 +84,7 @@
       callback = null;
       pendingLookups--;
       // a peer may have restarted with an older version, whose leases end sooner
-      boolean isValid = clock.now() <= validUntilMs && clusterVersion.allowsAcceptanceQueries();
+      boolean isValid = clock.now() <= validUntilMs && clusterVersion.allowsAbsenceLeases();
       completed.accept(isValid ? absence : Absence.UNCONFIRMED);
     }
   }
@@ -144,8 +144,8 @@
       callback.accept(Absence.CONFIRMED);
       return;
     }
-    if (!clusterVersion.allowsAcceptanceQueries()
-        || !connectivity.hearsAllPeers()
+    if (!clusterVersion.allowsAbsenceLeases()
+        || !connectivity.hasRecentUpdatesFromAllPeers()
         || pendingLookups >= LOOKUPS_MAX) {
       callback.accept(Absence.UNCONFIRMED);
       return;
@@ -206,7 +206,7 @@
    * does not know the leases that its predecessor granted, so lookups that rely on those leases are
    * not confirmed.
    */
-  public void giveUpUnanswered() {
+  public void closeUnanswered() {
     List.copyOf(unanswered.keySet()).forEach(this::close);
   }
 
--- a/src/main/java/mallowstall/core/autoscaling/MachineDemand.java
+++ b/src/main/java/mallowstall/core/autoscaling/MachineDemand.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.Set;
 import mallowstall.core.cluster.ClusterView;
+import mallowstall.core.cluster.JobsNeedingLeader;
 import mallowstall.core.cluster.MachineTypeCatalog;
 import mallowstall.core.cluster.MachineView;
-import mallowstall.core.cluster.OpenJobs;
 import mallowstall.core.kernel.EventClock;
 import mallowstall.core.model.CoreSettings;
 import mallowstall.core.model.JobEntry;
@@ -70,7 +70,7 @@
   private final CoreSettings settings;
   private final ClusterView view;
   private final MachineTypeCatalog types;
-  private final OpenJobs openJobs;
+  private final JobsNeedingLeader jobsNeedingLeader;
   private final Map<String, TypeDemand> demandByType = new HashMap<>();
 
   /** The smallest machine type on which a task fits, by job id. */
@@ -90,12 +90,12 @@
       CoreSettings settings,
       ClusterView view,
       MachineTypeCatalog types,
-      OpenJobs openJobs) {
+      JobsNeedingLeader jobsNeedingLeader) {
     this.clock = clock;
     this.settings = settings;
     this.view = view;
     this.types = types;
-    this.openJobs = openJobs;
+    this.jobsNeedingLeader = jobsNeedingLeader;
   }
 
   /** Returns the demand for this type, which is zero if no open job needs it. */
@@ -108,12 +108,12 @@
    * type is the smallest one on which some open job fits.
    */
   public boolean isScarce(JobSpec spec, String type) {
-    String smallest = minimalType(spec);
+    String smallest = smallestType(spec);
     return smallest != null && !smallest.equals(type) && smallestTypesInUse.contains(type);
   }
 
   /** Returns the smallest type on which a task of the job fits, or null if it fits on none. */
-  public String minimalType(JobSpec spec) {
+  public String smallestType(JobSpec spec) {
     String cached = smallestTypeByJob.get(spec.id());
     if (cached != null) {
       return cached;
@@ -157,7 +157,7 @@
     demandByType.values().forEach(TypeDemand::resetCurrent);
     Map<String, Double> urgentByType = new HashMap<>();
     Map<String, Double> remainingCpusByTeam = teamCpuQuotas();
-    for (JobEntry job : openJobs.all()) {
+    for (JobEntry job : jobsNeedingLeader.all()) {
       if (!job.isTerminal()) {
         addJob(job, remainingCpusByTeam, urgentByType);
       }
@@ -177,7 +177,7 @@
   private void addJob(
       JobEntry job, Map<String, Double> remainingCpusByTeam, Map<String, Double> urgentByType) {
     JobSpec spec = job.spec();
-    String typeName = minimalType(spec);
+    String typeName = smallestType(spec);
     if (typeName == null) {
       return;
     }
@@ -309,7 +309,7 @@
   }
 
   /** Returns whether the machine is reserved for urgent jobs. */
-  public boolean isReserved(String machine) {
+  public boolean isReservedForUrgent(String machine) {
     return reservedForUrgent.contains(machine);
   }
 }
--- a/src/main/java/mallowstall/core/jobs/JobLeader.java
+++ b/src/main/java/mallowstall/core/jobs/JobLeader.java
@@ -4,8 +4,8 @@
 import java.util.Collection;
 import java.util.List;
 import mallowstall.core.cluster.ClusterView;
+import mallowstall.core.cluster.JobsNeedingLeader;
 import mallowstall.core.cluster.Membership;
-import mallowstall.core.cluster.OpenJobs;
 import mallowstall.core.cluster.PeerMessenger;
 import mallowstall.core.kernel.EventClock;
 import mallowstall.core.kernel.PlacementTrigger;
@@ -41,7 +41,7 @@
       StateStore store,
       JobBitmaps jobBitmaps,
       ClusterView view,
-      OpenJobs openJobs,
+      JobsNeedingLeader jobsNeedingLeader,
       Membership membership,
       PeerMessenger messenger,
       PlacementTrigger placementTrigger) {
@@ -64,7 +64,7 @@
             attempts,
             reconciliation);
     recovery = new LeadershipRecovery(store, view, placementTrigger, jobs);
-    failover = new JobFailover(clock, settings, store, jobBitmaps, openJobs, membership);
+    failover = new JobFailover(clock, settings, store, jobBitmaps, jobsNeedingLeader, membership);
     completions = new CompletionRecorder(clock, store, jobBitmaps);
   }
 
@@ -167,7 +167,7 @@
    * the state replica. No event would release these attempts any more, so the list must be empty.
    * Used by tests.
    */
-  public List<String> unknownAttemptMachines() {
+  public List<String> unknownMachinesWithAttempts() {
     return attempts.machines().stream()
         .filter(id -> view.machine(id) == null && store.machine(id) == null)
         .toList();
--- a/src/main/java/mallowstall/core/placement/GroupPlacer.java
+++ b/src/main/java/mallowstall/core/placement/GroupPlacer.java
@@ -17,7 +17,7 @@
   private final JobRanking ranking;
   private final QueuedWork queuedWork;
   private final PlacementBackoffs backoffs;
-  private final JobPlacements placements;
+  private final JobPlacementFactory placementFactory;
   private final BlockPlacer blockPlacer;
   private final PreemptingPlacer preemptingPlacer;
 
@@ -28,13 +28,13 @@
       JobRanking ranking,
       QueuedWork queuedWork,
       PlacementBackoffs backoffs,
-      JobPlacements placements,
+      JobPlacementFactory placementFactory,
       BlockPlacer blockPlacer,
       PreemptingPlacer preemptingPlacer) {
     this.ranking = ranking;
     this.queuedWork = queuedWork;
     this.backoffs = backoffs;
-    this.placements = placements;
+    this.placementFactory = placementFactory;
     this.blockPlacer = blockPlacer;
     this.preemptingPlacer = preemptingPlacer;
   }
@@ -44,7 +44,7 @@
    * capacity, at most {@code maxStarts}.
    */
   int place(List<LedJob> group, List<MachineView> machines, int maxStarts, long now) {
-    List<JobPlacement> jobPlacements = beginPlacements(group, machines, now);
+    List<JobPlacement> jobPlacements = createPlacements(group, machines, now);
     int blockCount = 0;
     for (JobPlacement placement : jobPlacements) {
       blockCount = Math.max(blockCount, placement.policy().blocks().size());
@@ -67,21 +67,22 @@
   }
 
   /**
-   * Begins the placements of those jobs that aren't backing off, have quota left and needn't yield
+   * Creates the placements of those jobs that aren't backing off, have quota left and needn't yield
    * to jobs of other controllers.
    */
-  private List<JobPlacement> beginPlacements(
+  private List<JobPlacement> createPlacements(
       List<LedJob> group, List<MachineView> machines, long now) {
     List<JobPlacement> due = new ArrayList<>();
     for (LedJob ledJob : group) {
       boolean mayYield = !ranking.isStarving(ledJob) && !ledJob.spec().isService();
       // Without the check of the quota, a job whose team has used up its quota would search in each
       // pass for capacity that it can't use.
-      boolean mustWait = backoffs.isWaiting(ledJob, now) || placements.isQuotaExhausted(ledJob);
+      boolean mustWait =
+          backoffs.isWaiting(ledJob, now) || placementFactory.isQuotaExhausted(ledJob);
       if (mustWait || (mayYield && queuedWork.mustYield(ledJob, now))) {
         continue;
       }
-      due.add(placements.begin(ledJob, machines));
+      due.add(placementFactory.create(ledJob, machines));
     }
     return due;
   }
--- a/src/main/java/mallowstall/core/placement/QueuedWork.java
+++ b/src/main/java/mallowstall/core/placement/QueuedWork.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 import mallowstall.core.autoscaling.MachineDemand;
 import mallowstall.core.cluster.ClusterView;
+import mallowstall.core.cluster.JobsNeedingLeader;
 import mallowstall.core.cluster.MachineTypeCatalog;
 import mallowstall.core.cluster.MachineView;
-import mallowstall.core.cluster.OpenJobs;
 import mallowstall.core.jobs.LedJob;
 import mallowstall.core.kernel.EventClock;
 import mallowstall.core.kv.StateStore;
@@ -40,16 +40,16 @@
 
   /** The waiting tasks of one job: rank, smallest type that holds one, leader, processors. */
   private record QueuedJob(
-      String jobId, int rank, String minimalType, String leader, double cpus) {}
+      String jobId, int rank, String smallestType, String leader, double cpus) {}
 
   /** A batch job without a placed task, longer after its submission than the starvation time. */
-  record StarvingJob(JobEntry entry, String minimalType) {}
+  record StarvingJob(JobEntry entry, String smallestType) {}
 
   private final EventClock clock;
   private final CoreSettings settings;
   private final ClusterView view;
   private final MachineTypeCatalog types;
-  private final OpenJobs openJobs;
+  private final JobsNeedingLeader jobsNeedingLeader;
   private final MachineDemand demand;
   private final StateStore store;
   private final JobRanking ranking;
@@ -79,14 +79,14 @@
       StateStore store,
       ClusterView view,
       MachineTypeCatalog types,
-      OpenJobs openJobs,
+      JobsNeedingLeader jobsNeedingLeader,
       MachineDemand demand,
       JobRanking ranking) {
     this.clock = clock;
     this.settings = settings;
     this.view = view;
     this.types = types;
-    this.openJobs = openJobs;
+    this.jobsNeedingLeader = jobsNeedingLeader;
     this.demand = demand;
     this.store = store;
     this.ranking = ranking;
@@ -127,7 +127,7 @@
    * capacity.
    */
   boolean mustYield(LedJob ledJob, long now) {
-    String type = demand.minimalType(ledJob.spec());
+    String type = demand.smallestType(ledJob.spec());
     if (type == null) {
       return false;
     }
@@ -178,7 +178,7 @@
 
   /** Returns whether another controller leads the job and the job waits for the machine type. */
   private boolean isOtherLeadersJob(QueuedJob queuedJob, String type) {
-    return type.equals(queuedJob.minimalType) && !settings.node().equals(queuedJob.leader);
+    return type.equals(queuedJob.smallestType) && !settings.node().equals(queuedJob.leader);
   }
 
   /** Recomputes the waiting work and, by image, the slots of the machines that have the image. */
@@ -189,7 +189,7 @@
     warmSlotsByImage.clear();
     starvingSinceMs.keySet().removeIf(id -> store.job(id) == null || store.job(id).isTerminal());
     Map<String, JobSpec> specByImage = new HashMap<>();
-    for (JobEntry job : openJobs.all()) {
+    for (JobEntry job : jobsNeedingLeader.all()) {
       if (!job.isTerminal()) {
         specByImage.put(job.spec().image(), job.spec());
         addQueuedJob(job);
@@ -223,10 +223,10 @@
     }
     int rank = starves ? 0 : ranking.rank(job, spec);
     double cpus = (starves ? spec.starvationTasks() : tasks) * spec.cpus();
-    String minimalType = demand.minimalType(spec);
-    queuedJobs.add(new QueuedJob(spec.id(), rank, minimalType, job.leader(), cpus));
-    if (starves && !spec.isService() && minimalType != null) {
-      starvingJobs.add(new StarvingJob(job, minimalType));
+    String smallestType = demand.smallestType(spec);
+    queuedJobs.add(new QueuedJob(spec.id(), rank, smallestType, job.leader(), cpus));
+    if (starves && !spec.isService() && smallestType != null) {
+      starvingJobs.add(new StarvingJob(job, smallestType));
     }
   }
 
@@ -237,7 +237,7 @@
 
   /** Adds the machine's task slots, divided evenly among its images that tasks wait for. */
   private void addWarmSlots(MachineView machine, Map<String, JobSpec> specByImage) {
-    view.updateDerivedState(machine);
+    view.refreshImages(machine);
     int queuedImages = 0;
     for (String image : machine.images()) {
       if (queuedSecondsByImage.containsKey(image)) {
