--- a/src/main/java/mallowstall/core/api/AbsenceLeases.java
+++ b/src/main/java/mallowstall/core/api/AbsenceLeases.java
@@ -96,7 +96,7 @@
 
   /** Returns whether users may be informed now that the job was accepted. */
   boolean mayReportAccepted(String job) {
-    if (!formerProcessLeases.areOver()) {
+    if (!formerProcessLeases.haveEnded()) {
       return false;
     }
     for (String peer : settings.peers()) {
--- a/src/main/java/mallowstall/core/api/FormerProcessLeases.java
+++ b/src/main/java/mallowstall/core/api/FormerProcessLeases.java
@@ -50,7 +50,7 @@
    */
   public void tick() {
     // An older version does not know the message, or continues to rely on the leases.
-    if (areOver() || store.incarnation() == 0 || !clusterVersion.allowsAbsenceLeases()) {
+    if (haveEnded() || store.incarnation() == 0 || !clusterVersion.allowsAbsenceLeases()) {
       return;
     }
     AcceptanceQuery query =
@@ -68,7 +68,7 @@
   }
 
   /** Returns whether no response of a peer can rely on such a lease any more. */
-  boolean areOver() {
+  boolean haveEnded() {
     return pendingPeers.isEmpty() || haveExpired();
   }
 
--- a/src/main/java/mallowstall/core/api/JobApi.java
+++ b/src/main/java/mallowstall/core/api/JobApi.java
@@ -114,7 +114,7 @@
 
   /** Returns whether users' requests can be served. */
   public boolean isReady() {
-    return isInitialized() && formerProcessLeases.areOver();
+    return isInitialized() && formerProcessLeases.haveEnded();
   }
 
   /**
--- a/src/main/java/mallowstall/core/jobs/ReplicaRelocations.java
+++ b/src/main/java/mallowstall/core/jobs/ActiveRelocations.java
@@ -10,7 +10,7 @@
  * kept here as long as capacity is reserved on the target machine. Times are in milliseconds of the
  * steady clock. Mutable; not thread-safe.
  */
-public final class ReplicaRelocations {
+public final class ActiveRelocations {
   /** The target machine of a relocation, and the time until which capacity is reserved there. */
   private record Relocation(String target, long untilMs) {}
 
--- a/src/main/java/mallowstall/core/jobs/LedJob.java
+++ b/src/main/java/mallowstall/core/jobs/LedJob.java
@@ -61,7 +61,7 @@
   private final ReplicaRestarts restarts = new ReplicaRestarts();
 
   /** The relocations in progress; used for services only. */
-  private final ReplicaRelocations relocations = new ReplicaRelocations();
+  private final ActiveRelocations relocations = new ActiveRelocations();
 
   /**
    * The placement backoff of a service. A service has one of its own because its wait for a zone
@@ -384,7 +384,7 @@
   }
 
   /** Returns, for a service, the replicas that are being relocated and their target machines. */
-  public ReplicaRelocations relocations() {
+  public ActiveRelocations relocations() {
     return relocations;
   }
 
--- a/src/main/java/mallowstall/core/kv/StateChangeDispatcher.java
+++ b/src/main/java/mallowstall/core/kv/StateChangeDispatcher.java
@@ -25,8 +25,8 @@
   private final List<Consumer<String>> machineRemoved;
   private final BiConsumer<String, MachineEntry> machineEntrySuperseded;
   private final Consumer<String> machineReturned;
-  private final Runnable advanced;
-  private final LongConsumer synced;
+  private final Runnable replicaAdvanced;
+  private final LongConsumer replicaSynced;
 
   /**
    * Creates a dispatcher that calls subscribers in the order of their lists. When a machine is
@@ -39,16 +39,16 @@
       List<Consumer<String>> machineRemoved,
       BiConsumer<String, MachineEntry> machineEntrySuperseded,
       Consumer<String> machineReturned,
-      Runnable advanced,
-      LongConsumer synced) {
+      Runnable replicaAdvanced,
+      LongConsumer replicaSynced) {
     this.jobSubscribers = jobSubscribers;
     this.completionBitsChanged = completionBitsChanged;
     this.machineChanged = machineChanged;
     this.machineRemoved = machineRemoved;
     this.machineEntrySuperseded = machineEntrySuperseded;
     this.machineReturned = machineReturned;
-    this.advanced = advanced;
-    this.synced = synced;
+    this.replicaAdvanced = replicaAdvanced;
+    this.replicaSynced = replicaSynced;
   }
 
   @Override
@@ -94,11 +94,11 @@
 
   @Override
   public void replicaAdvanced() {
-    advanced.run();
+    replicaAdvanced.run();
   }
 
   @Override
   public void replicaSynced(long revision) {
-    synced.accept(revision);
+    replicaSynced.accept(revision);
   }
 }
--- a/src/test/java/mallowstall/core/InvariantChecker.java
+++ b/src/test/java/mallowstall/core/InvariantChecker.java
@@ -180,7 +180,7 @@
 
   void check(long now) {
     for (Map.Entry<String, Long> entry : lastAnswerMs.entrySet()) {
-      if (!isOver(entry.getKey()) && now - 75_000 > Math.max(faultsEndedMs, entry.getValue())) {
+      if (!hasEnded(entry.getKey()) && now - 75_000 > Math.max(faultsEndedMs, entry.getValue())) {
         violations.add(now + " forgotten: no query about " + entry.getKey() + " is answered");
         entry.setValue(now);
       }
@@ -268,7 +268,7 @@
   /** Returns whether the job is accepted, not over, and without a requested cancellation. */
   private boolean shouldRun(String job) {
     boolean accepted = lastReportedState.containsKey(job);
-    return accepted && !isOver(job) && !cancelRequested.contains(job);
+    return accepted && !hasEnded(job) && !cancelRequested.contains(job);
   }
 
   /**
@@ -380,7 +380,7 @@
       return;
     }
     lastAnswerMs.put(job, now);
-    if (isOver(job) && !before.equals(state)) {
+    if (hasEnded(job) && !before.equals(state)) {
       String violation = now + " went_back: " + job + " " + before + " " + state;
       violation += " since " + terminalStateMs.get(job) + ", requested at " + requestedMs;
       violations.add(violation);
@@ -406,7 +406,7 @@
   }
 
   /** Returns whether the last state in an answer to a user is done or cancelled. */
-  boolean isOver(String job) {
+  boolean hasEnded(String job) {
     String last = lastReportedState.get(job);
     return "done".equals(last) || "cancelled".equals(last);
   }
--- a/src/test/java/mallowstall/core/LateAnswerFaults.java
+++ b/src/test/java/mallowstall/core/LateAnswerFaults.java
@@ -181,7 +181,7 @@
   private List<String> knownOpenJobs() {
     List<String> out = new ArrayList<>();
     for (String id : sim.users.jobs) {
-      if (sim.checker.lastState(id) != null && !sim.checker.isOver(id)) {
+      if (sim.checker.lastState(id) != null && !sim.checker.hasEnded(id)) {
         out.add(id);
       }
     }
--- a/src/test/java/mallowstall/core/RandomizedSimulationTest.java
+++ b/src/test/java/mallowstall/core/RandomizedSimulationTest.java
@@ -42,7 +42,7 @@
   private static void assertAllFinished(Simulation sim) {
     assertEquals(List.of(), sim.checker.violations);
     for (String id : sim.users.jobs) {
-      assertTrue(sim.checker.isOver(id), id + " is " + sim.checker.lastState(id));
+      assertTrue(sim.checker.hasEnded(id), id + " is " + sim.checker.lastState(id));
     }
   }
 
--- a/src/test/java/mallowstall/core/SimulatedUsers.java
+++ b/src/test/java/mallowstall/core/SimulatedUsers.java
@@ -131,7 +131,7 @@
   }
 
   private void poll(String id) {
-    if (simulation.checker.isOver(id) && simulation.random.nextInt(4) > 0) {
+    if (simulation.checker.hasEnded(id) && simulation.random.nextInt(4) > 0) {
       return;
     }
     SimulatedController node = randomController();
@@ -273,7 +273,7 @@
 
   private void resubmit(SimulatedController node, String id) {
     simulation.countFault(
-        simulation.checker.isOver(id) ? "oddRequests, over again" : "oddRequests, again");
+        simulation.checker.hasEnded(id) ? "oddRequests, over again" : "oddRequests, again");
     long requestedMs = simulation.nowMs;
     submitAt(node, simulation.checker.spec(id), answer -> recordAnswer(requestedMs, id, answer));
   }
