--- a/src/main/java/mallowstall/core/jobs/LeadershipRecovery.java
+++ b/src/main/java/mallowstall/core/jobs/LeadershipRecovery.java
@@ -33,7 +33,8 @@
 
   /**
    * The point up to which status updates cover all machines. An update also covers the machines of
-   * its sender that it does not list, because these are unchanged.
+   * its sender that it omits: an omitted machine had not changed when the leader composed the
+   * update.
    *
    * @param revision the lowest state replica revision of the latest updates; -1 if a machine is not
    *     fully reported
--- a/src/test/java/mallowstall/core/UpgradeTest.java
+++ b/src/test/java/mallowstall/core/UpgradeTest.java
@@ -135,8 +135,9 @@
   }
 
   /**
-   * The downgrade of a controller is unsupported but must do no harm: the old controller must not
-   * run, delete or end a service that it can't read. This does not always hold; see KNOWN-RED.txt.
+   * The downgrade of a controller is unsupported, but the old controller must not run, delete or
+   * end a service that it can't read. The test is listed in KNOWN-RED.txt: with its seed, a replica
+   * is started on the machine that keeps its result, ends at once, and is missing for 200 s.
    */
   @Test
   void restartedOldControllerLeavesServicesToOthers() {
