--- a/src/main/java/mallowstall/Controller.java
+++ b/src/main/java/mallowstall/Controller.java
@@ -62,8 +62,9 @@
   private static final long STOP_TIMEOUT_MS = 500;
 
   /**
-   * Maximum delay in milliseconds before an initialized controller listens. Workers need not wait
-   * longer for what only users' requests require.
+   * Time in milliseconds after the start from which an initialized controller listens even if it
+   * can't serve users' requests yet. The leases of its former processes must end before it serves
+   * users, but not before it serves workers.
    */
   private static final long INITIALIZED_LISTEN_DELAY_MAX_MS = 1_000;
 
@@ -134,8 +135,9 @@
 
   /**
    * Connects to the peers and starts the periodic tick. The port for users and workers opens once
-   * requests can be served, or at the latest after {@link Constants#LISTEN_DELAY_MAX_MS}. Until
-   * then the port stays closed, because rejecting hundreds of workers one by one would take all the
+   * users' requests can be served. It opens earlier if the controller is initialized 1 s after the
+   * start or later, and at the latest after {@link Constants#LISTEN_DELAY_MAX_MS}. Until then the
+   * port stays closed, because rejecting hundreds of workers one by one would take all the
    * processor time that the controller needs to become ready, and a closed port makes workers try
    * another controller as well. This method must be called only once.
    *
@@ -193,8 +195,9 @@
   }
 
   /**
-   * Stops the tick, then the connections, then the event loop. Returns before all of them have
-   * ended.
+   * Stops the tick, stops listening to users, workers and peers, and closes the connections to the
+   * peers. Then shuts down the event loop, which closes the remaining connections. Returns before
+   * all of this has ended.
    */
   public void stop() {
     loop.execute(
--- a/src/main/java/mallowstall/core/autoscaling/ScaleOutRequests.java
+++ b/src/main/java/mallowstall/core/autoscaling/ScaleOutRequests.java
@@ -14,8 +14,8 @@
 
 /**
  * Requests machines from the cloud, each time of one type, of one zone, and either spot or
- * on-demand (protocol, Cloud). At most one request is in flight. A combination that was rejected
- * isn't requested again before a cooldown ends. Mutable.
+ * on-demand (protocol, Cloud). At most one request is in flight. A combination that the cloud
+ * rejected or provided only in part isn't requested again before a cooldown ends. Mutable.
  */
 public final class ScaleOutRequests {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.autoscaling");
--- a/src/main/java/mallowstall/core/cluster/Membership.java
+++ b/src/main/java/mallowstall/core/cluster/Membership.java
@@ -6,7 +6,9 @@
 import mallowstall.core.kv.StateStore;
 import mallowstall.core.model.CoreSettings;
 
-/** Determines which controllers are live and to which of them a new machine should report. */
+/**
+ * Determines which controllers are live and which of them should lead a machine that has no leader.
+ */
 public final class Membership {
   private final CoreSettings settings;
   private final StateStore store;
@@ -27,9 +29,9 @@
   }
 
   /**
-   * Returns the controller to which a new machine should report. The controller is chosen by hash
-   * among the live controllers in the machine's zone if these are at least half of all live ones,
-   * and among all live ones otherwise.
+   * Returns the controller that should lead a machine without a leader, or this controller if none
+   * is live. The controller is chosen by hash among the live controllers in the machine's zone if
+   * these are at least half of all live ones, and among all live ones otherwise.
    */
   public String preferredLeader(String machine, String zone) {
     List<String> live = liveNodes();
--- a/src/main/java/mallowstall/core/cluster/PeerState.java
+++ b/src/main/java/mallowstall/core/cluster/PeerState.java
@@ -62,7 +62,10 @@
     return serial;
   }
 
-  /** Records a new process of the peer, which has published and acknowledged nothing yet. */
+  /**
+   * Records a new process of the peer, from which no status update has been applied and which has
+   * acknowledged no starts. The machines are kept until a full update replaces them.
+   */
   void startIncarnation(long newIncarnation) {
     incarnation = newIncarnation;
     acknowledgedConnection = 0;
@@ -207,7 +210,8 @@
 
   /**
    * Records a batch of starts received from the peer. Starts on a former connection are ignored,
-   * since this controller has already reported them as lost.
+   * since this controller acknowledges a later connection, from which the peer concludes that they
+   * were lost.
    *
    * @return false if the batch is repeated or belongs to a former connection or process
    */
--- a/src/main/java/mallowstall/core/jobs/AttemptTracker.java
+++ b/src/main/java/mallowstall/core/jobs/AttemptTracker.java
@@ -15,8 +15,8 @@
 
 /**
  * Tracks the attempts of led jobs that are or may be on machines, indexed by machine. An attempt is
- * tracked from its start until it is proven to be on no machine, so that no task runs twice.
- * Mutable; not thread-safe.
+ * tracked from its start until it is proven to be on no machine, so that no task runs twice, or
+ * until this controller no longer leads the job. Mutable; not thread-safe.
  */
 final class AttemptTracker {
   private static final Logger LOG = LoggerFactory.getLogger("mallowstall.jobs");
@@ -120,7 +120,7 @@
   }
 
   /** Releases all attempts on a machine that is proven to be removed, which ended them. */
-  void removeMachine(String machine) {
+  void releaseAttemptsOn(String machine) {
     Set<ActiveAttempt> attempts = attemptsByMachine.get(machine);
     if (attempts == null) {
       return;
--- a/src/main/java/mallowstall/core/jobs/CompletionRecorder.java
+++ b/src/main/java/mallowstall/core/jobs/CompletionRecorder.java
@@ -26,8 +26,10 @@
   }
 
   /**
-   * Writes the job's entry if completions or the outcome are not recorded yet, if an earlier write
-   * has an unknown outcome, or if the completion bitmap needs a layout migration.
+   * Writes the job's entry if completions or the job's outcome are not recorded yet, if it is
+   * unknown whether an earlier write was applied, or if the completion bitmap needs a layout
+   * migration. Does nothing while another write is in flight, before the next write is due, or
+   * while the state replica lags. Completions of a cancelled job are discarded.
    */
   void writeEntryIfDue(LedJob ledJob) {
     long now = clock.now();
--- a/src/main/java/mallowstall/core/jobs/JobLeader.java
+++ b/src/main/java/mallowstall/core/jobs/JobLeader.java
@@ -124,7 +124,7 @@
 
   /** Releases all attempts on a machine that is proven to be removed, which ended them. */
   public void removeMachineAttempts(String id) {
-    attempts.removeMachine(id);
+    attempts.releaseAttemptsOn(id);
   }
 
   /** Reads the job's entry after a conflict. It is not written until the read is answered. */
@@ -158,7 +158,7 @@
    */
   private void removeReturnedMachines() {
     for (String id : view.removeReturnedMachines()) {
-      attempts.removeMachine(id);
+      attempts.releaseAttemptsOn(id);
     }
   }
 
--- a/src/main/java/mallowstall/core/machines/MachineRegistration.java
+++ b/src/main/java/mallowstall/core/machines/MachineRegistration.java
@@ -32,7 +32,10 @@
   /** The time in milliseconds for which machines are collected into one registration. */
   private static final long REGISTRATION_BATCH_WINDOW_MS = 40;
 
-  /** Maximum milliseconds of collecting machines while a registration is unanswered. */
+  /**
+   * Maximum time in milliseconds after the last batch was sent for which machines are collected
+   * while a registration is unanswered.
+   */
   private static final long REGISTRATION_BATCH_WAIT_MAX_MS = 500;
 
   /** The size in bytes of one machine with long names in a group entry. */
@@ -85,9 +88,10 @@
       Heartbeat heartbeat, MachineType type, Consumer<HeartbeatResponse> reply) {}
 
   /**
-   * Records this controller as the machine's leader, under a larger fencing token, before the first
-   * response that accepts a heartbeat. {@code reply} is called once, possibly after this method
-   * returns.
+   * Queues the machine for registration with this controller as its leader, or answers at once that
+   * this controller is unavailable or that the worker is redirected. A heartbeat is accepted only
+   * after the registration is written, whose revision is the new, larger fencing token. {@code
+   * reply} is called once, possibly after this method returns.
    */
   void register(Heartbeat heartbeat, Consumer<HeartbeatResponse> reply) {
     long now = clock.now();
@@ -123,13 +127,15 @@
   /**
    * Registers the pending machines in as few transactions as possible. A group entry needs no
    * condition on the machines' current entries: the fencing token is the revision of the write, so
-   * the controller that writes last leads the machines.
+   * the controller that writes last leads the machines. A batch of one machine is written as a
+   * single entry, with a condition on the entry's revision.
    */
   private void registerBatch() {
     batchScheduled = false;
-    // While a write waits for the state service's rate limit, machines join the next batch. With
-    // one write per window, writes would queue for longer than a worker waits before it turns to
-    // another controller.
+    // While a registration is unanswered, for example because of the state service's rate limit,
+    // machines join the next batch, for at most REGISTRATION_BATCH_WAIT_MAX_MS. With one write per
+    // window, writes would queue for longer than a worker waits before it turns to another
+    // controller.
     boolean mustWait =
         registrationsInFlight > 0 && clock.now() - batchSentAtMs < REGISTRATION_BATCH_WAIT_MAX_MS;
     if (mustWait) {
@@ -161,7 +167,10 @@
     }
   }
 
-  /** Returns the first candidates, as many as fit, encoded, into one value of the state service. */
+  /**
+   * Returns a prefix of the candidates whose encoded group entry fits into one value of the state
+   * service. The prefix has at least one candidate, and need not be the longest one that fits.
+   */
   private List<PendingRegistration> largestFittingBatch(List<PendingRegistration> candidates) {
     return ValueSize.longestFittingPrefix(
         candidates, batch -> entryWriter.groupSize(members(batch)), settings.maxValueBytes());
--- a/src/main/java/mallowstall/core/placement/PreemptionOrder.java
+++ b/src/main/java/mallowstall/core/placement/PreemptionOrder.java
@@ -13,10 +13,11 @@
 final class PreemptionOrder {
   /** The ground on which a job may preempt another. */
   enum Ground {
-    /** The preemptor has the higher priority. */
+    /** The preemptor has an urgent priority that is higher than the victim's. */
     PRIORITY,
     /**
-     * The preemptor is covered by its team's guaranteed share, but the other team's victim is not.
+     * The preemptor is covered by its team's guaranteed share. The victim belongs to another team
+     * and is not covered by that team's share.
      */
     GUARANTEED_SHARE
   }
--- a/src/test/java/mallowstall/core/LateMachineEntryTest.java
+++ b/src/test/java/mallowstall/core/LateMachineEntryTest.java
@@ -55,12 +55,13 @@
   }
 
   /**
-   * Stalls the watch of a controller other than the given one, so that this controller gets no more
-   * events, and returns it.
+   * Stalls the watch of a controller other than {@code excluded}, so that the stalled controller
+   * gets no more events, and returns the stalled controller.
    */
-  private static SimulatedController stallWatchOfOther(Simulation sim, SimulatedController other) {
+  private static SimulatedController stallWatchOfOther(
+      Simulation sim, SimulatedController excluded) {
     for (SimulatedController node : sim.controllers.values()) {
-      if (node != other) {
+      if (node != excluded) {
         node.watchStalled = true;
         return node;
       }
@@ -112,10 +113,10 @@
   }
 
   /**
-   * Returns whether any of the machines gets an entry again within the given time, through the
-   * heartbeats that were in flight.
+   * Runs until any of the machines gets an entry again through the heartbeats that were in flight,
+   * or until the given time is over. Returns whether any machine got one.
    */
-  private static boolean isRegisteredAgain(
+  private static boolean runUntilRegisteredAgain(
       Simulation sim, SimulatedController observer, List<String> machines, long withinMs) {
     long until = sim.nowMs + withinMs;
     while (sim.nowMs < until && !hasEntry(observer, machines)) {
@@ -149,13 +150,13 @@
         List<String> machines = machinesLedByOthers(sim, stalled, count);
         List<Heartbeat> inFlight = returnWithHeartbeatsInFlight(sim, autoscaler, machines);
         deliver(stalled, inFlight);
-        registered += isRegisteredAgain(sim, autoscaler, machines, 1_000) ? 1 : 0;
+        registered += runUntilRegisteredAgain(sim, autoscaler, machines, 1_000) ? 1 : 0;
         stalled.watchStalled = false;
         assertRemoved(sim, autoscaler, machines, seed);
       }
-      // The write of a single entry has a condition on that entry, so it succeeds only for a
-      // machine
-      // that was registered in a group before.
+      // The write of a single entry has a condition on that entry's revision. The stalled
+      // controller may hold an outdated revision, and then the write fails. The order of events
+      // under test is therefore required only for groups.
       assertTrue(count == 1 || registered > 0, "no history had the order of events under test");
     }
   }
@@ -188,12 +189,12 @@
       worker.giveTerminationNotice(Simulation.HEARTBEAT_MS);
       sim.runUntil(sim.nowMs + Simulation.HEARTBEAT_MS - 100);
       returnWithHeartbeatsInFlight(sim, autoscaler, List.of(machine));
-      // The first copy is redirected to the controller that leads fewer machines, the second copy
-      // registers the machine.
+      // If another controller is the machine's preferred leader, the first copy is redirected to
+      // it. The second copy then registers the machine at the stalled controller.
       deliver(stalled, List.of(first));
       sim.runUntil(sim.nowMs + 100);
       deliver(stalled, List.of(first));
-      registered += isRegisteredAgain(sim, autoscaler, List.of(machine), 1_000) ? 1 : 0;
+      registered += runUntilRegisteredAgain(sim, autoscaler, List.of(machine), 1_000) ? 1 : 0;
       stalled.watchStalled = false;
       sim.healPartitions();
       assertRemoved(sim, autoscaler, List.of(machine), seed);
@@ -201,7 +202,10 @@
     assertTrue(registered > 0, "no history had the order of events under test");
   }
 
-  /** Guards against late entries that stay because a new autoscaler leader did not return them. */
+  /**
+   * Guards against late entries that stay because the autoscaler leader that returned the machines
+   * has crashed. The new leader did not return these machines itself.
+   */
   @Test
   void newAutoscalerLeaderRemovesLateEntries() {
     int registered = 0;
@@ -215,7 +219,7 @@
       former.crash(2 * LEADER_CHANGE_MS);
       deliver(stalled, inFlight);
       SimulatedController third = thirdController(sim, former, stalled);
-      registered += isRegisteredAgain(sim, third, machines, 1_000) ? 1 : 0;
+      registered += runUntilRegisteredAgain(sim, third, machines, 1_000) ? 1 : 0;
       stalled.watchStalled = false;
       sim.runUntil(sim.nowMs + LEADER_CHANGE_MS);
       assertNotEquals(former.name, autoscalerLeader(sim).name);
@@ -246,7 +250,7 @@
         List<String> machines = machinesLedByOthers(sim, stalled, 2);
         List<Heartbeat> inFlight = returnWithHeartbeatsInFlight(sim, autoscaler, machines);
         deliver(stalled, inFlight);
-        registered += isRegisteredAgain(sim, autoscaler, machines, 1_000) ? 1 : 0;
+        registered += runUntilRegisteredAgain(sim, autoscaler, machines, 1_000) ? 1 : 0;
         sim.stateService.outage = outage;
         sim.maxStateDelayMs = outage ? 0 : 900;
         stalled.watchStalled = false;
--- a/src/test/java/mallowstall/core/SchedulingProgressTest.java
+++ b/src/test/java/mallowstall/core/SchedulingProgressTest.java
@@ -105,7 +105,8 @@
 
   /**
    * Scale-out plans for whole waves of tasks. If the deadline leaves time for one and three quarter
-   * waves, only one wave is on time, and it needs machines for all tasks.
+   * waves, only one wave is on time, and it needs machines for all tasks. At most two waves are
+   * planned, however late the deadline.
    */
   @Test
   void scaleOutPlansForWholeWaves() {
@@ -132,8 +133,9 @@
   }
 
   /**
-   * The cost of placement grows with groups and machines, not with tasks: the job leader decides on
-   * a large job as a whole, in chunks of its completion bitmap.
+   * Guards against a placement cost that grows with the number of tasks, and against completions of
+   * a large job that are lost when its leader crashes. The cost may grow with groups and machines:
+   * the job leader decides on a large job as a whole, in chunks of its completion bitmap.
    */
   @Test
   void jobOfHundredThousandTasksIsPlacedAsOne() {
--- a/src/test/java/mallowstall/users/MalformedRepetitionTest.java
+++ b/src/test/java/mallowstall/users/MalformedRepetitionTest.java
@@ -49,7 +49,10 @@
     assertEquals(400, statusOf(unknown));
   }
 
-  /** Without a readable id no job can be looked up, so the response is 400. */
+  /**
+   * A body with an invalid id, or one that isn't complete JSON, identifies no job, so the response
+   * is 400.
+   */
   @Test
   void bodiesWithoutReadableIdAreRejected() {
     assertEquals(201, statusOf(Examples.JOB));
